--- a/internal/batch/progress.go
+++ b/internal/batch/progress.go
@@ -1,5 +1,5 @@
-// Package batch holds the rules of batch jobs: what a valid job is, which groups are whole, when results are worth making
-// durable. It is pure: no I/O, no goroutine, no clock of its own.
+// Package batch holds the rules of batch jobs: the validation of jobs, the completion of groups, and when results are made
+// durable. It is pure: it does no I/O, starts no goroutines and reads no clock.
 package batch
 
 import (
@@ -15,14 +15,14 @@
 var ErrInvalid = errors.New("the batch job is not valid")
 
 const (
-	maximumItems = 20000
-	maximumName  = 200
+	maxItems     = 20000
+	maxNameBytes = 200
 )
 
-// Validate reports why a job can't be taken. The error is marked with ErrInvalid.
+// Validate returns an error marked with ErrInvalid if a job cannot be accepted.
 func Validate(job *batchv1.Job) error {
-	if len(job.GetItems()) == 0 || len(job.GetItems()) > maximumItems {
-		return invalid("a job has 1 to %d items, not %d", maximumItems, len(job.GetItems()))
+	if len(job.GetItems()) == 0 || len(job.GetItems()) > maxItems {
+		return invalid("a job must have 1 to %d items, but has %d", maxItems, len(job.GetItems()))
 	}
 	if !validName(job.GetId()) || strings.Contains(job.GetId(), ScopeSeparator) {
 		return invalid("the job's identifier is empty, too long or has a slash or %q", ScopeSeparator)
@@ -33,7 +33,7 @@
 		case !validName(item.GetId()):
 			return invalid("an item's identifier is empty, too long or has a slash")
 		case seen[item.GetId()]:
-			return invalid("item %q stands twice", item.GetId())
+			return invalid("item %q is listed twice", item.GetId())
 		case len(item.GetPath()) == 0 || item.GetPath()[0] != '/':
 			return invalid("item %q has no path", item.GetId())
 		case item.GetScorer() != nil && (item.GetScorer().GetId() == "" || item.GetScorer().GetPath() == ""):
@@ -49,7 +49,7 @@
 }
 
 func validName(name string) bool {
-	if name == "" || len(name) > maximumName {
+	if name == "" || len(name) > maxNameBytes {
 		return false
 	}
 	for _, char := range []byte(name) {
@@ -60,18 +60,18 @@
 	return true
 }
 
-// Progress counts which items of a job are done and which groups are whole. The caller serializes its calls.
+// Progress tracks the finished items and the complete groups of a job. It is not safe for concurrent use.
 type Progress struct {
 	groupOf   map[string]string
 	remaining map[string]int // unfinished items by group
 	finished  map[string]bool
-	// required are the groups that are not whole yet and that the trainer waits for, whatever else is whole.
+	// required holds the incomplete groups that the trainer waits for, however many other groups are complete.
 	required map[string]bool
-	whole    int
+	complete int
 	wanted   int
 }
 
-// NewProgress returns the progress of a job of which nothing is done. Items without a group are groups of their own.
+// NewProgress returns the progress of a job without finished items. Each item without a group is a group of its own.
 func NewProgress(job *batchv1.Job) *Progress {
 	progress := &Progress{groupOf: make(map[string]string), remaining: make(map[string]int), finished: make(map[string]bool), required: make(map[string]bool)}
 	for _, item := range job.GetItems() {
@@ -89,7 +89,7 @@
 	return progress
 }
 
-// Finish counts an item, and reports whether it was not counted before.
+// Finish marks an item as finished, and reports whether it is an item of the job that was not finished before.
 func (progress *Progress) Finish(itemID string) bool {
 	group, known := progress.groupOf[itemID]
 	if !known || progress.finished[itemID] {
@@ -98,13 +98,14 @@
 	progress.finished[itemID] = true
 	progress.remaining[group]--
 	if progress.remaining[group] == 0 {
-		progress.whole++
+		progress.complete++
 		delete(progress.required, group)
 	}
 	return true
 }
 
-// Require notes that the trainer waits for the group of an item, whatever else is whole: it brought the group back.
+// Require marks the group of an item as one that the trainer waits for, because it contains an item of an earlier job that the
+// trainer submitted again.
 func (progress *Progress) Require(itemID string) {
 	group, known := progress.groupOf[itemID]
 	if known && progress.remaining[group] > 0 {
@@ -112,31 +113,34 @@
 	}
 }
 
-// Finished reports whether an item is counted.
+// Finished reports whether an item is finished.
 func (progress *Progress) Finished(itemID string) bool { return progress.finished[itemID] }
 
-// Enough reports whether as many groups are whole as the trainer waits for, those that it brought back among them.
-func (progress *Progress) Enough() bool {
-	return progress.whole >= progress.wanted && len(progress.required) == 0
+// WantedComplete reports whether all groups that the trainer waits for are complete: the wanted number of groups, and each
+// required group.
+func (progress *Progress) WantedComplete() bool {
+	return progress.complete >= progress.wanted && len(progress.required) == 0
 }
 
-// Done reports whether every item is counted.
+// Done reports whether every item is finished.
 func (progress *Progress) Done() bool { return len(progress.finished) == len(progress.groupOf) }
 
-// FlushPolicy says when results are made durable. A write costs a call, a late listing costs the trainer time.
+// FlushPolicy determines when results are made durable. Frequent writes cost calls to the metadata store; late writes delay the
+// trainer.
 type FlushPolicy struct {
-	// Spacing is the least time between two writes; Longest is how long a finished result may wait.
+	// Spacing is the minimum time between two writes.
 	Spacing time.Duration
+	// Longest is the maximum time that a finished result waits, unless Spacing requires more.
 	Longest time.Duration
-	// FinalSpacing is the least time between two writes once the trainer's groups are whole: the next may be all that it waits for.
+	// FinalSpacing is the minimum time between two writes once the groups that the trainer waits for are complete.
 	FinalSpacing time.Duration
 }
 
-// Delay returns how long the pending results wait from now: none once the trainer's groups are whole, at most Longest after
-// the oldest was finished, and never less than the spacing after the last write.
+// Delay returns how long the pending results wait from now on: until Longest after the oldest of them was finished, or not at
+// all once the groups that the trainer waits for are complete; but always until the spacing after the last write has passed.
 func (policy FlushPolicy) Delay(progress *Progress, now, oldestPending, lastWrite time.Time) time.Duration {
 	due, spacing := oldestPending.Add(policy.Longest), policy.Spacing
-	if progress.Enough() || progress.Done() {
+	if progress.WantedComplete() || progress.Done() {
 		due, spacing = now, policy.FinalSpacing
 	}
 	if earliest := lastWrite.Add(spacing); due.Before(earliest) {
@@ -145,7 +149,7 @@
 	return max(0, due.Sub(now))
 }
 
-// ExpectedOutput returns the tokens that a job is likely to make: the callers' estimates, or the most that items may make.
+// ExpectedOutput returns the expected number of output tokens of all items of a job.
 func ExpectedOutput(job *batchv1.Job) int64 {
 	total := int64(0)
 	for _, item := range job.GetItems() {
@@ -154,7 +158,8 @@
 	return total
 }
 
-// ExpectedTokens returns the tokens that an item is likely to make.
+// ExpectedTokens returns the expected number of output tokens of an item: the estimate of the caller, or else the limit of the
+// item.
 func ExpectedTokens(item *batchv1.Item) int64 {
 	if hint := item.GetLengthHint(); hint > 0 {
 		return hint
--- a/internal/batch/progress_test.go
+++ b/internal/batch/progress_test.go
@@ -27,9 +27,9 @@
 	must.False(t, progress.Finish("item-0"))
 	must.False(t, progress.Finish("unknown"))
 	must.True(t, progress.Finish("item-2"))
-	must.False(t, progress.Enough())
+	must.False(t, progress.WantedComplete())
 	must.True(t, progress.Finish("item-1"))
-	must.True(t, progress.Enough())
+	must.True(t, progress.WantedComplete())
 	must.False(t, progress.Done())
 	must.True(t, progress.Finish("item-3"))
 	must.True(t, progress.Done())
@@ -50,19 +50,19 @@
 	must.Eq(t, 150*time.Millisecond, policy.Delay(progress, now, now.Add(-time.Second), now.Add(-100*time.Millisecond)))
 }
 
-// A group that the trainer brought back is waited for, even if as many others are whole as it wants.
+// A required group must complete before the wanted groups count as complete, even if enough other groups are complete.
 func TestBroughtBackGroupsAreRequired(t *testing.T) {
 	progress := batch.NewProgress(job(1, "a", "a", "b"))
 	progress.Require("item-0")
 	progress.Require("unknown")
 	must.True(t, progress.Finish("item-2"))
-	must.False(t, progress.Enough())
+	must.False(t, progress.WantedComplete())
 	must.True(t, progress.Finish("item-0"))
-	must.False(t, progress.Enough())
+	must.False(t, progress.WantedComplete())
 	must.True(t, progress.Finish("item-1"))
-	must.True(t, progress.Enough())
+	must.True(t, progress.WantedComplete())
 	progress.Require("item-0")
-	must.True(t, progress.Enough(), must.Sprint("the group is whole already"))
+	must.True(t, progress.WantedComplete(), must.Sprint("the group is complete already"))
 }
 
 func TestValidate(t *testing.T) {
@@ -77,11 +77,11 @@
 		"item without path":   func(job *batchv1.Job) { job.Items[0].Path = "relative" },
 		"scorer unnamed":      func(job *batchv1.Job) { job.Items[0].Scorer = &batchv1.Scorer{Path: "/"} },
 	}
-	for name, spoil := range cases {
+	for name, corrupt := range cases {
 		t.Run(name, func(t *testing.T) {
-			spoiled := job(1, "a")
-			spoil(spoiled)
-			must.True(t, errors.Is(batch.Validate(spoiled), batch.ErrInvalid))
+			corrupted := job(1, "a")
+			corrupt(corrupted)
+			must.True(t, errors.Is(batch.Validate(corrupted), batch.ErrInvalid))
 		})
 	}
 }
--- a/internal/batch/scope.go
+++ b/internal/batch/scope.go
@@ -6,19 +6,21 @@
 )
 
 const (
-	// ScopeSeparator stands between a tenant's scope and what lies in it. Callers' own identifiers never hold it (Validate).
+	// ScopeSeparator separates the scope of a tenant from the identifier in a scoped identifier. Validate rejects it in the
+	// identifiers of callers.
 	ScopeSeparator = "~"
-	// scopeBytes is how much of the digest of a tenant's name is its scope: two of a million tenants share one with odds of 1 in 500
-	// million, and keys of the store stay short.
-	scopeBytes = 10
+	// scopeDigestBytes is the number of bytes of the digest of the name of a tenant that form its scope. It keeps the keys of
+	// the store short and makes collisions between tenants negligible.
+	scopeDigestBytes = 10
 )
 
-// ScopedID returns the identifier under which a tenant's job lies when another tenant's lies under the one that its caller gave.
+// ScopedID returns the identifier used for the job of a tenant if a job of another tenant has the identifier that the caller
+// chose.
 func ScopedID(tenant, id string) string {
 	digest := sha256.Sum256([]byte(tenant))
-	return hex.EncodeToString(digest[:scopeBytes]) + ScopeSeparator + id
+	return hex.EncodeToString(digest[:scopeDigestBytes]) + ScopeSeparator + id
 }
 
-// MayUse reports whether callers of a tenant, empty for none, may use a job of another or the same. A job of none, as those are that were accepted
-// before the deployment had tenants or by a build that knows none, is open to all.
+// MayUse reports whether callers of one tenant may use a job of another; an empty name stands for no tenant. Every caller may
+// use a job without a tenant, which was accepted before the deployment had tenants or by a version without tenants.
 func MayUse(caller, owner string) bool { return owner == "" || owner == caller }
--- a/internal/batchrun/job.go
+++ b/internal/batchrun/job.go
@@ -126,7 +126,7 @@
 	if len(owned.pending) == 0 {
 		owned.since = time.Now()
 	}
-	if owned.enough.IsZero() && owned.progress.Enough() {
+	if owned.enough.IsZero() && owned.progress.WantedComplete() {
 		owned.enough = time.Now()
 	}
 	owned.pending = append(owned.pending, result)
