--- a/internal/batchrun/backup.go
+++ b/internal/batchrun/backup.go
@@ -14,28 +14,29 @@
 
 const (
 	backupInterval = 250 * time.Millisecond
-	backupLimit    = 400 * time.Millisecond
-	// stuckAfter is how much longer than usual results may wait to be listed before they are backed up: answers to writes may
-	// be lost while the store answers probes.
-	stuckAfter = 300 * time.Millisecond
-	// backupCopies is how many nodes keep the texts that can't be listed, partialCopies how many those that are not whole.
+	backupTimeout  = 400 * time.Millisecond
+	// appendStallMargin is added to the longest usual wait before pending results count as stalled: the answers to appends can
+	// be lost while the store still answers probes.
+	appendStallMargin = 300 * time.Millisecond
+	// backupCopies is the number of nodes that keep a complete text, partialCopies the number that keep an incomplete one.
 	backupCopies  = 2
 	partialCopies = 1
-	// partialLeast is how many events a text has when it is first backed up; then each time it has grown by partialGrowth.
-	partialLeast  = 16
-	partialGrowth = 1.6
-	// savedStep is by how many events a text grows before it is saved in the log again, saveInterval the least time between two such
-	// writes of a job when it lists no results meanwhile.
-	savedStep    = 8
+	// minBackupEvents is the number of events at which a text is first backed up. It is backed up again each time it has grown
+	// by the factor backupGrowth.
+	minBackupEvents = 16
+	backupGrowth    = 1.6
+	// saveStep is the number of events by which a text grows before it is saved in the log again. saveInterval is the minimum
+	// time between two such writes of a job that appends no results in between.
+	saveStep     = 8
 	saveInterval = time.Second
-	// saveGather is how long a text that has grown waits for others to be saved with it.
-	saveGather = 200 * time.Millisecond
-	// unfinishedBytes bounds the texts that are saved of one job.
-	unfinishedBytes = 700 << 10
+	// saveBatchDelay is how long a grown text waits for others to be saved in the same write.
+	saveBatchDelay = 200 * time.Millisecond
+	// maxUnfinishedBytes bounds the unfinished texts saved per job.
+	maxUnfinishedBytes = 700 << 10
 )
 
-// backUp has other nodes keep what would be lost with this process while the log can't take it: the texts of long items while they
-// grow, and finished texts.
+// backUp sends texts to other nodes while the log cannot take them, so that they survive this process: the growing texts of
+// running items and the complete texts of pending results.
 func (runner *Runner) backUp(owned *job) {
 	ticker := time.NewTicker(backupInterval)
 	defer ticker.Stop()
@@ -46,25 +47,25 @@
 			return
 		case <-ticker.C:
 		}
-		if runner.Log.Health.Good() && !owned.isStuck(runner.Flush.Longest+stuckAfter) {
+		if runner.Log.Health.Good() && !owned.appendStalled(runner.Flush.Longest+appendStallMargin) {
 			continue
 		}
-		if partials := owned.takeGrowing(); len(partials) > 0 {
-			runner.sendKept(owned, partials, partialCopies)
+		if partials := owned.takeGrown(); len(partials) > 0 {
+			runner.sendBackup(owned, partials, partialCopies)
 		}
-		if partials := owned.unsent(sent); len(partials) > 0 {
-			runner.sendKept(owned, partials, backupCopies)
+		if partials := owned.takeUnsent(sent); len(partials) > 0 {
+			runner.sendBackup(owned, partials, backupCopies)
 		}
 	}
 }
 
-// offerGrowing has the text of a running item saved if it has grown enough since it last was, and backed up if the log can't take it.
-// It is called by the item's run.
-func (running *task) offerGrowing() {
-	if running.lastEvent < max(partialLeast, running.saved) {
+// queueSave queues the text of a running item to be saved in the log, and for backup, once it has grown enough. Only the
+// goroutine that runs the item calls it.
+func (running *task) queueSave() {
+	if running.lastEvent < max(minBackupEvents, running.saved) {
 		return
 	}
-	running.saved = running.lastEvent + savedStep
+	running.saved = running.lastEvent + saveStep
 	partial := &batchv1.Partial{
 		ItemId: running.item.GetId(), Text: bytes.Clone(running.text), LastEvent: running.lastEvent, Versions: slices.Clone(running.versions),
 	}
@@ -72,25 +73,25 @@
 	owned.mu.Lock()
 	defer owned.mu.Unlock()
 	if running.lastEvent >= running.backedUp {
-		running.backedUp = int64(partialGrowth * float64(running.lastEvent))
-		owned.growing[partial.GetItemId()] = partial
+		running.backedUp = int64(backupGrowth * float64(running.lastEvent))
+		owned.grown[partial.GetItemId()] = partial
 	}
 	owned.unfinished[partial.GetItemId()] = partial
-	if owned.unlogged.IsZero() {
-		owned.unlogged = time.Now()
+	if owned.unsavedSince.IsZero() {
+		owned.unsavedSince = time.Now()
 		owned.wakeFlush()
 	}
 }
 
-// unfinishedTexts returns the texts that are to be written, with a page of results or without, so that they outlive all processes:
-// those of the longest items, as many as fit, if any has grown since they last were.
-func (owned *job) unfinishedTexts(results []*batchv1.Result) []*batchv1.Partial {
+// takeUnsaved returns the unfinished texts to save in the log along with the given results, longest first, up to
+// maxUnfinishedBytes. It returns nil if no text has grown since the last call.
+func (owned *job) takeUnsaved(results []*batchv1.Result) []*batchv1.Partial {
 	owned.mu.Lock()
 	defer owned.mu.Unlock()
-	if owned.unlogged.IsZero() {
+	if owned.unsavedSince.IsZero() {
 		return nil
 	}
-	owned.unlogged = time.Time{}
+	owned.unsavedSince = time.Time{}
 	for _, result := range results {
 		delete(owned.unfinished, result.GetItemId())
 	}
@@ -98,15 +99,15 @@
 	slices.SortFunc(list, func(a, b *batchv1.Partial) int { return cmp.Compare(b.GetLastEvent(), a.GetLastEvent()) })
 	size := 0
 	for index, partial := range list {
-		if size += len(partial.GetText()) + resultOverhead; size > unfinishedBytes {
+		if size += len(partial.GetText()) + resultOverhead; size > maxUnfinishedBytes {
 			return list[:index]
 		}
 	}
 	return list
 }
 
-// growingTexts returns the texts of running items as they were last saved.
-func (owned *job) growingTexts() []*batchv1.Partial {
+// runningTexts returns the texts of unfinished items as they were last queued to be saved.
+func (owned *job) runningTexts() []*batchv1.Partial {
 	owned.mu.Lock()
 	defer owned.mu.Unlock()
 	var list []*batchv1.Partial
@@ -118,29 +119,29 @@
 	return list
 }
 
-// takeGrowing returns the texts that have grown since the last call, but for those of items that are finished.
-func (owned *job) takeGrowing() []*batchv1.Partial {
+// takeGrown returns the texts of unfinished items that have grown since the last call.
+func (owned *job) takeGrown() []*batchv1.Partial {
 	owned.mu.Lock()
 	defer owned.mu.Unlock()
 	var list []*batchv1.Partial
-	for id, partial := range owned.growing {
+	for id, partial := range owned.grown {
 		if !owned.progress.Finished(id) {
 			list = append(list, partial)
 		}
 	}
-	clear(owned.growing)
+	clear(owned.grown)
 	return list
 }
 
-// isStuck reports whether a result has waited for so long.
-func (owned *job) isStuck(limit time.Duration) bool {
+// appendStalled reports whether the oldest pending result has waited longer than the limit.
+func (owned *job) appendStalled(limit time.Duration) bool {
 	owned.mu.Lock()
 	defer owned.mu.Unlock()
-	return len(owned.pending) > 0 && time.Since(owned.since) > limit
+	return len(owned.pending) > 0 && time.Since(owned.pendingSince) > limit
 }
 
-// unsent returns the pending texts that are not marked as sent, and marks them.
-func (owned *job) unsent(sent map[string]bool) []*batchv1.Partial {
+// takeUnsent returns the pending texts that are not marked as sent, and marks them.
+func (owned *job) takeUnsent(sent map[string]bool) []*batchv1.Partial {
 	owned.mu.Lock()
 	defer owned.mu.Unlock()
 	var list []*batchv1.Partial
@@ -149,31 +150,32 @@
 			continue
 		}
 		sent[result.GetItemId()] = true
-		list = append(list, wholePartial(result))
+		list = append(list, completePartial(result))
 	}
 	return list
 }
 
-// unlisted returns the pending texts.
-func (owned *job) unlisted() []*batchv1.Partial { return owned.unsent(make(map[string]bool)) }
+func (owned *job) pendingTexts() []*batchv1.Partial { return owned.takeUnsent(make(map[string]bool)) }
 
-func wholePartial(result *batchv1.Result) *batchv1.Partial {
+func completePartial(result *batchv1.Result) *batchv1.Partial {
 	return &batchv1.Partial{
-		ItemId: result.GetItemId(), Text: result.GetText(), LastEvent: wholeText, Versions: result.GetVersions(), Whole: true,
+		ItemId: result.GetItemId(), Text: result.GetText(), LastEvent: completeTextEvent, Versions: result.GetVersions(), Whole: true,
 	}
 }
 
-// wholeText stands for the last event of a text that is whole, which nobody goes on with.
-const wholeText = 1
+// completeTextEvent is the last event given for a complete text. Any positive value does, because no replica resumes a complete
+// text.
+const completeTextEvent = 1
 
-func (runner *Runner) sendKept(owned *job, partials []*batchv1.Partial, wanted int) {
+// sendBackup sends texts to the nearest nodes until the wanted number of them has stored the texts.
+func (runner *Runner) sendBackup(owned *job, partials []*batchv1.Partial, wanted int) {
 	copies := 0
 	for _, name := range runner.Peers.Nearest() {
 		client := runner.Peers.Client(name)
 		if client == nil || copies == wanted {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(owned.ctx, backupLimit)
+		ctx, cancel := context.WithTimeout(owned.ctx, backupTimeout)
 		_, err := client.Keep(ctx, &batchv1.KeepRequest{JobId: owned.id(), Tenant: owned.definition.GetTenant(), Partials: partials})
 		cancel()
 		runner.Logger.Info("texts backed up", "job", owned.id(), "to", name, "count", len(partials), "error", err)
@@ -183,9 +185,9 @@
 	}
 }
 
-// fetchKept asks the nodes that may keep texts of a job.
-func (runner *Runner) fetchKept(ctx context.Context, id string) []*batchv1.Partial {
-	ctx, cancel := context.WithTimeout(ctx, backupLimit)
+// fetchBackups returns the texts of a job that this node and the nearest nodes keep.
+func (runner *Runner) fetchBackups(ctx context.Context, id string) []*batchv1.Partial {
+	ctx, cancel := context.WithTimeout(ctx, backupTimeout)
 	defer cancel()
 	list := runner.kept.partialsOf(id)
 	var mu sync.Mutex
--- a/internal/batchrun/defer_test.go
+++ b/internal/batchrun/delegation_test.go
@@ -11,8 +11,9 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata/memstore"
 )
 
-// callAgain submits a job as a caller does in an outage: at one node after the other, each for a second, until one has accepted it.
-func callAgain(world *world, id string, items int, names ...string) <-chan error {
+// submitRepeatedly submits a job as a caller does during an outage: to one node after the other, with a deadline of one second
+// each, until one of them has accepted it.
+func submitRepeatedly(world *world, id string, items int, names ...string) <-chan error {
 	accepted := make(chan error, 1)
 	go func() {
 		for turn := 0; ; turn++ {
@@ -32,14 +33,13 @@
 	return accepted
 }
 
-// In an outage a caller meets one node after the other. The items run at one of them, the one that runs the model's jobs; each used to run
-// them all.
+// Guards against several nodes running the items of a job that a caller submits to one node after the other during an outage.
 func TestOneNodeRunsAJobInAnOutage(t *testing.T) {
 	inWorld(t, 41, func(t *testing.T, world *world) {
 		world.preferred = "b"
 		world.store.SetFaults(memstore.Faults{Down: true})
 		time.Sleep(1500 * time.Millisecond)
-		accepted := callAgain(world, "job", 8, "a", "c", "b", "a")
+		accepted := submitRepeatedly(world, "job", 8, "a", "c", "b", "a")
 		time.Sleep(5 * time.Second)
 		world.store.SetFaults(memstore.Faults{})
 		must.NoError(t, <-accepted)
@@ -48,7 +48,7 @@
 	})
 }
 
-// The node that was asked runs the job itself when the preferred one is gone, or goes while it has the job.
+// The node that received the job runs it when the preferred node is down, or fails after the job was delegated to it.
 func TestJobInAnOutageOutlivesThePreferredNode(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		inWorld(t, 42, func(t *testing.T, world *world) {
@@ -58,7 +58,7 @@
 			if before {
 				world.kill("b")
 			}
-			accepted := callAgain(world, "job", 8, "a", "c")
+			accepted := submitRepeatedly(world, "job", 8, "a", "c")
 			time.Sleep(1200 * time.Millisecond)
 			world.kill("b")
 			time.Sleep(4 * time.Second)
@@ -69,26 +69,26 @@
 	}
 }
 
-// All nodes leave a job to the same one also when the preferred one goes while it has the job.
+// All nodes delegate a job to the same alternate when the preferred node fails after the job was delegated to it.
 func TestAlternateRunsAJobInAnOutage(t *testing.T) {
 	inWorld(t, 44, func(t *testing.T, world *world) {
 		world.preferred, world.alternate = "b", "c"
 		world.store.SetFaults(memstore.Faults{Down: true})
 		time.Sleep(1500 * time.Millisecond)
-		accepted := callAgain(world, "job", 8, "a", "c")
+		accepted := submitRepeatedly(world, "job", 8, "a", "c")
 		time.Sleep(300 * time.Millisecond)
 		world.kill("b")
 		time.Sleep(time.Second)
 		started := total(world.engines)
 		time.Sleep(4 * time.Second)
-		must.LessEq(t, started+8, total(world.engines), must.Sprint("items ran at both nodes that are left"))
+		must.LessEq(t, started+8, total(world.engines), must.Sprint("items ran at both remaining nodes"))
 		world.store.SetFaults(memstore.Faults{})
 		must.NoError(t, <-accepted)
 		checkResults(t, await(t, world.node("a"), "job", 8, time.Second), 1)
 	})
 }
 
-// A node that the store refuses leaves a job to the preferred one, which the store answers and which accepts it at once.
+// A node that cannot reach the store delegates a job to the preferred node, which reaches the store and accepts the job at once.
 func TestRefusedNodeLeavesJobsToThePreferredOne(t *testing.T) {
 	inWorld(t, 43, func(t *testing.T, world *world) {
 		world.preferred = "b"
@@ -103,13 +103,13 @@
 	})
 }
 
-// A node that stops in an outage passes on what it has made of a job that is not accepted: it is not made again.
+// A node that stops during an outage hands the texts of an unaccepted job to another node, so that no item runs again.
 func TestJobIsPassedOnInAnOutage(t *testing.T) {
 	inWorld(t, 47, func(t *testing.T, world *world) {
 		world.preferred, world.alternate = "b", "c"
 		world.store.SetFaults(memstore.Faults{Down: true})
 		time.Sleep(1500 * time.Millisecond)
-		accepted := callAgain(world, "job", 8, "a")
+		accepted := submitRepeatedly(world, "job", 8, "a")
 		time.Sleep(2500 * time.Millisecond)
 		must.Eq(t, 8, total(world.engines))
 		world.node("b").HandOver(t.Context())
@@ -123,13 +123,13 @@
 	})
 }
 
-// A node that another has left a job to runs it, and does not leave it to a third: the first would give that up and run it, too.
+// Guards against a chain of delegations: a node that received a job by delegation runs it and does not delegate it to a third.
 func TestJobIsLeftToOneNodeOnly(t *testing.T) {
 	inWorld(t, 46, func(t *testing.T, world *world) {
 		world.preferredAt = map[string]string{"a": "b", "b": "c"}
 		world.store.SetFaults(memstore.Faults{Down: true})
 		time.Sleep(1500 * time.Millisecond)
-		accepted := callAgain(world, "job", 8, "a")
+		accepted := submitRepeatedly(world, "job", 8, "a")
 		time.Sleep(5 * time.Second)
 		must.Eq(t, 8, total(world.engines))
 		world.store.SetFaults(memstore.Faults{})
@@ -138,7 +138,7 @@
 	})
 }
 
-// Nodes whose views of the fleet differ don't leave a job to each other: one of them runs it.
+// Guards against nodes with different views of the membership delegating a job to each other, so that none of them runs it.
 func TestNodesThatPreferEachOther(t *testing.T) {
 	for _, names := range [][]string{{"a", "b"}, {"b", "a"}, {"a", "c"}} {
 		inWorld(t, 45, func(t *testing.T, world *world) {
@@ -147,7 +147,7 @@
 			time.Sleep(1500 * time.Millisecond)
 			var accepted []<-chan error
 			for _, name := range names {
-				accepted = append(accepted, callAgain(world, "job", 8, name))
+				accepted = append(accepted, submitRepeatedly(world, "job", 8, name))
 			}
 			time.Sleep(3 * time.Second)
 			must.GreaterEq(t, 8, total(world.engines), must.Sprint("no node runs the job"))
@@ -160,32 +160,32 @@
 	}
 }
 
-// At the end of an outage the store answers another node first: that one accepts the job, with what was made of it here, also if it had left
-// the job to this node.
+// When the store answers another node first after an outage, that node accepts the job together with the texts made so far, even
+// if it had delegated the job to this node.
 func TestWhatWasMadeGoesAlong(t *testing.T) {
 	for _, asked := range []string{"a", "b", "c"} {
 		inWorld(t, 48, func(t *testing.T, world *world) {
 			world.preferred, world.alternate = "b", "c"
 			world.store.SetFaults(memstore.Faults{Down: true})
 			time.Sleep(1500 * time.Millisecond)
-			accepted := callAgain(world, "job", 8, asked)
+			accepted := submitRepeatedly(world, "job", 8, asked)
 			time.Sleep(2500 * time.Millisecond)
 			must.Eq(t, 8, total(world.engines))
 			world.refuse("b", true)
 			world.store.SetFaults(memstore.Faults{})
-			back := time.Now()
+			recovered := time.Now()
 			must.NoError(t, <-accepted)
-			must.Less(t, 1500*time.Millisecond, time.Since(back), must.Sprint("asked ", asked))
+			must.Less(t, 1500*time.Millisecond, time.Since(recovered), must.Sprint("asked ", asked))
 			checkResults(t, await(t, world.node("a"), "job", 8, time.Second), 1)
 			must.Eq(t, 8, total(world.engines), must.Sprint("items ran again, asked ", asked))
-			time.Sleep(50 * time.Millisecond) // the answer that says so is on its way to b
+			time.Sleep(50 * time.Millisecond) // until b receives the answer of the node that accepted the job
 			must.Eq(t, 0, world.node("b").OpenJobs())
 		})
 	}
 }
 
-// Nodes that wait for a job's acceptance answer their callers as soon as another has accepted it: these may be about to give up. A node
-// that has just been started knows of no others, and announces it to nobody.
+// Nodes that wait for the acceptance of a job answer their callers as soon as another node has accepted it, also when that node
+// announces it to nobody because it has just started and has no known peers.
 func TestAcceptanceIsHeardOfAtOnce(t *testing.T) {
 	for after := time.Duration(0); after < 400*time.Millisecond; after += 20 * time.Millisecond {
 		inWorld(t, 49, func(t *testing.T, world *world) {
--- a/internal/batchrun/directory.go
+++ b/internal/batchrun/directory.go
@@ -10,19 +10,19 @@
 	"github.com/thistlewalk/thistlewalk/internal/batchlog"
 )
 
-// directoryLimit bounds the question who answers for a job: the node that is asked may have to read the store first, which takes some
-// 10 ms; one that is gone must not cost a caller its patience.
-const directoryLimit = 250 * time.Millisecond
+// directoryTimeout bounds the Find call to the directory node, which may have to read the store first. A caller must not wait
+// long for a directory node that is down.
+const directoryTimeout = 250 * time.Millisecond
 
-// askDirectory asks the node that looks this job up for all others who answers for it, calls that one, and reports whether that served
-// the call. An ended job is read from the store once so, and not by each node that a caller happens to reach.
-func (runner *Runner) askDirectory(ctx context.Context, id string, call func(name string) bool) bool {
+// callThroughDirectory asks the directory node of a job which node serves the job, calls that node, and reports whether the call
+// was served. An ended job is thus read from the store by one node, not by each node that a caller reaches.
+func (runner *Runner) callThroughDirectory(ctx context.Context, id string, call func(name string) bool) bool {
 	directory := runner.Peers.Directory(id)
 	if directory == "" || directory == runner.Node {
 		return false
 	}
 	name := ""
-	runner.callPeer(ctx, directory, directoryLimit, func(ctx context.Context, client batchv1.Batches) (bool, error) {
+	runner.callPeer(ctx, directory, directoryTimeout, func(ctx context.Context, client batchv1.Batches) (bool, error) {
 		response, err := client.Find(ctx, &batchv1.FindRequest{JobId: id})
 		name = response.GetNode()
 		return err == nil, err
@@ -34,17 +34,18 @@
 	return true
 }
 
-// Find tells who answers for a job, as the store has it now: what this node remembers of an open job may be old, and a former owner that
-// does not know that it is one would be asked.
+// Find returns the node that serves a job according to the store. It does not use the owner that this node remembers for an open
+// job: that can be a former owner that has not noticed the change.
 func (service Service) Find(ctx context.Context, request *batchv1.FindRequest) (*batchv1.FindResponse, error) {
 	runner := service.Runner
-	if runner.ended.hasRead(request.GetJobId()) {
+	if runner.ended.hasFromLog(request.GetJobId()) {
 		return &batchv1.FindResponse{Node: runner.Node}, nil
 	}
 	return &batchv1.FindResponse{Node: runner.lookUp(ctx, request.GetJobId())}, nil
 }
 
-// lookUp reads from the store who owns a job; empty if that can't be told. One that has ended is answered here from then on.
+// lookUp reads the owner of a job from the store; it returns an empty name if the owner cannot be determined. It caches the
+// results of an ended job, which this node serves from then on.
 func (runner *Runner) lookUp(ctx context.Context, id string) (node string) {
 	if !runner.Log.Health.Good() {
 		return ""
--- a/internal/batchrun/directory_test.go
+++ b/internal/batchrun/directory_test.go
@@ -10,7 +10,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata"
 )
 
-// An ended job of which no node knows any more, after a restart of all, is read from the store once, whichever nodes are asked for it.
+// After a restart of all nodes an ended job is read from the store once, whichever nodes are asked for it.
 func TestEndedJobIsReadOnce(t *testing.T) {
 	inWorld(t, 21, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition("job-1", 6, 1), jobRoute))
@@ -36,13 +36,13 @@
 	})
 }
 
-// A job that the log says is a node's, and that does not run there, is taken up once anybody asks for it: its acceptance may have been
-// done late, after the node had looked for jobs of its own.
+// A job that the log assigns to a node but that does not run there is resumed once a caller asks for it: the write that accepted
+// it can take effect after the node has looked for its own jobs.
 func TestStrandedJobIsTakenUp(t *testing.T) {
 	inWorld(t, 22, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition("job-1", 6, 1), jobRoute))
 		world.kill("a")
-		world.forget("a") // as if the process before had never owned a job
+		world.forget("a") // as if the previous process had never owned a job
 		world.start("a")
 		time.Sleep(6 * time.Second)
 		must.Eq(t, 0, world.node("a").OpenJobs())
@@ -52,7 +52,7 @@
 	})
 }
 
-// A node that a job was submitted to, too, does not say that it has taken the job over as long as it is not known who owns it.
+// A node that is still accepting a job itself does not report a takeover of the job as done while the owner is unknown.
 func TestTakeOverOfJobThatIsBeingAccepted(t *testing.T) {
 	inWorld(t, 23, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition("job-1", 6, 1), jobRoute))
@@ -60,7 +60,7 @@
 		_, err := world.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: "owners/a/job-2"}, {Key: batchlog.LeftKey("a")}}})
 		must.NoError(t, err)
 		world.refuse("b", true)
-		world.refuse("c", true)                                                                         // nobody accepts it for b
+		world.refuse("c", true)                                                                         // so that no node accepts it for b
 		go func() { _ = world.node("b").Submit(t.Context(), newDefinition("job-1", 6, 1), jobRoute) }() // not accepted while b is refused
 		time.Sleep(300 * time.Millisecond)
 		world.refuse("b", false)
--- a/internal/batchrun/end.go
+++ b/internal/batchrun/end.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	endLimit = 3 * time.Second
-	// ownerEndLimit is how long the owner of a job may take to end it; then whoever was asked makes the end durable itself.
-	ownerEndLimit = 900 * time.Millisecond
+	endTimeout = 3 * time.Second
+	// ownerEndTimeout bounds the End call to the owner of a job. After it, the node that received the request makes the end
+	// durable itself.
+	ownerEndTimeout = 900 * time.Millisecond
 )
 
-// End ends a job of a tenant, empty for none. It returns once the end is durable.
+// End ends a job of a tenant; tenant is empty in a deployment without tenants. It returns once the end is durable.
 func (runner *Runner) End(ctx context.Context, tenant, job string) error {
 	return runner.inScope(ctx, tenant, job, func(id string) error { return runner.end(ctx, id) })
 }
@@ -27,21 +28,21 @@
 		return nil
 	}
 	if owned := runner.find(id); owned != nil {
-		return runner.endHere(ctx, owned)
+		return runner.endLocally(ctx, owned)
 	}
 	return runner.endElsewhere(ctx, id)
 }
 
-// endElsewhere has the owner end a job, or ends it in the log.
+// endElsewhere asks the owner to end a job, and writes the end to the log itself if the owner does not answer.
 func (runner *Runner) endElsewhere(ctx context.Context, id string) error {
-	served, err := runner.askOwner(ctx, id, ownerEndLimit, func(ctx context.Context, owner batchv1.Batches) (bool, error) {
+	served, err := runner.askOwner(ctx, id, ownerEndTimeout, func(ctx context.Context, owner batchv1.Batches) (bool, error) {
 		response, err := owner.End(ctx, &batchv1.EndRequest{JobId: id})
 		return err == nil && response.GetOwned(), err
 	})
 	if served || err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, endLimit)
+	ctx, cancel := context.WithTimeout(ctx, endTimeout)
 	defer cancel()
 	err = runner.Log.End(ctx, id)
 	runner.Logger.Info("job ended for its owner", "job", id, "error", err)
@@ -51,8 +52,8 @@
 	return errors.Mark(err, ErrUnsure)
 }
 
-// endHere cuts the items at once, and makes the end durable. It goes on with that when the caller has left.
-func (runner *Runner) endHere(ctx context.Context, owned *job) error {
+// endLocally cancels the items at once and makes the end durable, even if the caller disconnects.
+func (runner *Runner) endLocally(ctx context.Context, owned *job) error {
 	if !runner.stopItems(owned) {
 		return runner.awaitEnd(ctx, owned)
 	}
@@ -66,13 +67,13 @@
 	}
 }
 
-// endDurably writes the end of a job whose items are cut.
+// endDurably writes the end of a job whose items are canceled.
 func (runner *Runner) endDurably(owned *job) error {
 	ctx, cancel := context.WithTimeout(runner.ctx, acceptLimit)
 	defer cancel()
-	whole, err := runner.Log.EndHeld(ctx, owned.held)
-	if whole {
-		runner.remember(owned)
+	complete, err := runner.Log.EndHeld(ctx, owned.held)
+	if complete {
+		runner.cacheEnded(owned)
 	}
 	runner.Metrics.Job("ended")
 	spent := runner.spent(owned)
@@ -86,16 +87,16 @@
 	return nil
 }
 
-// remember keeps an ended job at hand, unless the log may hold more of it than this node knows.
-func (runner *Runner) remember(owned *job) {
+// cacheEnded caches an ended job, unless the log may hold results that this node does not have.
+func (runner *Runner) cacheEnded(owned *job) {
 	owned.mu.Lock()
 	defer owned.mu.Unlock()
-	if !owned.unsure {
+	if !owned.logUncertain {
 		runner.ended.put(&endedJob{id: owned.id(), total: len(owned.items), results: owned.listed})
 	}
 }
 
-// stopItems cuts a job's items and keeps their texts. It reports false if the job is ending or not accepted.
+// stopItems cancels the items of a job and keeps their texts. It returns false if the job is not accepted or is ending already.
 func (runner *Runner) stopItems(owned *job) bool {
 	select {
 	case <-owned.accepted:
@@ -108,16 +109,16 @@
 		return false
 	}
 	owned.ending = true
-	owned.announce()
+	owned.notifyReaders()
 	owned.mu.Unlock()
 	owned.cancel()
 	<-owned.flushed
 	runner.scheduler.drop(owned)
-	owned.runs.Wait() // so that no attempt is begun after the end is acknowledged
+	owned.runs.Wait() // no attempt may begin after the end is acknowledged
 	return true
 }
 
-// awaitEnd waits for an end that another caller began.
+// awaitEnd waits for an end that another caller requested.
 func (runner *Runner) awaitEnd(ctx context.Context, owned *job) error {
 	for runner.find(owned.id()) == owned && ctx.Err() == nil {
 		wait.Pause(ctx, acceptPause)
--- a/internal/batchrun/ended.go
+++ b/internal/batchrun/ended.go
@@ -7,20 +7,20 @@
 	batchv1 "github.com/thistlewalk/thistlewalk/api/batch/v1"
 )
 
-const endedBytes = 12 << 20
+const maxEndedBytes = 12 << 20
 
-// endedJob is a job that never changes any more.
+// endedJob is an ended job, which does not change any more.
 type endedJob struct {
 	id      string
 	total   int
 	results []*batchv1.Result
 	size    int
-	// read says that the results were read from the log after the end, when nobody can list any more. What an owner remembers of a job
-	// that it ended may lack a page whose write was done without an answer.
-	read bool
+	// fromLog is true if the results were read from the log after the end, when no further results can be appended. The results
+	// in the memory of the owner may lack a page whose append took effect although its answer was lost.
+	fromLog bool
 }
 
-// endedCache keeps ended jobs, the least recently used of which give way. It is safe for concurrent use.
+// endedCache is an LRU cache of ended jobs. It is safe for concurrent use.
 type endedCache struct {
 	mu    sync.Mutex
 	order *list.List // of *endedJob, the most recently used first
@@ -32,11 +32,12 @@
 	return &endedCache{order: list.New(), jobs: make(map[string]*list.Element)}
 }
 
+// put adds a job. Results read from the log replace others; nothing else replaces an entry.
 func (cache *endedCache) put(ended *endedJob) {
 	cache.mu.Lock()
 	defer cache.mu.Unlock()
 	if element := cache.jobs[ended.id]; element != nil {
-		if !ended.read || element.Value.(*endedJob).read {
+		if !ended.fromLog || element.Value.(*endedJob).fromLog {
 			return
 		}
 		cache.drop(element)
@@ -47,7 +48,7 @@
 	}
 	cache.jobs[ended.id] = cache.order.PushFront(ended)
 	cache.size += ended.size
-	for cache.size > endedBytes && cache.order.Len() > 1 {
+	for cache.size > maxEndedBytes && cache.order.Len() > 1 {
 		cache.drop(cache.order.Back())
 	}
 }
@@ -72,8 +73,8 @@
 
 func (cache *endedCache) has(id string) bool { return cache.get(id) != nil }
 
-// hasRead reports whether the job was read from the log after its end.
-func (cache *endedCache) hasRead(id string) bool {
+// hasFromLog reports whether the cache holds the results of the job as read from the log after its end.
+func (cache *endedCache) hasFromLog(id string) bool {
 	ended := cache.get(id)
-	return ended != nil && ended.read
+	return ended != nil && ended.fromLog
 }
--- a/internal/batchrun/engines_test.go
+++ b/internal/batchrun/engines_test.go
@@ -18,40 +18,40 @@
 	"github.com/thistlewalk/thistlewalk/internal/catalog"
 )
 
-// engines stand for all replicas: each item has a fixed number of events, and each replica a version and faults.
+// engines simulates all replicas. Each item has a fixed number of events; versions, delays and faults are set for each replica.
 type engines struct {
 	mu sync.Mutex
-	// breakShare is the share of events after which a stream breaks off, failShare that of answers of 500.
+	// breakShare is the probability that a stream breaks off after an event, failShare that a request is answered with 500,
+	// refuseShare that it is refused.
 	breakShare, failShare, refuseShare float64
 	random                             *rand.Rand
 	versions                           map[string]int64
 	running                            map[string]int // by item
 	starts                             map[string]int
-	resumed                            map[string]int64 // the event after which the last run of an item began
-	// gaps is the time that a replica takes for an event, where it is not usualGap.
+	resumed                            map[string]int64 // the event after which the last run of an item resumed
+	// gaps is the time between two events of a replica; defaultGap where it is not set.
 	gaps map[string]time.Duration
-	// failing tells of replicas which items they answer with 500 at once; failed counts these answers.
+	// failing selects, by replica, the items that the replica answers with 500 at once; failed counts these answers.
 	failing map[string]func(item string) bool
 	failed  int
 }
 
-// fails reports whether a replica fails an item, and counts it.
+// fails reports whether a replica is to fail an item, and counts the failure.
 func (engines *engines) fails(replica, item string) bool {
 	engines.mu.Lock()
 	defer engines.mu.Unlock()
-	if isFailed := engines.failing[replica]; isFailed == nil || !isFailed(item) {
+	if shouldFail := engines.failing[replica]; shouldFail == nil || !shouldFail(item) {
 		return false
 	}
 	engines.failed++
 	return true
 }
 
-// failAll fails every item.
 func failAll(string) bool { return true }
 
-const usualGap = 30 * time.Millisecond
+const defaultGap = 30 * time.Millisecond
 
-// started returns how many runs of items were begun.
+// started returns the number of runs of all items.
 func (engines *engines) started() int {
 	engines.mu.Lock()
 	defer engines.mu.Unlock()
@@ -65,7 +65,7 @@
 func (engines *engines) gap(replica string) time.Duration {
 	engines.mu.Lock()
 	defer engines.mu.Unlock()
-	return cmp.Or(engines.gaps[replica], usualGap)
+	return cmp.Or(engines.gaps[replica], defaultGap)
 }
 
 func (engines *engines) draw(share float64) bool {
@@ -80,29 +80,29 @@
 	return engines.versions[replica]
 }
 
-// Items whose identifiers begin so have many events, or some.
+// Prefixes of item identifiers that select a number of events.
 const (
 	longJob      = "long"
 	longEvents   = 60
-	middleItem   = "middle"
-	middleEvents = 30
+	mediumItem   = "middle"
+	mediumEvents = 30
 )
 
-func eventsOf(item string) int64 {
+func eventCount(item string) int64 {
 	if strings.HasPrefix(item, longJob) {
 		return longEvents
 	}
-	if strings.HasPrefix(item, middleItem) {
-		return middleEvents
+	if strings.HasPrefix(item, mediumItem) {
+		return mediumEvents
 	}
 	return int64(len(item))%5 + 3
 }
 
 func eventText(item string, event int64) string { return fmt.Sprint(item, " event ", event) }
 
-func wholeText(item string) string {
+func expectedText(item string) string {
 	var parts []string
-	for event := int64(1); event <= eventsOf(item); event++ {
+	for event := int64(1); event <= eventCount(item); event++ {
 		parts = append(parts, eventText(item, event))
 	}
 	return strings.Join(parts, "\n")
@@ -129,18 +129,18 @@
 	}
 	reader, writer := io.Pipe()
 	go engines.generate(ctx, replica.ID, request, writer)
-	made := answer(http.StatusOK, "", reader)
-	made.WeightVersion = engines.version(replica.ID)
-	return made, nil
+	response := answer(http.StatusOK, "", reader)
+	response.WeightVersion = engines.version(replica.ID)
+	return response, nil
 }
 
 func answer(status int, stamp string, body io.Reader) *backend.Answer {
 	return &backend.Answer{Status: status, Header: http.Header{}, Body: io.NopCloser(body), Length: -1, Stamp: stamp}
 }
 
-// generate writes events as lines "ID VERSION TEXT".
+// generate writes events as lines of the form "ID VERSION TEXT".
 func (engines *engines) generate(ctx context.Context, replica string, request *backend.Request, writer *io.PipeWriter) {
-	for event := request.ResumeAfter + 1; event <= eventsOf(request.ID); event++ {
+	for event := request.ResumeAfter + 1; event <= eventCount(request.ID); event++ {
 		select {
 		case <-ctx.Done():
 			writer.CloseWithError(ctx.Err())
@@ -158,10 +158,10 @@
 	writer.Close()
 }
 
-type lines struct{}
+type lineDecoder struct{}
 
 // Events implements batchrun.Decoder.
-func (lines) Events(body io.Reader) batchrun.EventReader { return &lineReader{body: body} }
+func (lineDecoder) Events(body io.Reader) batchrun.EventReader { return &lineReader{body: body} }
 
 type lineReader struct {
 	body io.Reader
--- a/internal/batchrun/evacuate.go
+++ b/internal/batchrun/evacuate.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// evacuateAfter is how long the metadata store must have been lost before this node's jobs are given away: some of its answers
-	// may be lost while it answers others.
-	evacuateAfter = 800 * time.Millisecond
-	evacuateCheck = 250 * time.Millisecond
-	// servedLimit bounds the question whether the metadata store answers another node, servedCall the call that puts it.
-	servedLimit = 300 * time.Millisecond
-	servedCall  = 500 * time.Millisecond
-	// evacuateTries bounds the nodes that a job is offered to: each may take handOverLimit to say nothing.
-	evacuateTries = 3
+	// evacuateAfter is how long this node must have been without the metadata store before its jobs are evacuated. A shorter
+	// loss may be a few lost answers.
+	evacuateAfter    = 800 * time.Millisecond
+	evacuateInterval = 250 * time.Millisecond
+	// servedProbeTimeout bounds the probe of the metadata store that a node makes to answer Served, servedCallTimeout the Served
+	// call to another node.
+	servedProbeTimeout = 300 * time.Millisecond
+	servedCallTimeout  = 500 * time.Millisecond
+	// maxEvacuateTargets bounds the nodes that a job is offered to, each of which may take handOverLimit to answer.
+	maxEvacuateTargets = 3
 )
 
-// evacuate gives the jobs of this node to another one when the metadata store answers that one and not this: here no result could be
-// listed and no job ended until it does again. When it answers nobody, they stay where they run.
+// evacuate hands the jobs of this node over to a node that reaches the metadata store while this node does not: here their
+// results could not be listed, and no job could be ended. During an outage for all nodes the jobs stay where they run.
 func (runner *Runner) evacuate(ctx context.Context) {
-	ticker := time.NewTicker(evacuateCheck)
+	ticker := time.NewTicker(evacuateInterval)
 	defer ticker.Stop()
 	for {
 		runner.awaitJob(ctx)
@@ -35,7 +36,7 @@
 		if runner.Log.Health.LostFor() < evacuateAfter || runner.OpenJobs() == 0 || runner.isStopping() {
 			continue
 		}
-		names := runner.servedPeers(ctx)
+		names := runner.peersReachingStore(ctx)
 		if len(names) == 0 {
 			continue
 		}
@@ -48,15 +49,15 @@
 	}
 }
 
-// servedPeers returns those of the candidates that the metadata store answers, the best first. All are asked at once. One may stop before it takes a
-// job: with the first alone to choose from, a job waited 2.7 s until the store answered its owner again (a third of the nodes refused while all were upgraded).
-func (runner *Runner) servedPeers(ctx context.Context) []string {
+// peersReachingStore returns the candidates that reach the metadata store, in order of preference. It returns more than one,
+// because a node may begin to stop before it takes a job.
+func (runner *Runner) peersReachingStore(ctx context.Context) []string {
 	names := runner.Peers.Candidates()
 	served := make([]bool, len(names))
 	var calls sync.WaitGroup
 	for index, name := range names {
 		calls.Go(func() {
-			served[index] = runner.callPeer(ctx, name, servedCall, func(ctx context.Context, client batchv1.Batches) (bool, error) {
+			served[index] = runner.callPeer(ctx, name, servedCallTimeout, func(ctx context.Context, client batchv1.Batches) (bool, error) {
 				response, err := client.Served(ctx, &batchv1.ServedRequest{})
 				return response.GetServed(), err
 			})
@@ -69,5 +70,5 @@
 			answered = append(answered, name)
 		}
 	}
-	return answered[:min(len(answered), evacuateTries)]
+	return answered[:min(len(answered), maxEvacuateTargets)]
 }
--- a/internal/batchrun/evacuate_test.go
+++ b/internal/batchrun/evacuate_test.go
@@ -14,11 +14,11 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata/memstore"
 )
 
-// A node that reaches neither the store nor other nodes refuses jobs at once, so that their callers go to nodes that do, and begins
-// nothing that it had not begun.
+// A node that reaches neither the store nor other nodes refuses jobs at once, so that callers try other nodes, and begins no
+// items.
 func TestCutOffNodeTakesNoJobs(t *testing.T) {
 	inWorld(t, 13, func(t *testing.T, world *world) {
-		time.Sleep(100 * time.Millisecond) // the first probe has succeeded
+		time.Sleep(100 * time.Millisecond) // until the first probe has succeeded
 		world.mu.Lock()
 		world.isolated["a"] = true
 		world.mu.Unlock()
@@ -30,7 +30,7 @@
 		err := world.node("a").Submit(t.Context(), newDefinition("late", 8, 1), jobRoute)
 		must.True(t, errors.Is(err, batchrun.ErrUnsure), must.Sprint(err))
 		must.Less(t, 10*time.Millisecond, time.Since(sent))
-		must.Eq(t, 0, world.engines.started(), must.Sprint("items began at a node that is cut off"))
+		must.Eq(t, 0, world.engines.started(), must.Sprint("items began at an isolated node"))
 		world.mu.Lock()
 		world.isolated["a"] = false
 		world.mu.Unlock()
@@ -40,14 +40,15 @@
 	})
 }
 
-// A job goes on at a node that the store answers when it refuses the job's owner: results are listed and the job can be ended.
+// A job moves to a node that reaches the store when its owner does not: results are listed, the job can be ended, and no item
+// starts from the beginning.
 func TestJobsLeaveANodeThatTheStoreRefuses(t *testing.T) {
 	inWorld(t, 15, func(t *testing.T, world *world) {
 		world.engines.mu.Lock()
-		world.engines.gaps["e1"], world.engines.gaps["e2"] = 2*usualGap, 2*usualGap
+		world.engines.gaps["e1"], world.engines.gaps["e2"] = 2*defaultGap, 2*defaultGap
 		world.engines.mu.Unlock()
 		definition := newDefinition(longJob, 4, 1)
-		definition.Items = append(definition.Items, newDefinition(middleItem, 2, 1).GetItems()...)
+		definition.Items = append(definition.Items, newDefinition(mediumItem, 2, 1).GetItems()...)
 		must.NoError(t, world.node("a").Submit(t.Context(), definition, jobRoute))
 		time.Sleep(900 * time.Millisecond)
 		world.refuse("a", true)
@@ -56,9 +57,9 @@
 		must.Eq(t, 0, world.node("a").OpenJobs())
 		for item, event := range world.engines.resumed {
 			if strings.HasPrefix(item, longJob) {
-				must.Positive(t, event, must.Sprint(item, " began anew"))
+				must.Positive(t, event, must.Sprint(item, " restarted from the beginning"))
 			} else {
-				must.Eq(t, 1, world.engines.starts[item], must.Sprint(item, " was whole, and was made again"))
+				must.Eq(t, 1, world.engines.starts[item], must.Sprint(item, " was complete, and ran again"))
 			}
 		}
 		must.NoError(t, world.node("c").End(t.Context(), noTenant, longJob))
@@ -68,41 +69,42 @@
 	})
 }
 
-// The node that was to take a job begins to stop before it does: another one that the store answers takes the job.
+// When the first node chosen for an evacuated job begins to stop, another node that reaches the store takes the job.
 func TestJobsLeaveForAnotherNodeThanOneThatStops(t *testing.T) {
 	for _, stopping := range []string{"b", "c"} {
 		inWorld(t, 35, func(t *testing.T, world *world) {
 			world.refusesTakeOver = stopping
-			must.NoError(t, world.node("a").Submit(t.Context(), newDefinition(middleItem, 6, 1), jobRoute))
+			must.NoError(t, world.node("a").Submit(t.Context(), newDefinition(mediumItem, 6, 1), jobRoute))
 			time.Sleep(300 * time.Millisecond)
 			world.refuse("a", true)
-			checkResults(t, await(t, world.node("b"), middleItem, 6, 5*time.Second), 1)
+			checkResults(t, await(t, world.node("b"), mediumItem, 6, 5*time.Second), 1)
 			world.refuse("a", false)
 		})
 	}
 }
 
-// A node that is giving a job away does not answer with what it had listed: the next owner may have listed more.
+// Guards against reads that lose results: a node that is handing a job over does not answer reads from its own list, because the
+// new owner may have listed more.
 func TestLeavingJobIsNotReadFromItsFormerOwner(t *testing.T) {
 	inWorld(t, 19, func(t *testing.T, world *world) {
 		world.takeOverDelay = 2 * time.Second
-		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition(middleItem, 6, 1), jobRoute))
+		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition(mediumItem, 6, 1), jobRoute))
 		time.Sleep(400 * time.Millisecond)
 		go world.node("a").HandOver(context.Background())
 		seen := 0
 		for range 60 {
 			time.Sleep(50 * time.Millisecond)
-			if results, err := readAll(t.Context(), world.node("b"), middleItem); err == nil {
+			if results, err := readAll(t.Context(), world.node("b"), mediumItem); err == nil {
 				seen = max(seen, len(results))
 			}
-			results, err := readAll(t.Context(), world.node("a"), middleItem)
+			results, err := readAll(t.Context(), world.node("a"), mediumItem)
 			must.True(t, err != nil || len(results) >= seen, must.Sprint(len(results), " results of ", seen))
 		}
 		must.Eq(t, 6, seen)
 	})
 }
 
-// A job stays where it runs when the store answers nobody.
+// A job stays at its owner when no node reaches the store.
 func TestJobsStayInAnOutage(t *testing.T) {
 	inWorld(t, 16, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition(longJob, 6, 1), jobRoute))
@@ -116,7 +118,7 @@
 	})
 }
 
-// The end of a job is made durable by the node that was asked for it when the store refuses the owner.
+// The node that receives the request makes the end of a job durable when the owner does not reach the store.
 func TestEndDoesNotWaitForAnOwnerThatTheStoreRefuses(t *testing.T) {
 	inWorld(t, 17, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition(longJob, 6, 1), jobRoute))
@@ -132,11 +134,11 @@
 	})
 }
 
-// A job that other nodes submit again to the node that runs it, or is about to accept it, is accepted once: a second acceptance would
-// void the first.
+// Guards against a second acceptance of a job that other nodes submit again to the node that runs or accepts it: a second
+// acceptance would void the first.
 func TestOneAcceptanceOfAJob(t *testing.T) {
 	inWorld(t, 22, func(t *testing.T, world *world) {
-		definition := newDefinition(middleItem, 6, 1)
+		definition := newDefinition(mediumItem, 6, 1)
 		caller := make(chan error, 1)
 		go func() { caller <- world.node("a").Submit(context.Background(), definition, jobRoute) }()
 		service := batchrun.Service{Runner: world.node("a")}
@@ -146,7 +148,7 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		must.NoError(t, <-caller)
-		checkResults(t, await(t, world.node("a"), middleItem, 6, 3*time.Second), 1)
+		checkResults(t, await(t, world.node("a"), mediumItem, 6, 3*time.Second), 1)
 		must.Eq(t, "", world.lineOf("ownership lost"))
 	})
 }
--- a/internal/batchrun/failing.go
+++ b/internal/batchrun/failing.go
@@ -3,48 +3,50 @@
 import "time"
 
 const (
-	// failuresMost is how many items in a row a replica answers with 500 before it is left alone: one item may be the cause itself.
-	failuresMost = 2
-	// failingPause is for how long it is left alone then, twice as long with each further failure, up to failingPauseMost: a replica that
-	// fails at once is always free, and drew 1,254 attempts in eight seconds otherwise, of which 501 items had all they may have.
-	failingPause     = 250 * time.Millisecond
-	failingPauseMost = 2 * time.Second
-	// trackedFailing bounds the replicas that are remembered, of which few fail.
-	trackedFailing = 4096
+	// failureThreshold is the number of consecutive 500 answers after which a replica gets no items for a while. A single
+	// failure may be caused by the item.
+	failureThreshold = 2
+	// failureBackoff is the first backoff, which doubles with each further failure up to maxFailureBackoff. Without it a replica
+	// that fails at once always has free slots, and draws items until these have used up their attempts.
+	failureBackoff    = 250 * time.Millisecond
+	maxFailureBackoff = 2 * time.Second
+	// maxTrackedFailures bounds the replicas whose failures are counted.
+	maxTrackedFailures = 4096
 )
 
-// pauseAfter returns for how long a replica is left alone after so many failures in a row; zero for not at all.
-func pauseAfter(failures int) time.Duration {
-	if failures < failuresMost {
+// backoffAfter returns the backoff after a number of consecutive failures; zero below the threshold.
+func backoffAfter(failures int) time.Duration {
+	if failures < failureThreshold {
 		return 0
 	}
-	pause := failingPause
-	for range failures - failuresMost {
-		if pause *= 2; pause >= failingPauseMost {
-			return failingPauseMost
+	backoff := failureBackoff
+	for range failures - failureThreshold {
+		if backoff *= 2; backoff >= maxFailureBackoff {
+			return maxFailureBackoff
 		}
 	}
-	return pause
+	return backoff
 }
 
-// failed notes that a replica answered an item with 500. After some in a row it gets no items for a pause, and one at a time after that.
-func (scheduler *scheduler) failed(replica string, now time.Time) {
+// recordFailure records that a replica answered an item with 500. From the threshold on, the replica gets no items during the
+// backoff, and then one at a time until one is accepted.
+func (scheduler *scheduler) recordFailure(replica string, now time.Time) {
 	scheduler.mu.Lock()
 	defer scheduler.mu.Unlock()
-	if len(scheduler.failures) > trackedFailing {
+	if len(scheduler.failures) > maxTrackedFailures {
 		clear(scheduler.failures)
 	}
 	scheduler.failures[replica]++
-	pause := pauseAfter(scheduler.failures[replica])
-	if pause == 0 {
+	backoff := backoffAfter(scheduler.failures[replica])
+	if backoff == 0 {
 		return
 	}
-	scheduler.refusals[replica] = &refusal{until: now.Add(pause)}
-	scheduler.runner.Logger.Warn("replica left alone", "replica", replica, "failures", scheduler.failures[replica], "pause_ms", pause.Milliseconds())
+	scheduler.refusals[replica] = &refusal{until: now.Add(backoff)}
+	scheduler.runner.Logger.Warn("replica backed off", "replica", replica, "failures", scheduler.failures[replica], "pause_ms", backoff.Milliseconds())
 }
 
-// succeeded notes that a replica has made an item whole.
-func (scheduler *scheduler) succeeded(replica string) {
+// recordSuccess records that a replica completed an item, which resets its failures.
+func (scheduler *scheduler) recordSuccess(replica string) {
 	scheduler.mu.Lock()
 	defer scheduler.mu.Unlock()
 	delete(scheduler.failures, replica)
--- a/internal/batchrun/failing_rules_test.go
+++ b/internal/batchrun/failing_rules_test.go
@@ -11,7 +11,7 @@
 	for failures, want := range []time.Duration{
 		0, 0, 250 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second, 2 * time.Second, 2 * time.Second,
 	} {
-		must.Eq(t, want, pauseAfter(failures), must.Sprint(failures, " failures"))
+		must.Eq(t, want, backoffAfter(failures), must.Sprint(failures, " failures"))
 	}
-	must.Eq(t, failingPauseMost, pauseAfter(1_000_000))
+	must.Eq(t, maxFailureBackoff, backoffAfter(1_000_000))
 }
--- a/internal/batchrun/failing_test.go
+++ b/internal/batchrun/failing_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// A replica that answers 500 at once is always free. It costs no item all its attempts, and gets few.
+// A replica that answers 500 at once always has free slots. It must get few items, and no item may use up its attempts there.
 func TestReplicaThatFailsAtOnce(t *testing.T) {
 	inWorld(t, 51, func(t *testing.T, world *world) {
 		world.engines.failing = map[string]func(string) bool{"e1": failAll}
@@ -16,13 +16,13 @@
 		results := await(t, world.node("a"), "job", 40, 10*time.Second)
 		checkResults(t, results, 1)
 		for _, result := range results {
-			must.False(t, result.GetTerminated(), must.Sprint(result.GetItemId(), " was given up"))
+			must.False(t, result.GetTerminated(), must.Sprint(result.GetItemId(), " was terminated"))
 		}
 		must.Less(t, 12, world.engines.failed)
 	})
 }
 
-// Once it makes items again, it gets as many as others.
+// A replica that has recovered gets its full share of the items again.
 func TestReplicaThatFailsNoMore(t *testing.T) {
 	inWorld(t, 52, func(t *testing.T, world *world) {
 		world.engines.failing = map[string]func(string) bool{"e1": failAll}
@@ -39,7 +39,7 @@
 	})
 }
 
-// A replica that fails some items again and again, and makes others, costs none all its attempts.
+// A replica that fails only some items must not use up all attempts of any of them.
 func TestItemThatOneReplicaFails(t *testing.T) {
 	for seed := uint64(53); seed < 63; seed++ {
 		inWorld(t, seed, func(t *testing.T, world *world) {
@@ -48,7 +48,7 @@
 			results := await(t, world.node("a"), "job", 40, 10*time.Second)
 			checkResults(t, results, 1)
 			for _, result := range results {
-				must.False(t, result.GetTerminated(), must.Sprint(result.GetItemId(), " was given up"))
+				must.False(t, result.GetTerminated(), must.Sprint(result.GetItemId(), " was terminated"))
 			}
 		})
 	}
--- a/internal/batchrun/flush.go
+++ b/internal/batchrun/flush.go
@@ -8,7 +8,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/batchlog"
 )
 
-// flushLoop makes results durable and then visible, until the job ends or is lost to another owner.
+// flushLoop appends results to the log and then makes them visible, until the job ends or its ownership is lost.
 func (runner *Runner) flushLoop(owned *job) {
 	defer close(owned.flushed)
 	for {
@@ -39,14 +39,15 @@
 	}
 }
 
-// write appends the pending results and saves texts that have grown, and reports whether this node still owns the job.
+// write appends pending results and grown texts to the log. It returns false if the flush loop must stop: the ownership is lost,
+// or the append was interrupted.
 func (runner *Runner) write(owned *job) bool {
-	results := owned.takePending()
-	texts := owned.unfinishedTexts(results)
+	results := owned.nextPage()
+	texts := owned.takeUnsaved(results)
 	started := time.Now()
 	err := runner.Log.Append(owned.ctx, owned.held, results, texts)
 	if err == nil {
-		owned.list(results)
+		owned.markListed(results)
 		owned.held.Settled()
 		if len(results) == 0 {
 			return true
@@ -61,7 +62,7 @@
 		return false
 	}
 	owned.mu.Lock()
-	owned.unsure = true
+	owned.logUncertain = true
 	owned.mu.Unlock()
 	return false
 }
--- a/internal/batchrun/generate.go
+++ b/internal/batchrun/generate.go
@@ -14,44 +14,45 @@
 	"github.com/thistlewalk/thistlewalk/internal/catalog"
 )
 
-// outcome says how one attempt at an item ended.
+// outcome is how an attempt at an item ended.
 type outcome int
 
 const (
-	outcomeWhole outcome = iota
+	outcomeComplete outcome = iota
 	outcomeBroken
 	outcomeRefused
-	outcomeFailed   // an answer of 500
-	outcomeRejected // an answer of 422
+	outcomeFailed   // status 500
+	outcomeRejected // status 422
 	outcomeStale    // the replica's weights are too old for the job
-	outcomeMixed    // the versions do not fit a route that allows one
-	outcomeMoved    // goes on at a faster replica
-	outcomeCut      // the job ended or left this node
-	outcomeHeld     // not sent, since replicas ended under the item
+	outcomeMixed    // the route requires a single version, and the versions differ
+	outcomeMoved    // the item resumes at a faster replica
+	outcomeCanceled // the job ended or left this node
+	outcomeHeld     // not sent: the request is held after crashes of replicas
 )
 
 var outcomeNames = [...]string{"whole", "broken", "refused", "failed", "rejected", "stale", "mixed", "moved", "cut", "held"}
 
-// String returns the name that logs use.
+// String returns the name used in logs and metrics.
 func (outcome outcome) String() string { return outcomeNames[outcome] }
 
 const (
 	pauseAfterFailure = 60 * time.Millisecond
 	pauseAfterRefusal = 15 * time.Millisecond
-	avoidFor          = 900 * time.Millisecond
-	// avoidFailed is how long an item avoids a replica that answered it with 500: whether the item or the replica is the cause is known only
-	// once another has tried.
-	avoidFailed = 2 * time.Second
-	// heldPause is the least time between two looks at whether an item may be sent under which replicas ended.
-	heldPause = 250 * time.Millisecond
-	// avoidStale is how long a replica is left alone that answers with older weights than it registered.
-	avoidStale = 250 * time.Millisecond
+	avoidAfterBreak   = 900 * time.Millisecond
+	// avoidAfterFailure is how long an item avoids a replica that answered it with 500. Only an attempt at another replica shows
+	// whether the item or the replica causes the failure.
+	avoidAfterFailure = 2 * time.Second
+	// pauseAfterHold is the minimum time before an item whose request is held is tried again.
+	pauseAfterHold = 250 * time.Millisecond
+	// avoidAfterStale is how long an item avoids a replica that answers with older weights than it registered, or with a version
+	// that the item cannot mix.
+	avoidAfterStale = 250 * time.Millisecond
 )
 
-// errStalled is the cause of an attempt's end when the replica was silent for too long.
+// errStalled is the cause of the cancellation of an attempt whose stream had no event within stallLimit.
 var errStalled = errors.New("the stream stalled")
 
-// runItem makes one attempt at an item and decides what follows.
+// runItem makes one attempt at an item and handles its outcome.
 func (runner *Runner) runItem(running *task, replica *catalog.Replica, route *catalog.Route) {
 	defer running.job.runs.Done()
 	started := time.Now()
@@ -72,29 +73,29 @@
 		runner.goOn(running, target, route)
 		return
 	}
-	runner.follow(running, replica, route, ended)
+	runner.handleOutcome(running, replica, route, ended)
 }
 
 func loadOutcome(ended outcome) backend.Outcome {
 	switch ended {
 	case outcomeBroken:
 		return backend.Failed
-	case outcomeCut, outcomeMoved, outcomeHeld:
+	case outcomeCanceled, outcomeMoved, outcomeHeld:
 		return backend.Unknown
 	default:
 		return backend.Served
 	}
 }
 
-// follow decides what an attempt's end means for the item.
-func (runner *Runner) follow(running *task, replica *catalog.Replica, route *catalog.Route, ended outcome) {
+// handleOutcome scores, terminates, keeps or reschedules an item after an attempt.
+func (runner *Runner) handleOutcome(running *task, replica *catalog.Replica, route *catalog.Route, ended outcome) {
 	now := time.Now()
 	switch ended {
-	case outcomeCut:
+	case outcomeCanceled:
 		runner.keep(running, false)
 		return
-	case outcomeWhole:
-		runner.scheduler.succeeded(replica.ID)
+	case outcomeComplete:
+		runner.scheduler.recordSuccess(replica.ID)
 		runner.scheduler.lengths.observe(running.item.GetLengthHint(), running.lastEvent)
 		runner.score(running)
 		return
@@ -107,54 +108,54 @@
 			return
 		}
 		running.notBefore = now.Add(pauseAfterFailure)
-		running.avoid, running.avoidUntil = replica.ID, now.Add(avoidFailed)
+		running.avoid, running.avoidUntil = replica.ID, now.Add(avoidAfterFailure)
 	case outcomeRefused:
 		running.notBefore = now.Add(pauseAfterRefusal)
 	case outcomeHeld:
-		running.notBefore = now.Add(heldPause)
+		running.notBefore = now.Add(pauseAfterHold)
 	case outcomeStale, outcomeMixed:
 		running.restart()
 		running.notBefore = now.Add(pauseAfterFailure)
-		running.avoid, running.avoidUntil = replica.ID, now.Add(avoidStale)
+		running.avoid, running.avoidUntil = replica.ID, now.Add(avoidAfterStale)
 	case outcomeBroken:
-		running.avoid, running.avoidUntil = replica.ID, now.Add(avoidFor)
+		running.avoid, running.avoidUntil = replica.ID, now.Add(avoidAfterBreak)
 	}
 	runner.scheduler.add(running)
 }
 
-// Reasons for which an item is given up, as logs name them.
+// Reasons for terminating an item, as logged.
 const (
-	reasonRejected = "rejected"      // a replica said that it can never be done
-	reasonFailed   = "failed"        // as many attempts failed as the route allows
-	reasonScorer   = "scorer_failed" // as many scoring calls failed as their route allows
+	reasonRejected = "rejected"      // a replica answered 422: no replica can complete the item
+	reasonFailed   = "failed"        // the route allows no more attempts
+	reasonScorer   = "scorer_failed" // the scoring route allows no more attempts
 )
 
-// terminate lists an item as given up.
+// terminate lists an item as terminated.
 func (runner *Runner) terminate(running *task, reason string) {
 	runner.Logger.Warn("item given up", "request", running.item.GetId(), "job", running.job.id(), "reason", reason, "failures", running.failures, "rejected", running.rejected)
 	running.job.finish(&batchv1.Result{ItemId: running.item.GetId(), Terminated: true})
 }
 
-// attempt sends an item to a replica and follows the stream.
+// attempt sends an item to a replica and reads the stream.
 func (runner *Runner) attempt(current *attempt, route *catalog.Route) (ended outcome, status int) {
 	running, replica := current.task, current.replica
 	if running.job.ctx.Err() != nil {
 		runner.scheduler.untried(replica.ID)
-		return outcomeCut, 0
+		return outcomeCanceled, 0
 	}
 	ctx, cancel := context.WithCancelCause(running.job.ctx)
 	defer cancel(nil)
 	runner.scheduler.cancelWith(current, cancel)
 	watchdog := time.AfterFunc(stallLimit, func() { cancel(errStalled) })
 	defer watchdog.Stop()
-	answer, err := runner.Sender.Send(ctx, replica, itemRequest(running, route))
+	answer, err := runner.Sender.Send(ctx, replica, newItemRequest(running, route))
 	switch {
 	case backend.IsHeld(err):
 		runner.scheduler.untried(replica.ID)
 		return outcomeHeld, 0
 	case err != nil:
 		runner.scheduler.took(replica.ID)
-		return interrupted(ctx, running), 0
+		return interruptedOutcome(ctx, running), 0
 	}
 	defer answer.Body.Close()
 	if answer.NotExecuted {
@@ -168,28 +169,28 @@
 		return outcomeRejected, answer.Status
 	case answer.Status == http.StatusInternalServerError:
 		running.failures++
-		runner.scheduler.failed(replica.ID, time.Now())
+		runner.scheduler.recordFailure(replica.ID, time.Now())
 		return outcomeFailed, answer.Status
 	case answer.Status >= http.StatusMultipleChoices:
 		return outcomeBroken, answer.Status
 	}
-	stream := &itemStream{runner: runner, attempt: current, task: running, replica: replica, route: route, version: answer.WeightVersion, last: time.Now()}
-	return stream.follow(ctx, runner.Decoder.Events(answer.Body), watchdog), answer.Status
+	stream := &itemStream{runner: runner, attempt: current, task: running, replica: replica, route: route, version: answer.WeightVersion, lastEventAt: time.Now()}
+	return stream.consume(ctx, runner.Decoder.Events(answer.Body), watchdog), answer.Status
 }
 
-// interrupted says why an attempt ended that got no whole answer; ctx is the attempt's.
-func interrupted(ctx context.Context, running *task) outcome {
+// interruptedOutcome returns the outcome of an attempt without a complete answer; ctx is the context of the attempt.
+func interruptedOutcome(ctx context.Context, running *task) outcome {
 	switch {
 	case running.job.ctx.Err() != nil:
-		return outcomeCut
+		return outcomeCanceled
 	case errors.Is(context.Cause(ctx), errMoved):
 		return outcomeMoved
 	}
 	return outcomeBroken
 }
 
-// itemRequest is the request of an item, from where its text ends.
-func itemRequest(running *task, route *catalog.Route) *backend.Request {
+// newItemRequest returns the request for the rest of an item, after its last event.
+func newItemRequest(running *task, route *catalog.Route) *backend.Request {
 	header := make(http.Header, len(running.item.GetHeaders()))
 	for _, entry := range running.item.GetHeaders() {
 		header.Add(entry.GetName(), entry.GetValue())
@@ -201,20 +202,20 @@
 	}
 }
 
-// itemStream is the stream of one attempt.
+// itemStream reads the stream of one attempt.
 type itemStream struct {
-	runner  *Runner
-	attempt *attempt
-	task    *task
-	replica *catalog.Replica
-	route   *catalog.Route
-	version int64
-	last    time.Time
-	events  int
+	runner      *Runner
+	attempt     *attempt
+	task        *task
+	replica     *catalog.Replica
+	route       *catalog.Route
+	version     int64
+	lastEventAt time.Time
+	events      int
 }
 
-// follow takes events until the stream ends.
-func (stream *itemStream) follow(ctx context.Context, events EventReader, watchdog *time.Timer) outcome {
+// consume appends events to the text until the stream ends.
+func (stream *itemStream) consume(ctx context.Context, events EventReader, watchdog *time.Timer) outcome {
 	stream.runner.scheduler.suitable.observe(stream.replica.ID, stream.task.item.GetModel(), stream.version)
 	if ended, wrong := stream.checkVersion(); wrong {
 		return ended
@@ -223,19 +224,19 @@
 		event, err := events.Next()
 		switch {
 		case errors.Is(err, io.EOF) && stream.task.lastEvent > 0:
-			return outcomeWhole
+			return outcomeComplete
 		case err != nil:
-			return interrupted(ctx, stream.task)
+			return interruptedOutcome(ctx, stream.task)
 		}
 		watchdog.Reset(stallLimit)
-		if ended, over := stream.take(event); over {
+		if ended, over := stream.appendEvent(event); over {
 			return ended
 		}
 	}
 }
 
-// take adds an event to the text; over says that the attempt is to end here.
-func (stream *itemStream) take(event Event) (ended outcome, over bool) {
+// appendEvent adds an event to the text of the item; over is true if the attempt must end.
+func (stream *itemStream) appendEvent(event Event) (ended outcome, over bool) {
 	task := stream.task
 	if event.Version > 0 && event.Version != stream.version {
 		stream.version = event.Version
@@ -255,12 +256,12 @@
 	if stream.version > 0 && !slices.Contains(task.versions, stream.version) {
 		task.versions = append(task.versions, stream.version)
 	}
-	task.offerGrowing()
-	stream.watchPace()
+	task.queueSave()
+	stream.recordGap()
 	return 0, false
 }
 
-// checkVersion reports an attempt whose weights do not fit the job.
+// checkVersion reports whether the weights of the replica do not fit the job, and the outcome for that case.
 func (stream *itemStream) checkVersion() (ended outcome, wrong bool) {
 	if stream.version > 0 && stream.version < stream.task.job.definition.GetMinimumVersion() {
 		return outcomeStale, true
@@ -272,11 +273,11 @@
 	return 0, false
 }
 
-// watchPace notes the time of the event.
-func (stream *itemStream) watchPace() {
+// recordGap records the time since the previous event, from which the speed of the replica is measured.
+func (stream *itemStream) recordGap() {
 	now := time.Now()
-	gap := now.Sub(stream.last)
-	stream.last = now
+	gap := now.Sub(stream.lastEventAt)
+	stream.lastEventAt = now
 	stream.events++
 	stream.attempt.made.Store(stream.task.lastEvent)
 	if stream.events > 1 {
--- a/internal/batchrun/history_test.go
+++ b/internal/batchrun/history_test.go
@@ -13,32 +13,32 @@
 
 const historyItems = 12
 
-// recorder is a testing.TB that keeps the first failure instead of ending the test, and ends the history by a panic.
-type recorder struct {
+// failureRecorder is a testing.TB that keeps the failure and aborts the history by a panic, without ending the test.
+type failureRecorder struct {
 	testing.TB
 	failure string
 }
 
-type historyOver struct{}
+type historyAborted struct{}
 
-func (recorder *recorder) Helper() {}
+func (recorder *failureRecorder) Helper() {}
 
-func (recorder *recorder) Fatalf(format string, arguments ...any) {
+func (recorder *failureRecorder) Fatalf(format string, arguments ...any) {
 	recorder.failure = fmt.Sprintf(format, arguments...)
-	panic(historyOver{})
+	panic(historyAborted{})
 }
 
-// history is what callers saw of each job.
+// history records what callers observed of each job.
 type history struct {
 	world    *world
-	recorder *recorder
+	recorder *failureRecorder
 	accepted map[string]bool
 	ended    map[string]bool
 	seen     map[string][]*batchv1.Result
 	jobs     int
 }
 
-// preference says whether nodes leave jobs to a preferred one, and how much they agree on which.
+// preference selects whether nodes delegate jobs to a preferred node, and whether they agree on it.
 type preference int
 
 const (
@@ -57,16 +57,16 @@
 	}
 }
 
-// runHistory plays events in modelled time and returns what was wrong; empty if nothing was.
+// runHistory plays events in simulated time. It returns the failure, or an empty string.
 func runHistory(t *testing.T, seed uint64, events, picks []int, preferred preference) string {
-	recorder := &recorder{TB: t}
+	recorder := &failureRecorder{TB: t}
 	synctest.Test(t, func(t *testing.T) {
 		world := newWorld(seed)
 		preferred.apply(world)
 		world.engines.breakShare, world.engines.refuseShare, world.engines.failShare = 0.03, 0.05, 0.01
 		played := &history{world: world, recorder: recorder, accepted: make(map[string]bool), ended: make(map[string]bool), seen: make(map[string][]*batchv1.Result)}
 		defer func() {
-			if over := recover(); over != nil && over != (historyOver{}) {
+			if over := recover(); over != nil && over != (historyAborted{}) {
 				panic(over)
 			}
 			world.store.SetFaults(memstore.Faults{})
@@ -79,9 +79,9 @@
 		}
 		for step, event := range events {
 			played.play(event, []string{"a", "b", "c"}[picks[step]])
-			played.look()
+			played.readAllNodes()
 		}
-		played.finish()
+		played.awaitCompletion()
 	})
 	return recorder.failure
 }
@@ -116,10 +116,10 @@
 	}
 }
 
-// historyEvents is how many kinds of events play knows.
+// historyEvents is the number of kinds of events that play knows.
 const historyEvents = 11
 
-// end ends the newest job; it need not become whole any more, and what was listed stays.
+// end ends the newest job. The job need not complete then, but what was listed stays.
 func (history *history) end(name string) {
 	runner, id := history.world.node(name), fmt.Sprint("job-", history.jobs-1)
 	if runner == nil || !history.accepted[id] {
@@ -132,7 +132,8 @@
 	}
 }
 
-// isEnded reports whether a job has ended: acknowledged, or in the log although the caller was told that this was not sure.
+// isEnded reports whether the end of a job was acknowledged or is in the log: the call may have failed although the end was
+// written.
 func (history *history) isEnded(id string) bool {
 	if history.ended[id] {
 		return true
@@ -156,13 +157,14 @@
 	time.Sleep(150 * time.Millisecond)
 }
 
-// kill ends a node; a live one takes over, as the failure detector would have it, and the node comes back empty.
+// kill stops a node without notice. A live node takes over its jobs, as it does when the failure detector declares a node dead,
+// and the node restarts without state.
 func (history *history) kill(name string) {
 	life := history.world.kill(name)
 	time.Sleep(1300 * time.Millisecond)
 	for _, other := range []string{"a", "b", "c"} {
 		if runner := history.world.node(other); runner != nil && other != name {
-			if runner.TakeOverNode(context.Background(), name, life) == nil { // the node itself takes up what is left
+			if runner.TakeOverNode(context.Background(), name, life) == nil { // otherwise the node resumes its jobs itself
 				history.world.forget(name)
 			}
 			break
@@ -171,7 +173,7 @@
 	history.world.start(name)
 }
 
-// stop ends a node as planned and starts it again.
+// stop stops a node with a handover and restarts it.
 func (history *history) stop(name string) {
 	runner := history.world.node(name)
 	if runner == nil {
@@ -186,8 +188,8 @@
 	history.world.start(name)
 }
 
-// look reads every accepted job at every node.
-func (history *history) look() {
+// readAllNodes reads every accepted job at every node and checks the results against earlier ones.
+func (history *history) readAllNodes() {
 	for id := range history.accepted {
 		for _, name := range []string{"a", "b", "c"} {
 			runner := history.world.node(name)
@@ -196,11 +198,11 @@
 			}
 			results, err := readAll(context.Background(), runner, id)
 			if err != nil {
-				continue // a node that is not sure may say so
+				continue // a node may fail a read
 			}
 			checkResults(history.recorder, results, 1)
 			if len(results) < len(history.seen[id]) {
-				history.recorder.Fatalf("%s at %s shows %d results, %d were seen", id, name, len(results), len(history.seen[id]))
+				history.recorder.Fatalf("%s at %s has %d results, %d were read before", id, name, len(results), len(history.seen[id]))
 			}
 			checkPrefix(history.recorder, history.seen[id], results)
 			history.seen[id] = results
@@ -208,16 +210,16 @@
 	}
 }
 
-// finish waits until every accepted job is whole.
-func (history *history) finish() {
+// awaitCompletion waits until every accepted job is complete or ended.
+func (history *history) awaitCompletion() {
 	history.world.store.SetFaults(memstore.Faults{})
 	for _, name := range []string{"a", "b", "c"} {
 		history.world.refuse(name, false)
 	}
 	for range 40 {
 		time.Sleep(500 * time.Millisecond)
-		history.look()
-		if history.whole() {
+		history.readAllNodes()
+		if history.isComplete() {
 			return
 		}
 	}
@@ -228,7 +230,7 @@
 	}
 }
 
-func (history *history) whole() bool {
+func (history *history) isComplete() bool {
 	for id := range history.accepted {
 		if !history.isEnded(id) && len(history.seen[id]) < historyItems {
 			return false
--- a/internal/batchrun/job.go
+++ b/internal/batchrun/job.go
@@ -11,47 +11,48 @@
 	"github.com/thistlewalk/thistlewalk/internal/batchlog"
 )
 
-// job is a job that this node runs.
+// job is a job that this node runs or is accepting.
 type job struct {
 	definition *batchv1.Job
-	// foreign says that the job was not accepted since another tenant's has its identifier.
-	foreign   atomic.Bool
-	items     map[string]*batchv1.Item
-	due       time.Time
-	usualWork float64 // expected output of an item in tokens, on average
-	ctx       context.Context
-	cancel    context.CancelFunc
-	// accepted is closed once the job is durable, or known to be owned elsewhere.
+	// foreign is true if the job is not accepted because a job of another tenant has its identifier.
+	foreign    atomic.Bool
+	items      map[string]*batchv1.Item
+	due        time.Time
+	meanTokens float64 // expected output of an item in tokens, on average
+	ctx        context.Context
+	cancel     context.CancelFunc
+	// accepted is closed once the job is durable or known to be owned elsewhere.
 	accepted chan struct{}
-	// deferral is what another node does about the job until then.
-	deferral deferral
+	// delegation is used until the job is accepted.
+	delegation delegation
 
 	mu        sync.Mutex
-	held      *batchlog.Hold // nil until accepted; used by the flush loop only afterwards
+	held      *batchlog.Hold // nil until this node owns the job
 	elsewhere bool           // accepted, but another node owns it or it has ended
 	progress  *batch.Progress
 	tasks     map[string]*task
 	listed    []*batchv1.Result
 	pending   []*batchv1.Result
-	growing   map[string]*batchv1.Partial // texts to be backed up, by item
-	// unfinished are the texts to be saved in the log, unlogged since when any has grown; zero if none has since they last were.
-	unfinished map[string]*batchv1.Partial
-	unlogged   time.Time
-	since      time.Time // when the oldest pending result was finished
-	written    time.Time // when results were last made durable
-	begun      bool
-	started    time.Time // when the items were put in line
-	enough     time.Time // when as many groups were whole as the trainer waits for; zero before
-	ending     bool
-	leaving    bool          // given to another node, which may have listed more already
-	changed    chan struct{} // closed at each change that a reader may wait for
-	flush      chan struct{}
-	flushed    chan struct{} // closed when the flush loop is over
-	unsure     bool          // an append was cut: the log may hold more than listed
-	runs       sync.WaitGroup
+	grown     map[string]*batchv1.Partial // texts to back up, by item
+	// unfinished holds the texts to save in the log, by item. unsavedSince is when the first of them grew after the last save;
+	// zero if none has.
+	unfinished       map[string]*batchv1.Partial
+	unsavedSince     time.Time
+	pendingSince     time.Time // when the oldest pending result was finished
+	lastAppend       time.Time // when results were last made durable
+	itemsQueued      bool
+	itemsQueuedAt    time.Time // when the items were added to the scheduler
+	wantedCompleteAt time.Time // when the groups that the trainer waits for were complete; zero before
+	ending           bool
+	leaving          bool          // being handed over to another node, which may have listed more results
+	changed          chan struct{} // closed and replaced at each change that a reader may wait for
+	flush            chan struct{}
+	flushed          chan struct{} // closed when the flush loop has ended
+	logUncertain     bool          // an append was interrupted: the log may hold more than listed
+	runs             sync.WaitGroup
 }
 
-// defaultObjective is used when the route does not say when a job is due.
+// defaultObjective is the time in which a job is due if its route sets none.
 const defaultObjective = 10 * time.Second
 
 func newJob(parent context.Context, definition *batchv1.Job, objective time.Duration) *job {
@@ -61,27 +62,27 @@
 	}
 	created := &job{
 		definition: definition, items: make(map[string]*batchv1.Item, len(definition.GetItems())), due: time.Now().Add(objective),
-		ctx: ctx, cancel: cancel, accepted: make(chan struct{}), deferral: deferral{heard: make(chan struct{}, 1)}, progress: batch.NewProgress(definition), tasks: make(map[string]*task),
-		growing: make(map[string]*batchv1.Partial), unfinished: make(map[string]*batchv1.Partial), changed: make(chan struct{}), flush: make(chan struct{}, 1), flushed: make(chan struct{}),
+		ctx: ctx, cancel: cancel, accepted: make(chan struct{}), delegation: delegation{announced: make(chan struct{}, 1)}, progress: batch.NewProgress(definition), tasks: make(map[string]*task),
+		grown: make(map[string]*batchv1.Partial), unfinished: make(map[string]*batchv1.Partial), changed: make(chan struct{}), flush: make(chan struct{}, 1), flushed: make(chan struct{}),
 	}
 	for _, item := range definition.GetItems() {
 		created.items[item.GetId()] = item
 	}
-	created.usualWork = float64(batch.ExpectedOutput(definition)) / float64(max(1, len(definition.GetItems())))
+	created.meanTokens = float64(batch.ExpectedOutput(definition)) / float64(max(1, len(definition.GetItems())))
 	return created
 }
 
-// relativeLength returns how many times the usual an item of the job is expected to make.
+// relativeLength returns the ratio of a number of tokens to the expected output of an average item of the job.
 func (owned *job) relativeLength(tokens int64) float64 {
-	if owned.usualWork <= 0 {
+	if owned.meanTokens <= 0 {
 		return 1
 	}
-	return float64(tokens) / owned.usualWork
+	return float64(tokens) / owned.meanTokens
 }
 
 func (owned *job) id() string { return owned.definition.GetId() }
 
-// isAccepted reports whether the job is durable with this node as its owner.
+// isAccepted reports whether the job is durable and this node owns it.
 func (owned *job) isAccepted() bool {
 	select {
 	case <-owned.accepted:
@@ -91,8 +92,8 @@
 	}
 }
 
-// leave notes that the job is being given to another node.
-func (owned *job) leave() {
+// markLeaving records that the job is being handed over.
+func (owned *job) markLeaving() {
 	owned.mu.Lock()
 	defer owned.mu.Unlock()
 	owned.leaving = true
@@ -110,13 +111,13 @@
 	return owned.ending
 }
 
-// announce must be called with mu held.
-func (owned *job) announce() {
+// notifyReaders wakes the readers that wait for a change. It must be called with mu held.
+func (owned *job) notifyReaders() {
 	close(owned.changed)
 	owned.changed = make(chan struct{})
 }
 
-// finish takes a result, which becomes visible once it is durable.
+// finish queues the result of an item. The result becomes visible once it is durable.
 func (owned *job) finish(result *batchv1.Result) {
 	owned.mu.Lock()
 	defer owned.mu.Unlock()
@@ -124,10 +125,10 @@
 		return
 	}
 	if len(owned.pending) == 0 {
-		owned.since = time.Now()
+		owned.pendingSince = time.Now()
 	}
-	if owned.enough.IsZero() && owned.progress.WantedComplete() {
-		owned.enough = time.Now()
+	if owned.wantedCompleteAt.IsZero() && owned.progress.WantedComplete() {
+		owned.wantedCompleteAt = time.Now()
 	}
 	owned.pending = append(owned.pending, result)
 	delete(owned.tasks, result.GetItemId())
@@ -137,7 +138,7 @@
 	}
 }
 
-// nextFlush returns how long the flush loop waits; ok is false when there is nothing to write.
+// nextFlush returns how long the flush loop waits before the next write; ok is false if there is nothing to write.
 func (owned *job) nextFlush(policy batch.FlushPolicy) (delay time.Duration, ok bool) {
 	owned.mu.Lock()
 	defer owned.mu.Unlock()
@@ -145,12 +146,12 @@
 		return 0, false
 	}
 	now := time.Now()
-	saving, listing := !owned.unlogged.IsZero(), len(owned.pending) > 0
+	saving, listing := !owned.unsavedSince.IsZero(), len(owned.pending) > 0
 	if saving {
-		delay = max(0, owned.written.Add(saveInterval).Sub(now), owned.unlogged.Add(saveGather).Sub(now))
+		delay = max(0, owned.lastAppend.Add(saveInterval).Sub(now), owned.unsavedSince.Add(saveBatchDelay).Sub(now))
 	}
 	if listing {
-		wait := policy.Delay(owned.progress, now, owned.since, owned.written)
+		wait := policy.Delay(owned.progress, now, owned.pendingSince, owned.lastAppend)
 		if !saving || wait < delay {
 			delay = wait
 		}
@@ -158,8 +159,8 @@
 	return delay, saving || listing
 }
 
-// takePending returns the results to write next.
-func (owned *job) takePending() []*batchv1.Result {
+// nextPage returns the pending results to append in one write.
+func (owned *job) nextPage() []*batchv1.Result {
 	owned.mu.Lock()
 	defer owned.mu.Unlock()
 	size := 0
@@ -179,13 +180,13 @@
 	resultOverhead = 128
 )
 
-// list makes written results visible.
-func (owned *job) list(results []*batchv1.Result) {
+// markListed makes appended results visible to readers.
+func (owned *job) markListed(results []*batchv1.Result) {
 	owned.mu.Lock()
 	defer owned.mu.Unlock()
 	owned.listed = append(owned.listed, results...)
 	owned.pending = owned.pending[len(results):]
-	owned.written = time.Now()
-	owned.since = owned.written
-	owned.announce()
+	owned.lastAppend = time.Now()
+	owned.pendingSince = owned.lastAppend
+	owned.notifyReaders()
 }
--- a/internal/batchrun/move_test.go
+++ b/internal/batchrun/move_test.go
@@ -12,22 +12,22 @@
 	inWorld(t, 14, func(t *testing.T, world *world) {
 		definition := newDefinition("first", 8, 1)
 		for _, item := range definition.GetItems() {
-			item.LengthHint = 10 * eventsOf(item.GetId())
+			item.LengthHint = 10 * eventCount(item.GetId())
 		}
 		must.NoError(t, world.node("a").Submit(t.Context(), definition, jobRoute))
 		await(t, world.node("a"), "first", 8, 3*time.Second)
-		const slowGap = 6 * usualGap
+		const slowGap = 6 * defaultGap
 		world.engines.mu.Lock()
 		world.engines.gaps["e1"] = slowGap
 		world.engines.mu.Unlock()
 		definition = newDefinition("middle", 6, 1)
 		for _, item := range definition.GetItems() {
-			item.LengthHint = 10 * middleEvents
+			item.LengthHint = 10 * mediumEvents
 		}
 		began := time.Now()
 		must.NoError(t, world.node("a").Submit(t.Context(), definition, jobRoute))
 		results := await(t, world.node("a"), "middle", 6, 10*time.Second)
-		must.Less(t, middleEvents*slowGap*2/3, time.Since(began))
+		must.Less(t, mediumEvents*slowGap*2/3, time.Since(began))
 		checkResults(t, results, 1)
 	})
 }
--- a/internal/batchrun/read.go
+++ b/internal/batchrun/read.go
@@ -84,7 +84,7 @@
 		page, served, err = known, true, nil
 	}
 	if served {
-		runner.copies.answered(id, from, from+len(page.Results))
+		runner.copies.recordRead(id, from, from+len(page.Results))
 	}
 	return page, served, err
 }
@@ -165,7 +165,7 @@
 		return true, nil
 	}
 	runner.forgetOwner(id)
-	if runner.askDirectory(ctx, id, callNamed) {
+	if runner.callThroughDirectory(ctx, id, callNamed) {
 		return true, nil
 	}
 	if !runner.Log.Health.Good() {
@@ -213,7 +213,7 @@
 	}
 	runner.RememberTenant(id, record.Job.GetTenant())
 	if record.Ended {
-		runner.ended.put(&endedJob{id: id, total: len(record.Job.GetItems()), results: record.Results, read: true})
+		runner.ended.put(&endedJob{id: id, total: len(record.Job.GetItems()), results: record.Results, fromLog: true})
 	}
 	return record, nil
 }
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -105,7 +105,7 @@
 	owners   map[string]string // owner by job, as last seen; a hint only
 	tenants  map[string]string // tenant by job, which never changes
 	kept     *keptItems
-	copies   *copies
+	copies   *resultCache
 	claiming map[string]bool // jobs that this node is taking up
 	lastJob  time.Time       // when a job ran here last
 	begins   chan struct{}   // closed when the next job begins to run here; nil while nobody waits for that
@@ -123,7 +123,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	runner := &Runner{
 		Options: options, ctx: ctx, cancel: cancel, scoring: make(chan struct{}, scoringInFlight),
-		jobs: make(map[string]*job), ended: newEndedCache(), owners: make(map[string]string), tenants: make(map[string]string), kept: newKeptItems(), copies: newCopies(), claiming: make(map[string]bool),
+		jobs: make(map[string]*job), ended: newEndedCache(), owners: make(map[string]string), tenants: make(map[string]string), kept: newKeptItems(), copies: newResultCache(), claiming: make(map[string]bool),
 		sweeps: newSweeps(),
 	}
 	runner.scheduler = newScheduler(runner)
@@ -157,7 +157,7 @@
 	}
 	runner.owners[id] = node
 	if waiting := runner.jobs[id]; waiting != nil && node != runner.Node {
-		waiting.deferral.hear()
+		waiting.delegation.notifyAnnounced()
 	}
 }
 
--- a/internal/batchrun/runner_test.go
+++ b/internal/batchrun/runner_test.go
@@ -123,7 +123,7 @@
 func TestGrowingTextsOutliveAllNodes(t *testing.T) {
 	inWorld(t, 12, func(t *testing.T, world *world) {
 		definition := newDefinition(longJob, 4, 1)
-		definition.Items = append(definition.Items, newDefinition(middleItem, 2, 1).GetItems()...)
+		definition.Items = append(definition.Items, newDefinition(mediumItem, 2, 1).GetItems()...)
 		must.NoError(t, world.node("a").Submit(t.Context(), definition, jobRoute))
 		time.Sleep(1300 * time.Millisecond)
 		for _, name := range []string{"b", "c", "a"} {
@@ -316,7 +316,7 @@
 func TestGrowingTextsAreSavedEachSecond(t *testing.T) {
 	inWorld(t, 20, func(t *testing.T, world *world) {
 		world.engines.mu.Lock()
-		world.engines.gaps["e1"], world.engines.gaps["e2"] = 2*usualGap, 2*usualGap
+		world.engines.gaps["e1"], world.engines.gaps["e2"] = 2*defaultGap, 2*defaultGap
 		world.engines.mu.Unlock()
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition(longJob, 4, 1), jobRoute))
 		time.Sleep(3 * time.Second)
--- a/internal/batchrun/score.go
+++ b/internal/batchrun/score.go
@@ -53,7 +53,7 @@
 		if !held {
 			return stamp, given
 		}
-		wait.Pause(done.job.ctx, heldPause)
+		wait.Pause(done.job.ctx, pauseAfterHold)
 	}
 }
 
--- a/internal/batchrun/service.go
+++ b/internal/batchrun/service.go
@@ -37,7 +37,7 @@
 		if !batch.MayUse(definition.GetTenant(), other.definition.GetTenant()) {
 			return nil, twirp.WrapError(twirp.NewError(twirp.AlreadyExists, "not accepted"), errForeign)
 		}
-		other.deferral.takeBack()
+		other.delegation.reclaim()
 		return other.awaitAccepted(ctx)
 	}
 	held, settled, err := runner.tryAccept(owned.ctx, owned)
@@ -107,7 +107,7 @@
 	if owned == nil || !owned.isAccepted() {
 		return &batchv1.EndResponse{}, nil
 	}
-	if err := service.Runner.endHere(ctx, owned); err != nil {
+	if err := service.Runner.endLocally(ctx, owned); err != nil {
 		return nil, twirp.WrapError(twirp.NewError(twirp.Unavailable, "the end is not durable yet"), err)
 	}
 	return &batchv1.EndResponse{Owned: true}, nil
@@ -146,7 +146,7 @@
 	if runner.isStopping() || !runner.Log.Health.Good() {
 		return &batchv1.ServedResponse{}, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, servedLimit)
+	ctx, cancel := context.WithTimeout(ctx, servedProbeTimeout)
 	defer cancel()
 	return &batchv1.ServedResponse{Served: runner.Log.Store.Probe(ctx) == nil}, nil
 }
--- a/internal/batchrun/spent.go
+++ b/internal/batchrun/spent.go
@@ -22,11 +22,11 @@
 	owned.mu.Lock()
 	defer owned.mu.Unlock()
 	spent := spending{}
-	if !owned.started.IsZero() {
-		spent.here = time.Since(owned.started)
+	if !owned.itemsQueuedAt.IsZero() {
+		spent.here = time.Since(owned.itemsQueuedAt)
 	}
-	if !owned.enough.IsZero() {
-		spent.enough = owned.enough.Sub(owned.started)
+	if !owned.wantedCompleteAt.IsZero() {
+		spent.enough = owned.wantedCompleteAt.Sub(owned.itemsQueuedAt)
 	}
 	for _, result := range owned.listed {
 		if len(result.GetText()) == 0 {
--- a/internal/batchrun/submit.go
+++ b/internal/batchrun/submit.go
@@ -125,14 +125,14 @@
 
 // relayToServed has a node that the metadata store answers accept a job that runs here, and reports whether one has.
 func (runner *Runner) relayToServed(ctx context.Context, owned *job) bool {
-	names := runner.servedPeers(ctx)
+	names := runner.peersReachingStore(ctx)
 	return len(names) > 0 && runner.relayTo(ctx, names[0], owned.submission())
 }
 
 // submission is the request to accept the job elsewhere, with what was made of it here: items would be made anew otherwise, and be late.
 // What running items made since they were last saved is not in it.
 func (owned *job) submission() *batchv1.SubmitRequest {
-	return &batchv1.SubmitRequest{Job: owned.definition, Partials: append(owned.unlisted(), owned.growingTexts()...)}
+	return &batchv1.SubmitRequest{Job: owned.definition, Partials: append(owned.pendingTexts(), owned.runningTexts()...)}
 }
 
 // relayTo has a node accept a job, and reports whether it has.
@@ -168,13 +168,13 @@
 	go runner.beginEarly(owned)
 	ctx, settled := context.WithCancel(owned.ctx)
 	defer settled()
-	go runner.heed(ctx, settled, owned)
+	go runner.watchAnnouncements(ctx, settled, owned)
 	for tries := 1; owned.ctx.Err() == nil && time.Since(started) < acceptLimit; tries++ {
-		if owned.deferral.done.Load() {
+		if owned.delegation.acceptedElsewhere.Load() {
 			runner.settleAccept(owned, nil, started, tries)
 			return
 		}
-		if owned.deferral.taken.Load() {
+		if owned.delegation.delegated.Load() {
 			wait.Pause(ctx, acceptPause)
 			continue
 		}
@@ -309,12 +309,12 @@
 // begin puts the items of a job in line, once.
 func (runner *Runner) begin(owned *job) {
 	owned.mu.Lock()
-	if owned.begun || owned.ending || owned.ctx.Err() != nil {
+	if owned.itemsQueued || owned.ending || owned.ctx.Err() != nil {
 		owned.mu.Unlock()
 		return
 	}
-	owned.begun = true
-	owned.started = time.Now()
+	owned.itemsQueued = true
+	owned.itemsQueuedAt = time.Now()
 	var tasks []*task
 	var whole []*task
 	for _, item := range owned.definition.GetItems() {
--- a/internal/batchrun/takeover.go
+++ b/internal/batchrun/takeover.go
@@ -70,7 +70,7 @@
 		return err
 	}
 	now := time.Now()
-	for _, partial := range slices.Concat(record.Unfinished, runner.fetchKept(ctx, id), partials) {
+	for _, partial := range slices.Concat(record.Unfinished, runner.fetchBackups(ctx, id), partials) {
 		runner.kept.put(partial.GetItemId(), textOf(id, record.Job.GetTenant(), partial, now))
 	}
 	runner.Metrics.Job("taken_over")
@@ -188,7 +188,7 @@
 // passOn has the node that is left the job next keep what was made of a job that an outage of the metadata store keeps from being accepted:
 // callers submit it again, and it goes on from there.
 func (runner *Runner) passOn(ctx context.Context, owned *job) {
-	owned.leave()
+	owned.markLeaving()
 	owned.cancel()
 	runner.scheduler.drop(owned)
 	owned.runs.Wait()
@@ -207,7 +207,7 @@
 
 // handOver gives a job to the first of some nodes that takes it.
 func (runner *Runner) handOver(ctx context.Context, owned *job, names []string) (taken bool) {
-	owned.leave()
+	owned.markLeaving()
 	owned.cancel()
 	<-owned.flushed
 	runner.scheduler.drop(owned)
@@ -240,7 +240,7 @@
 
 // partials are the texts of a job's unfinished items and of those that are not listed, once nothing of the job runs here any more.
 func (runner *Runner) partials(owned *job) []*batchv1.Partial {
-	list := owned.unlisted()
+	list := owned.pendingTexts()
 	for _, item := range owned.definition.GetItems() {
 		kept := runner.kept.take(owned, item.GetId())
 		if kept == nil || kept.lastEvent == 0 {
--- a/internal/batchrun/world_test.go
+++ b/internal/batchrun/world_test.go
@@ -99,7 +99,7 @@
 	store := nodeStore{Store: world.store, world: world, node: name}
 	health := metadata.NewHealth(store, log.New(io.Discard))
 	runner := batchrun.New(batchrun.Options{
-		Node: name, Life: world.lives, Catalog: world.catalog, Loads: backend.NewLoads(), Sender: world.engines, Decoder: lines{},
+		Node: name, Life: world.lives, Catalog: world.catalog, Loads: backend.NewLoads(), Sender: world.engines, Decoder: lineDecoder{},
 		Log: &batchlog.Log{Store: store, Health: health, Node: name, Life: world.lives}, Peers: &worldPeers{world, name}, Logger: log.New(&world.lines),
 		Flush: batch.FlushPolicy{Spacing: 50 * time.Millisecond, Longest: 200 * time.Millisecond},
 	})
@@ -270,7 +270,7 @@
 		if result.GetTerminated() {
 			continue
 		}
-		if string(result.GetText()) != wholeText(result.GetItemId()) {
+		if string(result.GetText()) != expectedText(result.GetItemId()) {
 			t.Fatalf("%s has the text %q", result.GetItemId(), result.GetText())
 		}
 		if result.GetScore() != "score of s"+result.GetItemId() {
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -60,17 +60,17 @@
 mutate 'key denied by a node that is behind' platform/ingress.go 'if !ingress.UpToDate() {' 'if ingress.UpToDate == nil {' ./platform
 mutate 'behind though told of a newer version' internal/dissemination/subscriber.go 'if _, lacks := subscriber.lacks(topic, now); lacks && topic.Prefix() == prefix {' 'if topic.Prefix() == "" {' ./internal/dissemination
 mutate 'key passed on' platform/ingress.go 'maps.DeleteFunc(header, func(name string, _ []string) bool { return identifiesCaller(name) })' '_ = maps.DeleteFunc[http.Header]' ./cmd/thistlewalk-rollout
-mutate 'all nodes run a job in an outage' internal/batchrun/defer.go 'if deferral.mine.Load() {' 'if deferral.to == "" {' ./internal/batchrun
-mutate 'jobs left to each other' internal/batchrun/defer.go 'owned.deferral.mine.Store(true)' '_ = owned' ./internal/batchrun
+mutate 'all nodes run a job in an outage' internal/batchrun/delegation.go 'if delegation.local.Load() {' 'if delegation.target == "" {' ./internal/batchrun
+mutate 'jobs left to each other' internal/batchrun/delegation.go 'owned.delegation.local.Store(true)' '_ = owned' ./internal/batchrun
 mutate 'holder waits to be told what it knows' internal/metering/reporter.go ' || !work.collected.Before(end.Add(tellTime)))' ')' ./internal/metering
 mutate 'call outlasts a lost lease' internal/metering/reporter.go 'left := work.term.Remaining() + work.Overhang' 'left := work.term.Remaining() + work.Overhang + time.Hour' ./internal/metering
 mutate 'refusal not confirmed' internal/delivery/service.go 'if err := served.log.Append(ctx, nil, nil); err != nil {' 'if err := served.log.Failed(); err != nil {' ./internal/delivery
 mutate 'probe that hangs is waited for' internal/metadata/health.go 'if told || health.Good() {' 'if !told || health.Good() {' ./internal/metadata
 mutate 'slow probe left again and again' internal/metadata/health.go 'if told || health.Good() {' 'if health.Good() {' ./internal/metadata
 mutate 'what was made stays behind' internal/batchrun/service.go 'runner.kept.put(partial.GetItemId(), textOf(definition.GetId(), partial, started))' '_ = textOf(definition.GetId(), partial, started)' ./internal/batchrun
-mutate 'job not taken back' internal/batchrun/service.go 'other.deferral.takeBack()' '_ = other' ./internal/batchrun
-mutate 'replica that fails is not left alone' internal/batchrun/generate.go 'runner.scheduler.failed(replica.ID, time.Now())' '_ = time.Now' ./internal/batchrun
-mutate 'item goes back to who failed it' internal/batchrun/generate.go 'running.avoid, running.avoidUntil = replica.ID, now.Add(avoidFailed)' '_ = avoidFailed' ./internal/batchrun
+mutate 'job not taken back' internal/batchrun/service.go 'other.delegation.reclaim()' '_ = other' ./internal/batchrun
+mutate 'replica that fails is not left alone' internal/batchrun/generate.go 'runner.scheduler.recordFailure(replica.ID, time.Now())' '_ = time.Now' ./internal/batchrun
+mutate 'item goes back to who failed it' internal/batchrun/generate.go 'running.avoid, running.avoidUntil = replica.ID, now.Add(avoidAfterFailure)' '_ = avoidAfterFailure' ./internal/batchrun
 mutate 'nodes tell nobody of ends' internal/quarantine/outbox.go 'if guard.Teller == nil {' 'if guard.Teller == nil || told.Reporter == "" {' ./internal/quarantine
 mutate 'quarantine not kept' internal/quarantine/archive.go 'if known.Crashes < quarantineAt || kept.crashes >= known.Crashes {' 'if known.Crashes > 0 || kept.crashes >= known.Crashes {' ./internal/quarantine
 mutate 'quarantine not published' internal/role/topics.go '		{Mirror: topics.quarantine},
