--- a/internal/weights/assign.go
+++ b/internal/weights/assign.go
@@ -7,9 +7,10 @@
 	"github.com/thistlewalk/thistlewalk/internal/catalog"
 )
 
-// assign gives each model its share of the replicas: those that it has, then those with the fewest models and the least lag.
+// assign gives each model its share of the replicas. A model keeps the replicas assigned to it; further ones are those with the
+// fewest models and the least lag.
 func (planner *Planner) assign(models []string, fleet Fleet, targets Targets) {
-	planner.forget(models, fleet)
+	planner.prune(models, fleet)
 	shares := planner.shares(models, fleet.Replicas.Working(), slotsOf(fleet.Replicas), targets)
 	for _, model := range models {
 		planner.trim(model, fleet, shares[model]+trimSlack)
@@ -17,10 +18,10 @@
 	for _, model := range models {
 		planner.extend(model, fleet, shares[model], targets[model])
 	}
-	planner.spread(fleet)
+	planner.rebalance(fleet)
 }
 
-// slotsOf returns the slots of one of the replicas: those of a service are alike, or nearly so.
+// slotsOf returns the slots of one replica as a sample: the replicas of a service have nearly the same number of slots.
 func slotsOf(replicas catalog.ReplicaList) int {
 	if replicas.Len() == 0 {
 		return 0
@@ -28,19 +29,19 @@
 	return replicas.At(replicas.Len() / 2).Slots
 }
 
-// forget drops replicas that are gone or drain, and models that the service has no more.
-func (planner *Planner) forget(models []string, fleet Fleet) {
+// prune drops replicas that are gone or draining, and models that the service no longer lists.
+func (planner *Planner) prune(models []string, fleet Fleet) {
 	for id := range planner.assigned {
 		if replica := fleet.Replicas.Find(id); replica == nil || replica.Draining {
 			delete(planner.assigned, id)
 			continue
 		}
-		planner.keep(id, slices.DeleteFunc(planner.assigned[id], func(model string) bool { return !slices.Contains(models, model) }))
+		planner.setModels(id, slices.DeleteFunc(planner.assigned[id], func(model string) bool { return !slices.Contains(models, model) }))
 	}
 }
 
-// keep sets the models of a replica.
-func (planner *Planner) keep(id string, models []string) {
+// setModels sets the models that are assigned to a replica.
+func (planner *Planner) setModels(id string, models []string) {
 	if len(models) == 0 {
 		delete(planner.assigned, id)
 		return
@@ -48,10 +49,11 @@
 	planner.assigned[id] = models
 }
 
-// trimSlack is how many replicas above its share a model keeps, since shares follow the work of jobs, which varies.
+// trimSlack is how many replicas above its share a model keeps. Shares follow the work of jobs, which varies; the
+// slack keeps small variations from reassigning replicas.
 const trimSlack = 1
 
-// members returns the replicas that have a model, ordered by identifier.
+// members returns the replicas that a model is assigned to, ordered by identifier.
 func (planner *Planner) members(model string, fleet Fleet) []*catalog.Replica {
 	var members []*catalog.Replica
 	for id, models := range planner.assigned {
@@ -63,7 +65,7 @@
 	return members
 }
 
-// Counts returns how many replicas each model has.
+// Counts returns the number of replicas assigned to each model.
 func (planner *Planner) Counts() map[string]int {
 	counts := make(map[string]int)
 	for _, held := range planner.assigned {
@@ -76,69 +78,72 @@
 
 func byIdentifier(a, b *catalog.Replica) int { return cmp.Compare(a.ID, b.ID) }
 
-// trim takes replicas from a model that has too many, those with the most models first.
-func (planner *Planner) trim(model string, fleet Fleet, most int) {
+// trim unassigns replicas above the limit from a model, those with the most models first.
+func (planner *Planner) trim(model string, fleet Fleet, limit int) {
 	members := planner.members(model, fleet)
 	slices.SortStableFunc(members, func(a, b *catalog.Replica) int {
 		return cmp.Compare(len(planner.assigned[b.ID]), len(planner.assigned[a.ID]))
 	})
-	for _, replica := range members[:max(0, len(members)-most)] {
+	for _, replica := range members[:max(0, len(members)-limit)] {
 		planner.unassign(replica.ID, model)
 	}
 }
 
 func (planner *Planner) unassign(id, model string) {
-	planner.keep(id, slices.DeleteFunc(planner.assigned[id], func(held string) bool { return held == model }))
+	planner.setModels(id, slices.DeleteFunc(planner.assigned[id], func(held string) bool { return held == model }))
 }
 
-// extend gives replicas to a model that has too few.
+// extend assigns replicas to a model until it has the wanted number.
 func (planner *Planner) extend(model string, fleet Fleet, wanted int, target Target) {
 	members := planner.members(model, fleet)
 	lacking := wanted - len(members)
 	if lacking <= 0 {
 		return
 	}
-	for _, replica := range planner.free(model, members, fleet, target, lacking) {
+	for _, replica := range planner.candidates(model, members, fleet, target, lacking) {
 		planner.assigned[replica.ID] = append(planner.assigned[replica.ID], model)
 	}
 }
 
-// standing is what replicas that a model could be given to have in common: how many models they have, and how many versions they lack.
-type standing struct {
+// candidateClass groups the replicas that a model can be assigned to by how many models they have and by how many versions they
+// lag.
+type candidateClass struct {
 	models int
 	lag    int64
 }
 
-// free returns up to count replicas that a model can be given to: those with the fewest models and the least lag, and of these in turn
-// from the zones that have the fewest of the model.
-func (planner *Planner) free(model string, members []*catalog.Replica, fleet Fleet, target Target, count int) []*catalog.Replica {
-	classes := make(map[standing][]*catalog.Replica)
+// candidates returns up to count replicas that a model can be assigned to, those with the fewest models and the least lag first.
+// Within a class it prefers zones that have the fewest replicas of the model.
+func (planner *Planner) candidates(model string, members []*catalog.Replica, fleet Fleet, target Target, count int) []*catalog.Replica {
+	classes := make(map[candidateClass][]*catalog.Replica)
 	for replica := range fleet.Replicas.Each() {
 		held := planner.assigned[replica.ID]
 		if replica.Draining || slices.Contains(held, model) {
 			continue
 		}
-		class := standing{len(held), max(0, target.Version-fleet.Version(replica, model))}
+		class := candidateClass{len(held), max(0, target.Version-fleet.Version(replica, model))}
 		classes[class] = append(classes[class], replica)
 	}
-	var ordered []standing
+	var ordered []candidateClass
 	for class := range classes {
 		ordered = append(ordered, class)
 	}
-	slices.SortFunc(ordered, func(a, b standing) int { return cmp.Or(cmp.Compare(a.models, b.models), cmp.Compare(a.lag, b.lag)) })
+	slices.SortFunc(ordered, func(a, b candidateClass) int {
+		return cmp.Or(cmp.Compare(a.models, b.models), cmp.Compare(a.lag, b.lag))
+	})
 	zones := make(map[string]int)
 	for _, member := range members {
 		zones[member.Zone]++
 	}
 	var chosen []*catalog.Replica
 	for _, class := range ordered {
-		chosen = append(chosen, inTurn(classes[class], zones, count-len(chosen))...)
+		chosen = append(chosen, pickAcrossZones(classes[class], zones, count-len(chosen))...)
 	}
 	return chosen
 }
 
-// inTurn returns up to count replicas, each from the zone with the fewest so far, and counts them.
-func inTurn(replicas []*catalog.Replica, zones map[string]int, count int) []*catalog.Replica {
+// pickAcrossZones returns up to count replicas, each from the zone with the fewest so far, and adds them to the counts in zones.
+func pickAcrossZones(replicas []*catalog.Replica, zones map[string]int, count int) []*catalog.Replica {
 	byZone := make(map[string][]*catalog.Replica)
 	for _, replica := range replicas {
 		byZone[replica.Zone] = append(byZone[replica.Zone], replica)
@@ -160,38 +165,38 @@
 	return chosen
 }
 
-// spread moves models from replicas with two more than others have.
-func (planner *Planner) spread(fleet Fleet) {
+// rebalance moves models from the replica with the most models to the one with the fewest until they differ by less than two.
+func (planner *Planner) rebalance(fleet Fleet) {
 	for range len(planner.assigned) {
-		many, most := planner.mostModels()
-		if most < 2 {
+		fullest, count := planner.mostModels()
+		if count < 2 {
 			return
 		}
-		few := planner.fewestModels(fleet)
-		if few == "" || most-len(planner.assigned[few]) < 2 {
+		emptiest := planner.fewestModels(fleet)
+		if emptiest == "" || count-len(planner.assigned[emptiest]) < 2 {
 			return
 		}
-		for _, model := range planner.assigned[many] {
-			if !slices.Contains(planner.assigned[few], model) {
-				planner.unassign(many, model)
-				planner.assigned[few] = append(planner.assigned[few], model)
+		for _, model := range planner.assigned[fullest] {
+			if !slices.Contains(planner.assigned[emptiest], model) {
+				planner.unassign(fullest, model)
+				planner.assigned[emptiest] = append(planner.assigned[emptiest], model)
 				break
 			}
 		}
 	}
 }
 
-// mostModels returns a replica with the most models, and how many these are.
-func (planner *Planner) mostModels() (id string, models int) {
+// mostModels returns a replica with the most models, and their number.
+func (planner *Planner) mostModels() (id string, count int) {
 	for other, held := range planner.assigned {
-		if id == "" || len(held) > models || (len(held) == models && other < id) {
-			id, models = other, len(held)
+		if id == "" || len(held) > count || (len(held) == count && other < id) {
+			id, count = other, len(held)
 		}
 	}
-	return id, models
+	return id, count
 }
 
-// fewestModels returns a replica with the fewest models; empty for none.
+// fewestModels returns a replica with the fewest models, or an empty string if all replicas are draining.
 func (planner *Planner) fewestModels(fleet Fleet) string {
 	id := ""
 	for replica := range fleet.Replicas.Each() {
--- a/internal/weights/demand.go
+++ b/internal/weights/demand.go
@@ -2,65 +2,65 @@
 
 import "time"
 
-// Demand is what an open job asks of its model.
+// Demand describes an open batch job and what it requires of its model.
 type Demand struct {
 	Job, Model string
-	// Minimum is the oldest version that the job accepts.
+	// Minimum is the oldest version of the weights that the job accepts.
 	Minimum int64
-	// Work is its expected output in tokens, Items the number of its items; zero when not known.
+	// Work is the expected output of the job in tokens and Items the number of its items. Zero means unknown.
 	Work  int64
 	Items int
 }
 
-// workWeight is the weight of the newest job in the work of a model's jobs.
-const workWeight = 0.3
+// workSmoothing is the weight of the newest report in the moving average of work per job.
+const workSmoothing = 0.3
 
-// averageWork returns the usual work of a model's jobs after one more; the work before is zero when not known, and so is that of the job.
-func averageWork(before, work float64) float64 {
+// averageWork adds a report of a job to the moving average of work per job. Zero means unknown for both arguments.
+func averageWork(average, work float64) float64 {
 	switch {
 	case work <= 0:
-		return before
-	case before <= 0:
+		return average
+	case average <= 0:
 		return work
 	}
-	return before + workWeight*(work-before)
+	return average + workSmoothing*(work-average)
 }
 
 const (
-	// openFor is how long a job counts as open without word of it: its owner tells each second, and a datagram may be lost.
-	openFor = 2500 * time.Millisecond
-	// mostFor is for how long the most items that were open at a time count. A trainer asks for a step each few seconds, and one that waits
-	// out an outage comes back to find its replicas.
-	mostFor = 30 * time.Second
+	// jobExpiry is how long a job counts as open after its last report. Owners report every second, and a datagram may be lost.
+	jobExpiry = 2500 * time.Millisecond
+	// peakWindow is how long a peak of open items counts. It spans the time between two steps of a trainer and a short outage, so
+	// that a returning trainer still finds its replicas.
+	peakWindow = 30 * time.Second
 )
 
-// openItems follows how many items the jobs of a model have open together.
+// openItems tracks how many items the open jobs of a model have in total.
 type openItems struct {
 	jobs map[string]openJob
-	// peaks are the most items of the current and the last half of mostFor, which began at began.
-	peaks [2]int
-	began time.Time
-	// last is the newest peak: a model whose trainer rests keeps what its next job needs.
-	last int
+	// peaks are the highest totals in the current and in the previous half of peakWindow. The current half starts at windowStart.
+	peaks       [2]int
+	windowStart time.Time
+	// lastPeak is the newest peak that was not zero. A model without open jobs keeps the replicas that its next job needs.
+	lastPeak int
 }
 
-// openJob is a job with when it was last told of.
+// openJob is the last report of a job.
 type openJob struct {
-	items int
-	told  time.Time
+	items    int
+	reported time.Time
 }
 
 func newOpenItems() *openItems { return &openItems{jobs: make(map[string]openJob)} }
 
-// take notes an open job, and returns how many items are open now, and whether these are more than before.
-func (open *openItems) take(demand Demand, now time.Time) (items int, more bool) {
+// record adds a report of an open job. It returns how many items are open now, and whether this exceeds the recent peak.
+func (open *openItems) record(demand Demand, now time.Time) (items int, increased bool) {
 	if demand.Job == "" || demand.Items <= 0 {
 		return 0, false
 	}
-	open.turn(now)
-	open.jobs[demand.Job] = openJob{items: demand.Items, told: now}
+	open.rotate(now)
+	open.jobs[demand.Job] = openJob{items: demand.Items, reported: now}
 	for id, job := range open.jobs {
-		if now.Sub(job.told) > openFor {
+		if now.Sub(job.reported) > jobExpiry {
 			delete(open.jobs, id)
 			continue
 		}
@@ -71,21 +71,21 @@
 	return items, items > before
 }
 
-// most returns the most items that were open at a time lately, or when any were; zero for never.
-func (open *openItems) most(now time.Time) int {
-	open.turn(now)
+// peak returns the highest recent total, or the last known one if no job was open recently; zero if there was none.
+func (open *openItems) peak(now time.Time) int {
+	open.rotate(now)
 	if recent := max(open.peaks[0], open.peaks[1]); recent > 0 {
-		open.last = recent
+		open.lastPeak = recent
 	}
-	return open.last
+	return open.lastPeak
 }
 
-// turn forgets peaks that are too old.
-func (open *openItems) turn(now time.Time) {
-	switch age := now.Sub(open.began); {
-	case age > mostFor:
-		open.peaks, open.began = [2]int{}, now
-	case age > mostFor/2:
-		open.peaks, open.began = [2]int{0, open.peaks[0]}, now
+// rotate drops peaks that are older than peakWindow.
+func (open *openItems) rotate(now time.Time) {
+	switch age := now.Sub(open.windowStart); {
+	case age > peakWindow:
+		open.peaks, open.windowStart = [2]int{}, now
+	case age > peakWindow/2:
+		open.peaks, open.windowStart = [2]int{0, open.peaks[0]}, now
 	}
 }
--- a/internal/weights/election.go
+++ b/internal/weights/election.go
@@ -16,46 +16,49 @@
 	"github.com/thistlewalk/thistlewalk/internal/wait"
 )
 
-// Keys of the election: who holds the lease, and who gave orders last. A holder writes the latter before its first order, and not when it
-// acquires the lease: an acquisition may lapse, or its process end, before any order is given.
+// Keys of the election: the current holder of the lease, and the node that gave orders last. A holder writes the latter just
+// before its first order and not when it acquires the lease, because the lease may expire or the process may end before it gives
+// any order.
 const (
 	electionPrefix = "cluster/orderer"
 	holderKey      = "cluster/orderer/holder"
 	lastKey        = "cluster/orderer/last"
 )
 
-// ElectionSettings are the times of an election.
+// ElectionSettings are the intervals of an election.
 type ElectionSettings struct {
-	// Lease is the life of the holder's lease, Renew how often it is renewed.
+	// Lease is the time to live of the lease, Renew the interval between renewals.
 	Lease time.Duration
 	Renew time.Duration
-	// HandoverWait is how long a new holder waits before its first order, after another held the lease.
+	// HandoverWait is how long a new holder waits before its first order if another node gave orders last.
 	HandoverWait time.Duration
 }
 
-// Election makes at most one node the holder of a lease in the metadata store.
+// Election elects at most one node as the holder of a lease in the metadata store.
 type Election struct {
 	Store    metadata.Store
 	Node     string
 	Settings ElectionSettings
 	Logger   *log.Logger
-	// StandIn is called when a former process of this node holds the lease still, which lapses by itself; its context ends with that.
-	// This process orders nothing meanwhile. Nil for nothing.
+	// StandIn is called when an earlier incarnation of this node still holds the lease, which then has to expire. Its context ends
+	// when that holder is gone. This process gives no orders in the meantime. Nil disables the call.
 	StandIn func(context.Context)
-	// Clock is what terms go by; nil for a steady one. It has to go on while the machine is suspended, as the lease does.
+	// Clock measures terms; nil selects the steady clock. It has to advance while the machine is suspended, as the lease in the
+	// store does.
 	Clock clock.Clock
 
 	health *metadata.Health
 	mu     sync.Mutex
 	holder string
 	last   string
-	// lastAt is the revision at which the last holder was read, zero for none: an acquisition needs it unchanged.
-	lastAt metadata.Revision
-	known  bool
-	wake   chan struct{}
+	// lastRevision is the revision of the key of the last orderer, zero if the key does not exist. An acquisition requires it to
+	// be unchanged.
+	lastRevision metadata.Revision
+	synced       bool
+	wake         chan struct{}
 }
 
-// NewElection returns an election that this node takes part in once Run is called.
+// NewElection returns an election. The node takes part once Run is called.
 func NewElection(store metadata.Store, node string, settings ElectionSettings, logger *log.Logger) *Election {
 	return &Election{
 		Store: store, Node: node, Settings: settings, Logger: logger, health: metadata.NewHealth(store, logger), wake: make(chan struct{}, 1),
@@ -65,35 +68,35 @@
 // Reset implements metadata.Handler.
 func (election *Election) Reset(items []metadata.Item, _ metadata.Revision) {
 	election.mu.Lock()
-	election.holder, election.last, election.lastAt, election.known = "", "", 0, true
+	election.holder, election.last, election.lastRevision, election.synced = "", "", 0, true
 	for _, item := range items {
-		election.put(item)
+		election.applyItem(item)
 	}
 	election.mu.Unlock()
-	election.nudge()
+	election.notify()
 }
 
 // Apply implements metadata.Handler.
 func (election *Election) Apply(events []metadata.Event, _ metadata.Revision) {
 	election.mu.Lock()
 	for _, event := range events {
-		election.put(event.Item)
+		election.applyItem(event.Item)
 	}
 	election.mu.Unlock()
-	election.nudge()
+	election.notify()
 }
 
-// put must be called with mu held; a deleted key has no value.
-func (election *Election) put(item metadata.Item) {
+// applyItem must be called with mu held. The item of a deleted key has no value.
+func (election *Election) applyItem(item metadata.Item) {
 	switch item.Key {
 	case holderKey:
 		election.holder = string(item.Value)
 	case lastKey:
-		election.last, election.lastAt = string(item.Value), item.Revision
+		election.last, election.lastRevision = string(item.Value), item.Revision
 	}
 }
 
-func (election *Election) nudge() {
+func (election *Election) notify() {
 	select {
 	case election.wake <- struct{}{}:
 	default:
@@ -102,34 +105,34 @@
 
 const (
 	candidateDelay = 250 * time.Millisecond
-	// otherDelay is how much longer a candidate waits that did not hold the lease last: it has to wait before its first order,
-	// and the last holder has not.
-	otherDelay = 450 * time.Millisecond
-	// renewFaster is how many times as often a renewal is tried that failed.
-	renewFaster  = 3
-	electionPoll = time.Second
-	electionCall = 600 * time.Millisecond
-	// acquireLimit leaves time for the two calls of an acquisition at a slow store.
-	acquireLimit = 1500 * time.Millisecond
-	// electionWatch bounds how long a vacancy can be missed.
-	electionWatch   = 8 * time.Second
-	electionBackoff = 250 * time.Millisecond
+	// successorDelay is the additional delay of a candidate that was not the last orderer. The last orderer goes first because it
+	// needs no handover wait.
+	successorDelay = 450 * time.Millisecond
+	// renewRetryFactor divides the renewal interval after a renewal fails.
+	renewRetryFactor     = 3
+	electionPollInterval = time.Second
+	electionCallTimeout  = 600 * time.Millisecond
+	// acquireTimeout leaves time for the two calls of an acquisition at a slow store.
+	acquireTimeout = 1500 * time.Millisecond
+	// electionWatchTimeout bounds how long a vacancy can go unnoticed.
+	electionWatchTimeout = 8 * time.Second
+	electionBackoff      = 250 * time.Millisecond
 )
 
-// Run takes part until the context ends, and calls lead for each term; the context of lead ends with the term.
+// Run takes part in the election until the context ends. It calls lead for each term, with a context that ends with the term.
 func (election *Election) Run(ctx context.Context, lead func(context.Context, *Term)) {
 	election.Clock = clock.OrSteady(election.Clock)
 	go election.health.Run(ctx)
-	follower := metadata.Follower{Store: election.Store, Prefix: electionPrefix, Handler: election, Logger: election.Logger, Health: election.health, Wait: func() time.Duration { return electionWatch }}
+	follower := metadata.Follower{Store: election.Store, Prefix: electionPrefix, Handler: election, Logger: election.Logger, Health: election.health, Wait: func() time.Duration { return electionWatchTimeout }}
 	go follower.Run(ctx)
 	stopStandIn := func() {}
 	defer func() { stopStandIn() }()
-	standing := false
+	standingIn := false
 	for ctx.Err() == nil {
-		if former := election.formerHolds(); former != standing {
-			standing = former
+		if earlier := election.earlierIncarnationHolds(); earlier != standingIn {
+			standingIn = earlier
 			stopStandIn()
-			if former {
+			if earlier {
 				stopStandIn = election.standIn(ctx)
 			}
 		}
@@ -143,19 +146,20 @@
 			continue
 		}
 		stopStandIn()
-		standing = false
-		election.hold(ctx, term, lead)
+		standingIn = false
+		election.holdLease(ctx, term, lead)
 	}
 }
 
-// formerHolds reports whether the holder of the lease is a process of this node: while this one does not hold it, a former one.
-func (election *Election) formerHolds() bool {
+// earlierIncarnationHolds reports whether an earlier incarnation of this node holds the lease. It is meaningful only while this
+// process does not hold it.
+func (election *Election) earlierIncarnationHolds() bool {
 	election.mu.Lock()
 	defer election.mu.Unlock()
 	return strings.HasPrefix(election.holder, election.Node+" ")
 }
 
-// standIn has this node stand in for its former process until the returned function is called.
+// standIn runs StandIn until the returned function is called.
 func (election *Election) standIn(ctx context.Context) (stop func()) {
 	if election.StandIn == nil {
 		return func() {}
@@ -165,11 +169,12 @@
 	return cancel
 }
 
-// awaitVacancy waits until nobody holds the lease, and then for this node's turn; it reports whether that came.
+// awaitVacancy waits until nobody holds the lease, and then for this node's delay. It reports whether the node may try to acquire
+// the lease.
 func (election *Election) awaitVacancy(ctx context.Context) bool {
-	vacant, own := election.vacant()
+	vacant, wasLast := election.vacant()
 	if !vacant {
-		timer := time.NewTimer(electionPoll)
+		timer := time.NewTimer(electionPollInterval)
 		defer timer.Stop()
 		select {
 		case <-ctx.Done():
@@ -178,11 +183,11 @@
 		}
 		return false
 	}
-	if !own {
-		wait.Pause(ctx, otherDelay+time.Duration(rand.Int64N(int64(candidateDelay))))
+	if !wasLast {
+		wait.Pause(ctx, successorDelay+time.Duration(rand.Int64N(int64(candidateDelay))))
 	}
-	vacant, own = election.vacant()
-	return vacant && (own || election.health.GoodFor(otherDelay)) && ctx.Err() == nil
+	vacant, wasLast = election.vacant()
+	return vacant && (wasLast || election.health.GoodFor(successorDelay)) && ctx.Err() == nil
 }
 
 func (election *Election) currentHolder() string {
@@ -191,18 +196,18 @@
 	return election.holder
 }
 
-func (election *Election) vacant() (vacant, own bool) {
+func (election *Election) vacant() (vacant, wasLast bool) {
 	election.mu.Lock()
 	defer election.mu.Unlock()
-	return election.known && election.holder == "", election.last == election.Node
+	return election.synced && election.holder == "", election.last == election.Node
 }
 
-// acquire tries to take the lease; term is nil when another node has it.
+// acquire tries to take the lease; the term is nil if another node holds it.
 func (election *Election) acquire(ctx context.Context) (*Term, error) {
-	ctx, cancel := context.WithTimeout(ctx, acquireLimit)
+	ctx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	election.mu.Lock()
-	last, lastAt := election.last, election.lastAt
+	last, lastRevision := election.last, election.lastRevision
 	election.mu.Unlock()
 	sent := election.Clock.Elapsed()
 	lease, err := election.Store.GrantLease(ctx, election.Settings.Lease)
@@ -211,7 +216,7 @@
 	}
 	holder := election.Node + " " + uuid.NewString()
 	txn := metadata.Txn{
-		Conditions: []metadata.Condition{{Key: holderKey}, {Key: lastKey, Revision: lastAt}},
+		Conditions: []metadata.Condition{{Key: holderKey}, {Key: lastKey, Revision: lastRevision}},
 		Puts:       []metadata.Put{{Key: holderKey, Value: []byte(holder), Lease: lease}},
 	}
 	waits := last != "" && last != election.Node
@@ -222,24 +227,25 @@
 	var conflict *metadata.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		election.learn(conflict)
+		election.applyConflict(conflict)
 		return nil, nil
 	case err != nil:
-		if revision, err = election.readBack(holder); err != nil {
-			return nil, errors.Wrap(err, "commit") // if it was done all the same, the lease runs out
+		if revision, err = election.confirmAcquisition(holder); err != nil {
+			return nil, errors.Wrap(err, "commit") // if the commit succeeded after all, the lease expires
 		}
 	}
-	term := &Term{Fence: int64(revision), lease: lease, life: election.Settings.Lease, clock: election.Clock, begun: !waits}
+	term := &Term{Fence: int64(revision), lease: lease, timeToLive: election.Settings.Lease, clock: election.Clock, begun: !waits}
 	term.extend(sent)
 	election.Logger.Info("orderer lease acquired", "fence", term.Fence, "last", last, "waits", waits)
 	return term, nil
 }
 
-// beginOrders waits until the last holder gives no more orders, and writes this node down as the one that does, as long as its term lasts.
+// beginOrders waits until the last orderer can give no more orders, and then records this node as the orderer, retrying until the
+// term ends.
 func (election *Election) beginOrders(ctx context.Context, term *Term) {
 	wait.Pause(ctx, election.Settings.HandoverWait)
 	for ctx.Err() == nil {
-		callCtx, stop := context.WithTimeout(ctx, electionCall)
+		callCtx, stop := context.WithTimeout(ctx, electionCallTimeout)
 		_, err := election.Store.Commit(callCtx, metadata.Txn{
 			Conditions: []metadata.Condition{term.Condition()}, Puts: []metadata.Put{{Key: lastKey, Value: []byte(election.Node)}},
 		})
@@ -247,7 +253,7 @@
 		election.Logger.Info("orders begun", "fence", term.Fence, "error", err)
 		var conflict *metadata.ConflictError
 		if errors.As(err, &conflict) {
-			return // another term has begun; the renewal of the lease will say so
+			return // the lease is gone; the next renewal ends the term
 		}
 		if err == nil {
 			term.begin()
@@ -257,9 +263,9 @@
 	}
 }
 
-// readBack settles an acquisition whose answer was lost.
-func (election *Election) readBack(holder string) (metadata.Revision, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), electionCall)
+// confirmAcquisition reads the key of the holder after the answer to an acquisition was lost.
+func (election *Election) confirmAcquisition(holder string) (metadata.Revision, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), electionCallTimeout)
 	defer cancel()
 	item, found, err := election.Store.Get(ctx, holderKey)
 	switch {
@@ -271,7 +277,7 @@
 	return item.Revision, nil
 }
 
-// vacate notes that the lease which this node held is over, before the watch tells.
+// vacate clears the holder if it is this node, without waiting for the watch.
 func (election *Election) vacate() {
 	election.mu.Lock()
 	defer election.mu.Unlock()
@@ -280,18 +286,18 @@
 	}
 }
 
-// learn takes what a refused acquisition tells: who holds the lease, or who held it last.
-func (election *Election) learn(conflict *metadata.ConflictError) {
+// applyConflict applies the items of a refused acquisition: the current holder or the last orderer.
+func (election *Election) applyConflict(conflict *metadata.ConflictError) {
 	election.mu.Lock()
 	defer election.mu.Unlock()
 	for _, item := range conflict.Items {
-		election.put(item)
+		election.applyItem(item)
 	}
 }
 
-// hold renews the lease until it is over. A lease may wait while the store is down: a term whose time has run out gives no
-// orders, and goes on when a renewal succeeds, since nobody else can have held the lease meanwhile.
-func (election *Election) hold(ctx context.Context, term *Term, lead func(context.Context, *Term)) {
+// holdLease renews the lease until it is gone. While the store is down the lease may be kept there: a term that has run out
+// locally gives no orders, and resumes when a renewal succeeds, since no other node can have held the lease in the meantime.
+func (election *Election) holdLease(ctx context.Context, term *Term, lead func(context.Context, *Term)) {
 	termCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	done := make(chan struct{})
@@ -306,14 +312,14 @@
 	for ctx.Err() == nil {
 		wait.Pause(ctx, interval)
 		sent := election.Clock.Elapsed()
-		callCtx, stop := context.WithTimeout(ctx, electionCall)
+		callCtx, stop := context.WithTimeout(ctx, electionCallTimeout)
 		err := election.Store.RenewLease(callCtx, term.lease)
 		stop()
 		if errors.Is(err, metadata.ErrLeaseGone) {
 			election.vacate()
 			break
 		}
-		interval = election.Settings.Renew / renewFaster
+		interval = election.Settings.Renew / renewRetryFactor
 		if err == nil {
 			term.extend(sent)
 			interval = election.Settings.Renew
@@ -323,8 +329,8 @@
 	<-done
 	election.Logger.Warn("orderer lease over", "fence", term.Fence, "stopping", ctx.Err() != nil)
 	if ctx.Err() != nil {
-		revokeCtx, stop := context.WithTimeout(context.Background(), electionCall)
+		revokeCtx, stop := context.WithTimeout(context.Background(), electionCallTimeout)
 		defer stop()
-		_ = election.Store.RevokeLease(revokeCtx, term.lease) // it runs out by itself otherwise
+		_ = election.Store.RevokeLease(revokeCtx, term.lease) // otherwise the lease expires
 	}
 }
--- a/internal/weights/election_test.go
+++ b/internal/weights/election_test.go
@@ -19,73 +19,73 @@
 
 var electionSettings = weights.ElectionSettings{Lease: 1800 * time.Millisecond, Renew: 450 * time.Millisecond, HandoverWait: 3300 * time.Millisecond}
 
-// duty is when which node could have given an order.
-type duty struct {
+// observation is a time at which a node may give orders.
+type observation struct {
 	node  string
 	fence int64
 	at    time.Time
 }
 
-// duties records who may give orders, each 50 ms.
-type duties struct {
+// observations records every 50 ms which node may give orders.
+type observations struct {
 	mu   sync.Mutex
-	list []duty
+	list []observation
 }
 
-func (duties *duties) lead(node string) func(context.Context, *weights.Term) {
+func (recorded *observations) lead(node string) func(context.Context, *weights.Term) {
 	return func(ctx context.Context, term *weights.Term) {
 		for ctx.Err() == nil {
 			if term.Valid(300 * time.Millisecond) {
-				duties.mu.Lock()
-				duties.list = append(duties.list, duty{node, term.Fence, time.Now()})
-				duties.mu.Unlock()
+				recorded.mu.Lock()
+				recorded.list = append(recorded.list, observation{node, term.Fence, time.Now()})
+				recorded.mu.Unlock()
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
 }
 
-func (duties *duties) last() duty {
-	duties.mu.Lock()
-	defer duties.mu.Unlock()
-	return duties.list[len(duties.list)-1]
+func (recorded *observations) last() observation {
+	recorded.mu.Lock()
+	defer recorded.mu.Unlock()
+	return recorded.list[len(recorded.list)-1]
 }
 
-// check reports holders that share a fence, fences that fall, and turns without the pause between them.
-func (duties *duties) check(t *testing.T) {
+// check fails if two holders share a fence, a fence decreases, or a successor does not wait.
+func (recorded *observations) check(t *testing.T) {
 	t.Helper()
-	duties.mu.Lock()
-	defer duties.mu.Unlock()
-	for index := 1; index < len(duties.list); index++ {
-		before, after := duties.list[index-1], duties.list[index]
-		must.LessEq(t, after.fence, before.fence, must.Sprint("a fence falls"))
+	recorded.mu.Lock()
+	defer recorded.mu.Unlock()
+	for index := 1; index < len(recorded.list); index++ {
+		before, after := recorded.list[index-1], recorded.list[index]
+		must.LessEq(t, after.fence, before.fence, must.Sprint("a fence decreases"))
 		if before.node != after.node {
 			must.NotEq(t, before.fence, after.fence)
-			must.GreaterEq(t, 3*time.Second, after.at.Sub(before.at), must.Sprint("two holders take turns too fast"))
+			must.GreaterEq(t, 3*time.Second, after.at.Sub(before.at), must.Sprint("a successor gives orders too early"))
 		}
 	}
 }
 
-func candidates(ctx context.Context, store metadata.Store, duties *duties, names ...string) map[string]context.CancelFunc {
-	return candidatesWith(ctx, store, duties, electionSettings, names...)
+func candidates(ctx context.Context, store metadata.Store, recorded *observations, names ...string) map[string]context.CancelFunc {
+	return candidatesWith(ctx, store, recorded, electionSettings, names...)
 }
 
-func candidatesWith(ctx context.Context, store metadata.Store, duties *duties, settings weights.ElectionSettings, names ...string) map[string]context.CancelFunc {
+func candidatesWith(ctx context.Context, store metadata.Store, recorded *observations, settings weights.ElectionSettings, names ...string) map[string]context.CancelFunc {
 	stops := make(map[string]context.CancelFunc)
 	for _, name := range names {
 		nodeCtx, cancel := context.WithCancel(ctx)
 		stops[name] = cancel
 		election := weights.NewElection(store, name, settings, log.New(io.Discard))
-		go election.Run(nodeCtx, duties.lead(name))
+		go election.Run(nodeCtx, recorded.lead(name))
 	}
 	return stops
 }
 
-// One node at a time gives orders, whoever stops; a successor waits.
+// Only one node at a time gives orders, and a successor waits before its first.
 func TestElectionHandsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		recorded := &duties{}
+		recorded := &observations{}
 		stops := candidates(ctx, memstore.New(), recorded, "a", "b", "c")
 		time.Sleep(3 * time.Second)
 		first := recorded.last().node
@@ -99,11 +99,11 @@
 	})
 }
 
-// A lease whose acquisition was done without an answer is the node's all the same: it used to lie idle until it ran out.
+// An acquisition that succeeds without an answer is used at once. The lease must not stay unused until it expires.
 func TestElectionReadsBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		store, recorded := memstore.New(), &duties{}
+		store, recorded := memstore.New(), &observations{}
 		store.SetFaults(memstore.Faults{LoseAnswers: 1})
 		settings := electionSettings
 		settings.Lease = 6 * time.Second
@@ -116,10 +116,10 @@
 	})
 }
 
-// nodeStore is the store as one node reaches it: it may be cut off, and its watches may tell nothing.
+// nodeStore is the store as one node reaches it. It can be cut off entirely (cut) or only for lists and watches (watchBlocked).
 type nodeStore struct {
 	metadata.Store
-	cut, deaf atomic.Bool
+	cut, watchBlocked atomic.Bool
 }
 
 func (store *nodeStore) Commit(ctx context.Context, txn metadata.Txn) (metadata.Revision, error) {
@@ -151,14 +151,14 @@
 }
 
 func (store *nodeStore) List(ctx context.Context, prefix string) (metadata.Listing, error) {
-	if store.cut.Load() || store.deaf.Load() {
+	if store.cut.Load() || store.watchBlocked.Load() {
 		return metadata.Listing{}, metadata.ErrUnavailable
 	}
 	return store.Store.List(ctx, prefix)
 }
 
 func (store *nodeStore) Watch(ctx context.Context, prefix string, after metadata.Revision, wait time.Duration) (metadata.Changes, error) {
-	for store.cut.Load() || store.deaf.Load() {
+	for store.cut.Load() || store.watchBlocked.Load() {
 		if ctx.Err() != nil {
 			return metadata.Changes{}, metadata.ErrUnavailable
 		}
@@ -167,19 +167,19 @@
 	return store.Store.Watch(ctx, prefix, after, wait)
 }
 
-// A node that held the lease, was cut off and has not heard yet that another held it meanwhile waits before its first order, as
-// every other successor does: it used to take itself for the last holder.
+// A former holder that was cut off, and has not yet seen that another node held the lease, waits before its first order like any
+// other successor.
 func TestElectionKnowsTheLastHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		inner, recorded := memstore.New(), &duties{}
+		inner, recorded := memstore.New(), &observations{}
 		first, second := &nodeStore{Store: inner}, &nodeStore{Store: inner}
 		candidates(ctx, first, recorded, "a")
 		time.Sleep(3 * time.Second)
 		must.Eq(t, "a", recorded.last().node)
 		candidates(ctx, second, recorded, "b")
 		first.cut.Store(true)
-		first.deaf.Store(true)
+		first.watchBlocked.Store(true)
 		time.Sleep(9 * time.Second)
 		must.Eq(t, "b", recorded.last().node)
 		second.cut.Store(true)
@@ -194,11 +194,11 @@
 	})
 }
 
-// In an outage nobody gives orders. The holder goes on soon after it, without a pause: its lease waited, or it held the last.
+// No node gives orders during an outage of the store. The holder resumes afterwards without a handover wait.
 func TestElectionAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		store, recorded := memstore.New(), &duties{}
+		store, recorded := memstore.New(), &observations{}
 		candidates(ctx, store, recorded, "a", "b", "c")
 		time.Sleep(3 * time.Second)
 		first := recorded.last()
@@ -216,12 +216,12 @@
 	})
 }
 
-// A node whose acquisition was done without an answer, and lapsed before it knew, gave no order by it: it waits before its first as every
-// other successor does. It used to take itself for the last holder.
+// A node whose acquisition succeeded without an answer and then expired has given no order. It waits before its first order like
+// any other successor.
 func TestElectionAfterVoidAcquisition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		inner, recorded := memstore.New(), &duties{}
+		inner, recorded := memstore.New(), &observations{}
 		first := &nodeStore{Store: inner}
 		settings := electionSettings
 		settings.Lease = 1300 * time.Millisecond
@@ -240,11 +240,11 @@
 	})
 }
 
-// A node that is started again before it has given its first order waits as well.
+// A node that restarts before its first order waits like any other successor.
 func TestElectionAfterRestartBeforeTheFirstOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		inner, recorded := memstore.New(), &duties{}
+		inner, recorded := memstore.New(), &observations{}
 		first := &nodeStore{Store: inner}
 		candidates(ctx, first, recorded, "a")
 		time.Sleep(3 * time.Second)
--- a/internal/weights/lead.go
+++ b/internal/weights/lead.go
@@ -10,43 +10,43 @@
 	"github.com/thistlewalk/thistlewalk/internal/wait"
 )
 
-// load is an order in progress.
+// load is the loading of a version that is in progress on a replica.
 type load struct {
 	service, model string
 	version        int64
 	since          time.Time
-	looked         time.Time
+	queried        time.Time
 }
 
-// term is the work of one term. Its fields belong to one goroutine but for what mu guards.
-type term struct {
-	orderer  *Orderer
-	lease    *Term
-	planners map[string]*Planner // by service
-	begun    time.Time
-	planned  map[string]int // replicas by model, as they were last told of
+// termRun is the state of the orderer during one term. The fields above mu belong to the goroutine of Lead.
+type termRun struct {
+	orderer       *Orderer
+	lease         *Term
+	planners      map[string]*Planner // by service
+	started       time.Time
+	plannedCounts map[string]int // replicas by model, as last logged
 
-	mu    sync.Mutex
-	loads map[string]*load     // by replica
-	pause map[string]time.Time // replicas that refused an order, until when
-	held  map[string]map[string]int64
-	seen  map[string]int64 // orders taken, as the replica itself reported
+	mu          sync.Mutex
+	loads       map[string]*load            // by replica
+	pausedUntil map[string]time.Time        // replicas that get no order before the given time
+	versions    map[string]map[string]int64 // by replica and model, as last reported
+	ordersTaken map[string]int64            // number of orders that each replica has taken
 }
 
 // Lead gives orders until the term ends.
 func (orderer *Orderer) Lead(ctx context.Context, lease *Term) {
-	work := &term{
-		orderer: orderer, lease: lease, planners: make(map[string]*Planner), begun: time.Now(), planned: make(map[string]int),
-		loads: make(map[string]*load), pause: make(map[string]time.Time), held: make(map[string]map[string]int64), seen: make(map[string]int64),
+	run := &termRun{
+		orderer: orderer, lease: lease, planners: make(map[string]*Planner), started: time.Now(), plannedCounts: make(map[string]int),
+		loads: make(map[string]*load), pausedUntil: make(map[string]time.Time), versions: make(map[string]map[string]int64), ordersTaken: make(map[string]int64),
 	}
 	for ctx.Err() == nil {
 		changed := orderer.Catalog.Changed()
-		idle := idleWait
+		idle := idleInterval
 		started := time.Now()
-		if work.round(ctx) {
-			idle = workTick
+		if run.round(ctx) {
+			idle = busyInterval
 		}
-		wait.Pause(ctx, min(mostRest, restShare*time.Since(started)))
+		wait.Pause(ctx, min(maxRest, restFactor*time.Since(started)))
 		timer := time.NewTimer(idle)
 		select {
 		case <-ctx.Done():
@@ -58,55 +58,55 @@
 	}
 }
 
-// round orders what is due, and reports whether anything is in progress or still due.
-func (work *term) round(ctx context.Context) bool {
-	configuration := work.orderer.Catalog.Configuration()
+// round starts the orders that are due, and reports whether any is in progress or still due.
+func (run *termRun) round(ctx context.Context) bool {
+	configuration := run.orderer.Catalog.Configuration()
 	if configuration == nil {
 		return true
 	}
-	targets := work.orderer.currentTargets(time.Now())
-	replicas := work.orderer.Catalog.Replicas()
-	work.settle(ctx, replicas)
-	work.resume()
+	targets := run.orderer.currentTargets(time.Now())
+	replicas := run.orderer.Catalog.Replicas()
+	run.finishLoads(ctx, replicas)
+	run.expirePauses()
 	busy := false
 	for name, service := range configuration.Services {
 		if len(service.Models) == 0 {
 			continue
 		}
 		members := replicas.Service(name)
-		planner := work.planner(name)
-		planner.Budget.AtOnce = work.orderer.atOnce(members.Len())
-		models, deferred := work.plannable(service.Models, targets)
-		steps := planner.Plan(models, Fleet{Replicas: members, Version: work.version, Busy: work.isBusy}, targets)
-		work.tellPlanned(models, planner.Counts(), targets, members.Working())
-		room := planner.Budget.AtOnce - work.loading(name)
+		planner := run.planner(name)
+		planner.Budget.Concurrency = run.orderer.concurrentLoads(members.Len())
+		models, deferred := run.plannable(service.Models, targets)
+		steps := planner.Plan(models, Fleet{Replicas: members, Version: run.version, Busy: run.isBusy}, targets)
+		run.reportPlanned(models, planner.Counts(), targets, members.Working())
+		room := planner.Budget.Concurrency - run.loading(name)
 		for _, step := range steps[:max(0, min(room, len(steps)))] {
-			work.start(ctx, name, step)
+			run.start(ctx, name, step)
 		}
-		busy = busy || deferred || len(steps) > 0 || work.loading(name) > 0
+		busy = busy || deferred || len(steps) > 0 || run.loading(name) > 0
 	}
-	return busy || work.anyPaused()
+	return busy || run.anyPaused()
 }
 
-// tellPlanned tells of models that have more or fewer replicas than before.
-func (work *term) tellPlanned(models []string, counts map[string]int, targets Targets, working int) {
+// reportPlanned logs the models whose number of assigned replicas has changed, and updates their metric.
+func (run *termRun) reportPlanned(models []string, counts map[string]int, targets Targets, working int) {
 	for _, model := range models {
-		if before, known := work.planned[model]; known && before == counts[model] {
+		if before, logged := run.plannedCounts[model]; logged && before == counts[model] {
 			continue
 		}
-		work.planned[model] = counts[model]
-		work.orderer.Metrics.Planned(model, counts[model])
-		work.orderer.Logger.Info("replicas planned", "model", model, "replicas", counts[model], "items", targets[model].Items, "version", targets[model].Version, "of", working)
+		run.plannedCounts[model] = counts[model]
+		run.orderer.Metrics.Planned(model, counts[model])
+		run.orderer.Logger.Info("replicas planned", "model", model, "replicas", counts[model], "items", targets[model].Items, "version", targets[model].Version, "of", working)
 	}
 }
 
-// demandWait is how long after the begin of its term a node waits to be told of the jobs of a model before it plans without: owners tell
-// each second. Planned without, a model is given its part of all replicas.
+// demandWait is how long after the start of a term a model whose jobs are unknown is left out of planning. Owners report their
+// jobs every second; a model planned without them is given its full share of all replicas.
 const demandWait = 1500 * time.Millisecond
 
-// plannable returns the models to plan for, and whether others have to wait for word of their jobs.
-func (work *term) plannable(models []string, targets Targets) (now []string, deferred bool) {
-	if time.Since(work.begun) > demandWait {
+// plannable returns the models to plan for, and whether others are deferred until their jobs are reported.
+func (run *termRun) plannable(models []string, targets Targets) (now []string, deferred bool) {
+	if time.Since(run.started) > demandWait {
 		return models, false
 	}
 	for _, model := range models {
@@ -120,57 +120,57 @@
 }
 
 // planner returns the planner of a service.
-func (work *term) planner(service string) *Planner {
-	planner := work.planners[service]
+func (run *termRun) planner(service string) *Planner {
+	planner := run.planners[service]
 	if planner == nil {
-		planner = NewPlanner(LoadBudget{AtOnce: 1, LoadTime: loadUsual})
-		work.planners[service] = planner
+		planner = NewPlanner(LoadBudget{Concurrency: 1, LoadTime: typicalLoadTime})
+		run.planners[service] = planner
 	}
 	return planner
 }
 
-// version returns the version of a model that a replica holds, as it registered or reported since.
-func (work *term) version(replica *catalog.Replica, model string) int64 {
-	work.mu.Lock()
-	defer work.mu.Unlock()
-	return work.versionOf(replica, model)
+// version returns the version of a model that a replica holds, by its registration or its last report.
+func (run *termRun) version(replica *catalog.Replica, model string) int64 {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	return run.versionLocked(replica, model)
 }
 
-// versionOf must be called with mu held.
-func (work *term) versionOf(replica *catalog.Replica, model string) int64 {
+// versionLocked must be called with mu held.
+func (run *termRun) versionLocked(replica *catalog.Replica, model string) int64 {
 	registered := replica.Version(model)
 	if registered == 0 {
 		return 0
 	}
-	return max(registered, work.held[replica.ID][model])
+	return max(registered, run.versions[replica.ID][model])
 }
 
-func (work *term) isBusy(id string) bool {
-	work.mu.Lock()
-	defer work.mu.Unlock()
-	return work.loads[id] != nil || time.Now().Before(work.pause[id])
+func (run *termRun) isBusy(id string) bool {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	return run.loads[id] != nil || time.Now().Before(run.pausedUntil[id])
 }
 
-// resume forgets the replicas that are left alone no more.
-func (work *term) resume() {
-	work.mu.Lock()
-	defer work.mu.Unlock()
+// expirePauses drops the pauses that have ended.
+func (run *termRun) expirePauses() {
+	run.mu.Lock()
+	defer run.mu.Unlock()
 	now := time.Now()
-	maps.DeleteFunc(work.pause, func(_ string, until time.Time) bool { return !now.Before(until) })
+	maps.DeleteFunc(run.pausedUntil, func(_ string, until time.Time) bool { return !now.Before(until) })
 }
 
-// anyPaused reports whether a replica is left alone for a while: its order may be due again soon.
-func (work *term) anyPaused() bool {
-	work.mu.Lock()
-	defer work.mu.Unlock()
-	return len(work.pause) > 0
+// anyPaused reports whether any replica is paused; an order for it may be due soon.
+func (run *termRun) anyPaused() bool {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	return len(run.pausedUntil) > 0
 }
 
-func (work *term) loading(service string) int {
-	work.mu.Lock()
-	defer work.mu.Unlock()
+func (run *termRun) loading(service string) int {
+	run.mu.Lock()
+	defer run.mu.Unlock()
 	count := 0
-	for _, current := range work.loads {
+	for _, current := range run.loads {
 		if current.service == service {
 			count++
 		}
@@ -178,92 +178,93 @@
 	return count
 }
 
-// settle ends the loads that are done, and asks replicas whose load takes long.
-func (work *term) settle(ctx context.Context, replicas *catalog.ReplicaSet) {
+// finishLoads removes the loads that are complete or timed out, and queries replicas whose load takes long.
+func (run *termRun) finishLoads(ctx context.Context, replicas *catalog.ReplicaSet) {
 	now := time.Now()
-	work.mu.Lock()
-	defer work.mu.Unlock()
-	for id, current := range work.loads {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	for id, current := range run.loads {
 		replica, age := replicas.Find(id), now.Sub(current.since)
 		switch {
-		case replica != nil && work.versionOf(replica, current.model) >= current.version:
-			delete(work.loads, id)
-			work.orderer.Logger.Info("version loaded", "replica", id, "model", current.model, "version", current.version, "took_ms", age.Milliseconds())
-		case replica == nil, age > loadLimit:
-			delete(work.loads, id)
-			work.orderer.Logger.Warn("load given up", "replica", id, "model", current.model, "version", current.version, "registered", replica != nil)
-		case age > loadExpected && now.Sub(current.looked) > loadExpected/2:
-			current.looked = now
-			go work.look(ctx, replica)
+		case replica != nil && run.versionLocked(replica, current.model) >= current.version:
+			delete(run.loads, id)
+			run.orderer.Logger.Info("version loaded", "replica", id, "model", current.model, "version", current.version, "took_ms", age.Milliseconds())
+		case replica == nil, age > loadTimeout:
+			delete(run.loads, id)
+			run.orderer.Logger.Warn("load given up", "replica", id, "model", current.model, "version", current.version, "registered", replica != nil)
+		case age > loadQueryAfter && now.Sub(current.queried) > loadQueryAfter/2:
+			current.queried = now
+			go run.queryState(ctx, replica)
 		}
 	}
 }
 
-// look asks a replica for its state.
-func (work *term) look(ctx context.Context, replica *catalog.Replica) {
-	ctx, cancel := context.WithTimeout(ctx, reportLimit)
+// queryState asks a replica for its state.
+func (run *termRun) queryState(ctx context.Context, replica *catalog.Replica) {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	report, err := work.orderer.Replicas.Report(ctx, replica)
+	report, err := run.orderer.Replicas.Report(ctx, replica)
 	if err != nil {
 		return
 	}
-	work.mu.Lock()
-	defer work.mu.Unlock()
-	work.seen[replica.ID] = max(work.seen[replica.ID], report.Orders)
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	run.ordersTaken[replica.ID] = max(run.ordersTaken[replica.ID], report.Orders)
 	held := make(map[string]int64, len(report.Models))
 	for _, model := range report.Models {
 		held[model.Model] = model.Version
 	}
-	work.held[replica.ID] = held
-	if current := work.loads[replica.ID]; current != nil && !report.Busy && held[current.model] < current.version {
-		delete(work.loads, replica.ID) // the order was lost: it is given again
+	run.versions[replica.ID] = held
+	if current := run.loads[replica.ID]; current != nil && !report.Busy && held[current.model] < current.version {
+		delete(run.loads, replica.ID) // the order was lost; it is sent again
 	}
 }
 
-// start gives one order in the background.
-func (work *term) start(ctx context.Context, service string, step Step) {
-	if !work.lease.Valid(orderMargin) {
+// start sends an order in the background. If the number of orders that the replica has taken is unknown, it queries the replica
+// instead and leaves the order to a later round.
+func (run *termRun) start(ctx context.Context, service string, step Step) {
+	if !run.lease.Valid(orderMargin) {
 		return
 	}
-	work.mu.Lock()
-	defer work.mu.Unlock()
+	run.mu.Lock()
+	defer run.mu.Unlock()
 	now := time.Now()
-	expected, known := work.seen[step.Replica.ID]
+	expected, known := run.ordersTaken[step.Replica.ID]
 	if !known {
-		work.pause[step.Replica.ID] = now.Add(lookPause)
-		go work.look(ctx, step.Replica)
+		run.pausedUntil[step.Replica.ID] = now.Add(queryPause)
+		go run.queryState(ctx, step.Replica)
 		return
 	}
-	work.loads[step.Replica.ID] = &load{service: service, model: step.Model, version: step.Version, since: now, looked: now}
-	go work.order(ctx, step, expected)
+	run.loads[step.Replica.ID] = &load{service: service, model: step.Model, version: step.Version, since: now, queried: now}
+	go run.order(ctx, step, expected)
 }
 
-func (work *term) order(ctx context.Context, step Step, expected int64) {
-	callCtx, cancel := context.WithTimeout(ctx, orderLimit)
+func (run *termRun) order(ctx context.Context, step Step, expected int64) {
+	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	reply, err := work.orderer.Replicas.Order(callCtx, step.Replica, Order{
-		Model: step.Model, Version: step.Version, Holder: work.orderer.Node, Fence: work.lease.Fence, ExpectedOrders: expected,
+	reply, err := run.orderer.Replicas.Order(callCtx, step.Replica, Order{
+		Model: step.Model, Version: step.Version, Holder: run.orderer.Node, Fence: run.lease.Fence, ExpectedOrders: expected,
 	})
-	work.orderer.Logger.Info("order", "replica", step.Replica.ID, "model", step.Model, "version", step.Version, "from", step.Replica.Version(step.Model),
-		"fence", work.lease.Fence, "expected_orders", expected, "reply", reply, "error", err)
-	work.orderer.Metrics.Order(reply.String())
+	run.orderer.Logger.Info("order", "replica", step.Replica.ID, "model", step.Model, "version", step.Version, "from", step.Replica.Version(step.Model),
+		"fence", run.lease.Fence, "expected_orders", expected, "reply", reply, "error", err)
+	run.orderer.Metrics.Order(reply.String())
 	switch {
 	case err == nil && reply == Started:
-		work.taken(step, expected)
+		run.orderTaken(step, expected)
 	case err == nil && reply == Held:
-		work.taken(step, expected)
-		work.look(ctx, step.Replica)
+		run.orderTaken(step, expected)
+		run.queryState(ctx, step.Replica)
 	default:
-		work.look(ctx, step.Replica)
-		work.mu.Lock()
-		work.pause[step.Replica.ID] = time.Now().Add(retryPause)
-		work.mu.Unlock()
+		run.queryState(ctx, step.Replica)
+		run.mu.Lock()
+		run.pausedUntil[step.Replica.ID] = time.Now().Add(retryPause)
+		run.mu.Unlock()
 	}
 }
 
-// taken counts an order that the replica took.
-func (work *term) taken(step Step, expected int64) {
-	work.mu.Lock()
-	defer work.mu.Unlock()
-	work.seen[step.Replica.ID] = max(work.seen[step.Replica.ID], expected+1)
+// orderTaken counts an order that the replica has taken.
+func (run *termRun) orderTaken(step Step, expected int64) {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	run.ordersTaken[step.Replica.ID] = max(run.ordersTaken[step.Replica.ID], expected+1)
 }
--- a/internal/weights/order.go
+++ b/internal/weights/order.go
@@ -8,48 +8,49 @@
 	"github.com/thistlewalk/thistlewalk/internal/catalog"
 )
 
-// ErrOrderUnanswered says that an order may have been taken, or may still be taken later if its condition holds then.
+// ErrOrderUnanswered is returned if no answer arrived. The replica may have taken the order, or may still take it later if
+// ExpectedOrders matches then.
 var ErrOrderUnanswered = errors.New("the order was not answered")
 
-// Order asks a replica to change the version of a model's weights. Runs in progress go on under the new version.
+// Order asks a replica to load a version of a model's weights. Runs in progress continue with the new version.
 type Order struct {
 	Model   string
 	Version int64
 	Holder  string
 	Fence   int64
-	// ExpectedOrders is the number of orders that the replica must have taken, so that an order which arrives late, after
-	// another, is refused.
+	// ExpectedOrders is the number of orders that the replica must have taken before. It makes the replica refuse an order that
+	// arrives after a later one.
 	ExpectedOrders int64
 }
 
 // Reply is a replica's answer to an order.
 type Reply int
 
-// Replies.
+// Replies of a replica.
 const (
-	// Started is a change under way.
+	// Started means that the replica has begun to load the version.
 	Started Reply = iota
-	// Held means that the replica has the version already.
+	// Held means that the replica already has the version.
 	Held
-	// Conflicting means that another order is in progress or that the expected number of orders is wrong.
+	// Conflicting means that another order is in progress or that ExpectedOrders does not match.
 	Conflicting
-	// Rejected is any other answer: the replica did not take the order.
+	// Rejected is any other answer; the replica has not taken the order.
 	Rejected
 )
 
 var replyNames = [...]string{"started", "held", "conflicting", "rejected"}
 
-// String returns the name that logs and metrics use.
+// String returns the name of the reply in logs and metrics.
 func (reply Reply) String() string { return replyNames[reply] }
 
-// Report is what a replica tells of itself.
+// Report is the state of a replica: its models, whether an order is in progress, and the number of orders taken.
 type Report struct {
 	Models []catalog.ModelVersion
 	Busy   bool
 	Orders int64
 }
 
-// Replicas reaches the replicas' control calls.
+// Replicas calls the control interface of replicas.
 type Replicas interface {
 	Order(ctx context.Context, replica *catalog.Replica, order Order) (Reply, error)
 	Report(ctx context.Context, replica *catalog.Replica) (Report, error)
--- a/internal/weights/orderer.go
+++ b/internal/weights/orderer.go
@@ -12,90 +12,90 @@
 	"github.com/thistlewalk/thistlewalk/internal/telemetry"
 )
 
-// Orderer gives the orders of a term.
+// Orderer orders replicas to load versions during the terms of this node.
 type Orderer struct {
 	Node     string
 	Catalog  *catalog.Table
 	Replicas Replicas
 	Logger   *log.Logger
 	Metrics  *telemetry.Metrics
-	// LoadShare is the share of a service's replicas that load at the same time, rounded up.
+	// LoadShare is the fraction of a service's replicas that load at the same time, rounded up.
 	LoadShare float64
 
-	mu      sync.Mutex
-	targets Targets
-	named   map[string]naming     // by model
-	open    map[string]*openItems // by model
-	changed chan struct{}
+	mu        sync.Mutex
+	targets   Targets
+	published map[string]publication // by model
+	openItems map[string]*openItems  // by model
+	changed   chan struct{}
 }
 
-// NewOrderer returns an orderer that knows no targets.
+// NewOrderer returns an orderer without targets.
 func NewOrderer(node string, table *catalog.Table, replicas Replicas, loadShare float64, logger *log.Logger) *Orderer {
 	return &Orderer{
 		Node: node, Catalog: table, Replicas: replicas, LoadShare: loadShare, Logger: logger,
-		targets: make(Targets), named: make(map[string]naming), open: make(map[string]*openItems), changed: make(chan struct{}, 1),
+		targets: make(Targets), published: make(map[string]publication), openItems: make(map[string]*openItems), changed: make(chan struct{}, 1),
 	}
 }
 
-// atOnce returns how many replicas of a service load at the same time.
-func (orderer *Orderer) atOnce(replicas int) int {
-	return min(mostAtOnce, max(1, int(math.Ceil(orderer.LoadShare*float64(replicas)))))
+// concurrentLoads returns how many replicas of a service may load at the same time.
+func (orderer *Orderer) concurrentLoads(replicas int) int {
+	return min(maxConcurrentLoads, max(1, int(math.Ceil(orderer.LoadShare*float64(replicas)))))
 }
 
-// mostAtOnce bounds how many replicas load at the same time, so that one node can order them all: enough for 750 replicas to load
-// within 5 s.
-const mostAtOnce = 150
+// maxConcurrentLoads bounds the loads in progress, so that one node can order and follow all of them.
+const maxConcurrentLoads = 150
 
-// SetTarget takes a named version, if it is newer than the one known.
+// SetTarget sets the newest published version of a model, if it is newer than the known one.
 func (orderer *Orderer) SetTarget(model string, version int64) {
 	orderer.mu.Lock()
 	target, known := orderer.targets[model]
 	if !known {
-		target.Lag = mostLag // until a job tells: replicas that it needs are ordered then, others need not be
+		target.Lag = maxLag // until a job reports its minimum; load no more replicas than necessary before that
 	}
 	if target.Version < version {
-		target.Interval = orderer.measure(model, target, version)
+		target.Interval = orderer.measureInterval(model, target, version)
 		target.Version = version
 		orderer.targets[model] = target
 		orderer.Logger.Info("version named", "model", model, "version", version, "lag", target.Lag)
 	}
 	orderer.mu.Unlock()
-	orderer.nudge()
+	orderer.notify()
 }
 
 const (
-	// gapsKept is how many of the last gaps between two versions count; their median does, so that an outage doesn't.
-	gapsKept = 3
-	// leastInterval is the shortest usual time that is believed: versions that come faster have waited somewhere, as in an
-	// outage, and a model that is held for so fast would lose its replicas.
-	leastInterval = 3 * time.Second
+	// maxIntervals is how many of the latest intervals between versions are kept. Their median is used, so that one outage does
+	// not distort it.
+	maxIntervals = 3
+	// minInterval bounds the measured interval from below. Versions that arrive faster were queued, for example during an outage;
+	// taken at face value they would cost the model its replicas.
+	minInterval = 3 * time.Second
 )
 
-// naming is when a model's versions were named.
-type naming struct {
-	at   time.Time
-	gaps []time.Duration
+// publication records when versions of a model were published.
+type publication struct {
+	at        time.Time
+	intervals []time.Duration
 }
 
-// measure returns the usual time between two versions of a model. It must be called with mu held.
-func (orderer *Orderer) measure(model string, target Target, version int64) time.Duration {
+// measureInterval returns the typical time between two versions of a model. It must be called with mu held.
+func (orderer *Orderer) measureInterval(model string, target Target, version int64) time.Duration {
 	now := time.Now()
-	before, known := orderer.named[model]
+	before, known := orderer.published[model]
 	if !known || version != target.Version+1 {
-		orderer.named[model] = naming{at: now, gaps: before.gaps}
-		return target.Interval // several at once: this node has just begun to follow
+		orderer.published[model] = publication{at: now, intervals: before.intervals}
+		return target.Interval // versions were skipped: this node has only begun to follow the model
 	}
-	gaps := append(slices.Clone(before.gaps), now.Sub(before.at))
-	gaps = gaps[max(0, len(gaps)-gapsKept):]
-	orderer.named[model] = naming{at: now, gaps: gaps}
-	return max(leastInterval, slices.Sorted(slices.Values(gaps))[len(gaps)/2])
+	intervals := append(slices.Clone(before.intervals), now.Sub(before.at))
+	intervals = intervals[max(0, len(intervals)-maxIntervals):]
+	orderer.published[model] = publication{at: now, intervals: intervals}
+	return max(minInterval, slices.Sorted(slices.Values(intervals))[len(intervals)/2])
 }
 
-// SetDemand takes what a job asks of its model.
+// SetDemand records an open job of a model.
 func (orderer *Orderer) SetDemand(demand Demand) {
 	orderer.mu.Lock()
 	target := orderer.targets[demand.Model]
-	if lag := min(mostLag, max(0, target.Version-demand.Minimum)); target.Version > 0 && lag != target.Lag {
+	if lag := min(maxLag, max(0, target.Version-demand.Minimum)); target.Version > 0 && lag != target.Lag {
 		target.Lag = lag
 		orderer.Logger.Info("lag of jobs", "model", demand.Model, "version", target.Version, "minimum", demand.Minimum, "lag", lag)
 	}
@@ -103,25 +103,25 @@
 	if target.Version > 0 {
 		orderer.targets[demand.Model] = target
 	}
-	if items, more := orderer.items(demand.Model).take(demand, time.Now()); more {
+	if items, increased := orderer.itemsOf(demand.Model).record(demand, time.Now()); increased {
 		orderer.Logger.Info("items of jobs", "model", demand.Model, "job", demand.Job, "items", items)
 	}
 	orderer.mu.Unlock()
-	orderer.nudge()
+	orderer.notify()
 }
 
-// items returns the items of a model's open jobs. It must be called with mu held.
-func (orderer *Orderer) items(model string) *openItems {
-	if orderer.open[model] == nil {
-		orderer.open[model] = newOpenItems()
+// itemsOf returns the open items of a model's jobs. It must be called with mu held.
+func (orderer *Orderer) itemsOf(model string) *openItems {
+	if orderer.openItems[model] == nil {
+		orderer.openItems[model] = newOpenItems()
 	}
-	return orderer.open[model]
+	return orderer.openItems[model]
 }
 
-// mostLag bounds the lag that is planned with. A job may come late, after versions that the next job asks for.
-const mostLag = 1
+// maxLag bounds the lag that the plan allows. The demand of a job may arrive late, after versions that the next job requires.
+const maxLag = 1
 
-func (orderer *Orderer) nudge() {
+func (orderer *Orderer) notify() {
 	select {
 	case orderer.changed <- struct{}{}:
 	default:
@@ -133,29 +133,29 @@
 	defer orderer.mu.Unlock()
 	copied := make(Targets, len(orderer.targets))
 	for model, target := range orderer.targets {
-		target.Items = orderer.items(model).most(now)
+		target.Items = orderer.itemsOf(model).peak(now)
 		copied[model] = target
 	}
 	return copied
 }
 
 const (
-	// orderMargin is kept of the lease for the call of an order and for a pause of this process.
-	orderMargin = 450 * time.Millisecond
-	orderLimit  = 350 * time.Millisecond
-	reportLimit = 350 * time.Millisecond
-	// loadUsual is how long a load takes with no more than a few at once.
-	loadUsual = 930 * time.Millisecond
-	// loadExpected is when a load is first looked at; after loadLimit it is given up and ordered again.
-	loadExpected = 1300 * time.Millisecond
-	loadLimit    = 5 * time.Second
-	workTick     = 100 * time.Millisecond
-	// After a round the orderer rests for restShare times as long as it took, at most for mostRest: with thousands of replicas
-	// changes come faster than rounds can be made.
-	restShare  = 10
-	mostRest   = 250 * time.Millisecond
-	idleWait   = time.Second
-	retryPause = 300 * time.Millisecond
-	// lookPause is how long a replica that was never asked for its state is left alone while it is.
-	lookPause = 60 * time.Millisecond
+	// orderMargin is how much of the lease must remain when an order is sent. It covers the call and a pause of this process.
+	orderMargin   = 450 * time.Millisecond
+	orderTimeout  = 350 * time.Millisecond
+	reportTimeout = 350 * time.Millisecond
+	// typicalLoadTime is how long a load takes when only a few are in progress.
+	typicalLoadTime = 930 * time.Millisecond
+	// loadQueryAfter is the age at which a load is first queried. After loadTimeout it is abandoned and ordered again.
+	loadQueryAfter = 1300 * time.Millisecond
+	loadTimeout    = 5 * time.Second
+	busyInterval   = 100 * time.Millisecond
+	// After a round the orderer rests restFactor times as long as the round took, at most maxRest. With thousands of replicas,
+	// changes arrive faster than rounds complete.
+	restFactor   = 10
+	maxRest      = 250 * time.Millisecond
+	idleInterval = time.Second
+	retryPause   = 300 * time.Millisecond
+	// queryPause is how long a replica is paused while it is queried for the first time.
+	queryPause = 60 * time.Millisecond
 )
--- a/internal/weights/orderer_test.go
+++ b/internal/weights/orderer_test.go
@@ -18,12 +18,12 @@
 	"github.com/thistlewalk/thistlewalk/internal/weights"
 )
 
-// engine is a replica's control calls: orders take a while, and some are lost or carried out late.
+// engine simulates the control interface of a replica. A load takes time, and orders can be lost or delayed.
 type engine struct {
 	service, model  string
 	version, orders int64
 	loading         bool
-	// loseNext orders get no answer; late has them carried out after that time, on the condition that they carry.
+	// loseNext is how many orders get no answer. If late is set, the engine processes them after that time.
 	loseNext int
 	late     time.Duration
 }
@@ -38,7 +38,7 @@
 
 func newEngines(count int) *engines {
 	created := &engines{table: catalog.NewTable(), byID: make(map[string]*engine)}
-	for _, replica := range fleet(count, []string{"m"}) {
+	for _, replica := range newReplicas(count, []string{"m"}) {
 		created.byID[replica.ID] = &engine{service: "s", model: "m", version: 1}
 	}
 	configuration := &catalog.Configuration{Version: 1, Services: map[string]catalog.Service{"s": {Name: "s", Models: []string{"m"}}}}
@@ -48,7 +48,7 @@
 	return created
 }
 
-// register publishes what replicas hold, as the registry does.
+// register updates the table with the versions that replicas have, as the registry does.
 func (engines *engines) register() {
 	var list []catalog.Replica
 	for id, engine := range engines.byID {
@@ -57,7 +57,7 @@
 	engines.table.SetReplicas(list, engines.table.Replicas().Revision+1)
 }
 
-// addService adds replicas of a second service with a model of its own.
+// addService adds replicas of a second service with its own model.
 func (engines *engines) addService(service, model string, count int) {
 	for index := range count {
 		engines.byID[service+"-"+strconv.Itoa(index)] = &engine{service: service, model: model, version: 1}
@@ -70,7 +70,7 @@
 	engines.register()
 }
 
-// loading returns how many replicas load now.
+// loading returns the number of replicas that are loading.
 func (engines *engines) loading() int {
 	engines.mu.Lock()
 	defer engines.mu.Unlock()
@@ -83,8 +83,8 @@
 	return count
 }
 
-// given returns the orders that were taken.
-func (engines *engines) given() []weights.Order {
+// accepted returns the orders that replicas have taken.
+func (engines *engines) accepted() []weights.Order {
 	engines.mu.Lock()
 	defer engines.mu.Unlock()
 	return slices.Clone(engines.taken)
@@ -132,7 +132,7 @@
 	return weights.Report{Busy: engine.loading, Orders: engine.orders, Models: []catalog.ModelVersion{{Model: engine.model, Version: engine.version}}}, nil
 }
 
-func (engines *engines) at(version int64) int {
+func (engines *engines) countAt(version int64) int {
 	engines.mu.Lock()
 	defer engines.mu.Unlock()
 	count := 0
@@ -144,13 +144,13 @@
 	return count
 }
 
-// inTerm runs an orderer of four replicas that holds the lease.
-func inTerm(t *testing.T, run func(t *testing.T, engines *engines, orderer *weights.Orderer)) {
-	inTermOf(t, 4, 0.5, run)
+// withOrderer runs an orderer with four replicas during a term.
+func withOrderer(t *testing.T, run func(t *testing.T, engines *engines, orderer *weights.Orderer)) {
+	withOrdererOf(t, 4, 0.5, run)
 }
 
-// inTermOf runs an orderer that holds the lease.
-func inTermOf(t *testing.T, replicas int, loadShare float64, run func(t *testing.T, engines *engines, orderer *weights.Orderer)) {
+// withOrdererOf runs an orderer during a term.
+func withOrdererOf(t *testing.T, replicas int, loadShare float64, run func(t *testing.T, engines *engines, orderer *weights.Orderer)) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := newEngines(replicas)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -165,21 +165,21 @@
 	})
 }
 
-// Half of the replicas load a version at first; the rest follow when a job comes that takes no older one.
+// Half of the replicas load a version first. The rest follow when a job requires it.
 func TestOrdersFollowDemand(t *testing.T) {
-	inTerm(t, func(t *testing.T, engines *engines, orderer *weights.Orderer) {
+	withOrderer(t, func(t *testing.T, engines *engines, orderer *weights.Orderer) {
 		orderer.SetTarget("m", 2)
 		time.Sleep(5 * time.Second)
-		must.Eq(t, 2, engines.at(2))
+		must.Eq(t, 2, engines.countAt(2))
 		orderer.SetDemand(weights.Demand{Model: "m", Minimum: 2})
 		time.Sleep(3 * time.Second)
-		must.Eq(t, 4, engines.at(2))
+		must.Eq(t, 4, engines.countAt(2))
 	})
 }
 
-// Orders that are lost are given again; those that are carried out late change nothing.
+// Lost orders are sent again; delayed orders have no effect.
 func TestLostAndLateOrders(t *testing.T) {
-	inTerm(t, func(t *testing.T, engines *engines, orderer *weights.Orderer) {
+	withOrderer(t, func(t *testing.T, engines *engines, orderer *weights.Orderer) {
 		for _, engine := range engines.byID {
 			engine.loseNext, engine.late = 1, 5*time.Second
 		}
@@ -189,22 +189,21 @@
 			time.Sleep(4 * time.Second)
 		}
 		time.Sleep(8 * time.Second)
-		must.Eq(t, 4, engines.at(5))
+		must.Eq(t, 4, engines.countAt(5))
 		for _, engine := range engines.byID {
 			must.LessEq(t, 4, engine.orders)
 		}
-		for _, order := range engines.given() {
+		for _, order := range engines.accepted() {
 			must.Eq(t, "node", order.Holder)
-			must.Eq(t, engines.given()[0].Fence, order.Fence)
+			must.Eq(t, engines.accepted()[0].Fence, order.Fence)
 		}
 	})
 }
 
-// A large service loads more replicas at once than a small one, and its models get replicas accordingly: with two at once,
-// 35 replicas of three models left each model four.
+// The number of concurrent loads grows with the service.
 func TestLoadsAtOnceGrowWithService(t *testing.T) {
 	for _, row := range []struct{ replicas, loading int }{{1, 1}, {8, 2}, {9, 2}, {35, 7}} {
-		inTermOf(t, row.replicas, 0.2, func(t *testing.T, engines *engines, orderer *weights.Orderer) {
+		withOrdererOf(t, row.replicas, 0.2, func(t *testing.T, engines *engines, orderer *weights.Orderer) {
 			orderer.SetTarget("m", 2)
 			orderer.SetDemand(weights.Demand{Model: "m", Minimum: 2})
 			time.Sleep(500 * time.Millisecond)
@@ -213,29 +212,28 @@
 	}
 }
 
-// Two services with models are planned apart: the assignments of one used to take the place of the other's.
+// Two services with models are planned independently: the assignments of one must not replace those of the other.
 func TestServicesArePlannedApart(t *testing.T) {
-	inTerm(t, func(t *testing.T, engines *engines, orderer *weights.Orderer) {
+	withOrderer(t, func(t *testing.T, engines *engines, orderer *weights.Orderer) {
 		engines.addService("other", "n", 4)
 		orderer.SetTarget("m", 2)
 		orderer.SetTarget("n", 2)
 		orderer.SetDemand(weights.Demand{Model: "m", Minimum: 2})
 		orderer.SetDemand(weights.Demand{Model: "n", Minimum: 2})
 		time.Sleep(6 * time.Second)
-		must.Eq(t, 8, engines.at(2))
-		must.Eq(t, 8, len(engines.given()))
+		must.Eq(t, 8, engines.countAt(2))
+		must.Eq(t, 8, len(engines.accepted()))
 	})
 }
 
-// Versions that come in a burst, because they had waited in an outage, do not make a model lose its replicas: a new holder of the
-// lease once measured 0.2 s between two versions and kept three replicas for a model.
+// Versions that arrive in a burst after an outage do not make a model lose its replicas.
 func TestBurstOfVersionsKeepsReplicas(t *testing.T) {
-	inTermOf(t, 20, 0.2, func(t *testing.T, engines *engines, orderer *weights.Orderer) {
+	withOrdererOf(t, 20, 0.2, func(t *testing.T, engines *engines, orderer *weights.Orderer) {
 		orderer.SetTarget("m", 2)
 		time.Sleep(200 * time.Millisecond)
 		orderer.SetTarget("m", 3)
 		orderer.SetDemand(weights.Demand{Model: "m", Minimum: 2})
 		time.Sleep(8 * time.Second)
-		must.GreaterEq(t, 10, engines.at(2)+engines.at(3))
+		must.GreaterEq(t, 10, engines.countAt(2)+engines.countAt(3))
 	})
 }
--- a/internal/weights/planner.go
+++ b/internal/weights/planner.go
@@ -1,5 +1,5 @@
-// Package weights brings the replicas of a service to the versions of weights that trainers name: one node at a time orders
-// replicas, a few load at once, and each model has its own share of the replicas.
+// Package weights distributes published versions of model weights to the replicas of a service. One elected node at a time orders
+// replicas to load versions. Few replicas load at once, and each model is assigned its own share of the replicas.
 package weights
 
 import (
@@ -10,19 +10,20 @@
 	"github.com/thistlewalk/thistlewalk/internal/catalog"
 )
 
-// Target is the newest named version of a model, and how many versions older its newest jobs accept.
+// Target is the newest published version of a model, with the lag and the size of its jobs.
 type Target struct {
 	Version int64
-	Lag     int64
-	// Interval is the usual time between two versions; zero when not known.
+	// Lag is how many versions older than the newest its newest jobs accept.
+	Lag int64
+	// Interval is the typical time between two versions; zero if unknown.
 	Interval time.Duration
-	// Work is the expected output of a job in tokens; zero when not known.
+	// Work is the expected output of a job in tokens; zero if unknown.
 	Work float64
-	// Items is how many items its open jobs have together, at the most lately; zero when not known.
+	// Items is the recent peak of the number of items in the model's open jobs; zero if unknown.
 	Items int
 }
 
-// Targets are the targets of models.
+// Targets are the targets by model.
 type Targets map[string]Target
 
 // Step is an order that is due.
@@ -30,49 +31,49 @@
 	Replica *catalog.Replica
 	Model   string
 	Version int64
-	// covered is the share of the model's replicas that the newest jobs can use before this step.
-	covered float64
+	// usableShare is the fraction of the model's replicas that the newest jobs can use before this step.
+	usableShare float64
 }
 
 // Fleet is the replicas of a service as a planner sees them.
 type Fleet struct {
 	Replicas catalog.ReplicaList
-	// Version returns the version of a model that a replica holds, by the newest that is known of it.
+	// Version returns the newest known version of a model on a replica.
 	Version func(replica *catalog.Replica, model string) int64
-	// Busy reports whether a replica has an order in progress, or is left alone for a while.
+	// Busy reports whether a replica has an order in progress or is paused.
 	Busy func(id string) bool
 }
 
-// Planner decides which replicas run which model, and which is ordered next. It is pure; its caller serializes calls.
+// Planner decides which models each replica runs, and which replica is ordered to load next. It makes no calls and starts no
+// goroutines; its caller serializes calls.
 //
-// A model has as many replicas as its jobs need, if there are enough; the others of the service are left as they are and cost nothing. What a
-// round costs follows the replicas that have a model, not those of the service: all are looked at only when a model lacks some.
+// A model is assigned as many replicas as its jobs need, if there are enough. The others are left alone: the cost of a round grows
+// with the number of assigned replicas, and all replicas are scanned only if a model lacks some.
 //
-// Where jobs accept the version before the newest, only half of a model's replicas load each version: those that the newest
-// jobs cannot use any more. A load then never takes a replica from work, and with as many loads each model has twice the
-// replicas.
+// If jobs accept the version before the newest, only half of a model's replicas load each version: those that the newest jobs can
+// no longer use. A load then never interrupts a usable replica, and the same number of loads serves twice as many replicas.
 type Planner struct {
-	// assigned are the models of each replica that has any, kept as long as they stay balanced.
+	// assigned are the models of each replica that has any. Assignments are kept as long as they are balanced.
 	assigned map[string][]string
-	// Budget is what loads may take.
+	// Budget bounds the loads.
 	Budget LoadBudget
 }
 
-// LoadBudget is what loads may take: replicas load only a few at a time, and a model whose replicas cannot all load within the
-// time between two versions falls behind.
+// LoadBudget bounds the loads of a service. Few replicas load at the same time; a model whose replicas cannot all load within the
+// interval between two versions falls behind.
 type LoadBudget struct {
-	// AtOnce is how many replicas load at the same time, LoadTime how long a load takes.
-	AtOnce   int
-	LoadTime time.Duration
+	// Concurrency is how many replicas load at the same time, LoadTime how long one load takes.
+	Concurrency int
+	LoadTime    time.Duration
 }
 
 const (
-	// budgetShare is the share of the time that loads may use.
+	// budgetShare is the fraction of the loading capacity that the plan uses.
 	budgetShare = 0.75
-	// defaultInterval stands for the time between two versions until it is known.
+	// defaultInterval is the assumed time between two versions until it is measured.
 	defaultInterval = 4 * time.Second
-	// leastShare is the least number of replicas of a model, so that one can load while another works.
-	leastShare = 2
+	// minReplicas is the least number of replicas of a model, so that one can load while another serves.
+	minReplicas = 2
 )
 
 // NewPlanner returns a planner without assignments.
@@ -80,23 +81,23 @@
 	return &Planner{assigned: make(map[string][]string), Budget: budget}
 }
 
-// Plan returns the orders that are due for a service: first those of the models with the smallest share of replicas that the newest
-// jobs can use, so that a model whose versions come fast doesn't take all loads.
+// Plan returns the orders that are due for a service. Models with the smallest usable share come first, so that a model with
+// frequent versions does not use up all loads.
 func (planner *Planner) Plan(models []string, fleet Fleet, targets Targets) []Step {
 	planner.assign(models, fleet, targets)
 	var steps []Step
 	for _, model := range models {
 		steps = append(steps, planner.planModel(model, fleet, targets[model])...)
 	}
-	behind := func(step Step) int64 { return step.Version - fleet.Version(step.Replica, step.Model) }
+	lag := func(step Step) int64 { return step.Version - fleet.Version(step.Replica, step.Model) }
 	slices.SortStableFunc(steps, func(a, b Step) int {
-		return cmp.Or(cmp.Compare(a.covered, b.covered), cmp.Compare(behind(b), behind(a)))
+		return cmp.Or(cmp.Compare(a.usableShare, b.usableShare), cmp.Compare(lag(b), lag(a)))
 	})
 	return withoutRepeats(steps)
 }
 
-// planModel returns the orders that are due for a model: for replicas that new jobs cannot use, and for others until enough
-// are ready for the jobs after those.
+// planModel returns the orders that are due for a model: for replicas that the newest jobs cannot use, and for others until enough
+// have the newest version for the jobs after those.
 func (planner *Planner) planModel(model string, fleet Fleet, target Target) []Step {
 	members := planner.members(model, fleet)
 	ready, usable := 0, 0
@@ -109,30 +110,30 @@
 		}
 	}
 	slices.SortStableFunc(members, func(a, b *catalog.Replica) int { return cmp.Compare(fleet.Version(a, model), fleet.Version(b, model)) })
-	wanted := len(members)
+	readyTarget := len(members)
 	if target.Lag >= 1 {
-		wanted = (len(members) + 1) / 2
+		readyTarget = (len(members) + 1) / 2
 	}
 	var steps []Step
 	for _, replica := range members {
 		version := fleet.Version(replica, model)
-		due := version < target.Version-target.Lag || (version < target.Version && ready < wanted)
+		due := version < target.Version-target.Lag || (version < target.Version && ready < readyTarget)
 		if !due {
 			continue
 		}
 		ready++
-		covered := float64(usable) / float64(len(members))
+		usableShare := float64(usable) / float64(len(members))
 		if version < target.Version-target.Lag {
 			usable++
 		}
 		if !fleet.Busy(replica.ID) {
-			steps = append(steps, Step{Replica: replica, Model: model, Version: target.Version, covered: covered})
+			steps = append(steps, Step{Replica: replica, Model: model, Version: target.Version, usableShare: usableShare})
 		}
 	}
 	return steps
 }
 
-// withoutRepeats keeps the first step of each replica: it takes one order at a time.
+// withoutRepeats keeps the first step of each replica, since a replica takes one order at a time.
 func withoutRepeats(steps []Step) []Step {
 	seen := make(map[string]bool, len(steps))
 	return slices.DeleteFunc(steps, func(step Step) bool {
--- a/internal/weights/shares.go
+++ b/internal/weights/shares.go
@@ -4,31 +4,32 @@
 	"math"
 )
 
-// replicas returns how many replicas the models can have together, each its part of them, if half of each model's load each of
-// its versions.
-func (budget LoadBudget) replicas(parts map[string]float64, targets Targets) float64 {
-	perSecond := 0.0 // loads that one replica of each model, divided by parts, needs
-	for model, part := range parts {
+// sustainableReplicas returns how many replicas all models can have in total, divided by fractions, so that loads keep up if half of
+// a model's replicas load each of its versions.
+func (budget LoadBudget) sustainableReplicas(fractions map[string]float64, targets Targets) float64 {
+	perSecond := 0.0 // loads per second for each replica in total
+	for model, fraction := range fractions {
 		interval := targets[model].Interval
 		if interval <= 0 {
 			interval = defaultInterval
 		}
-		perSecond += part / loadsShareOfVersions / interval.Seconds()
+		perSecond += fraction / versionsPerLoad / interval.Seconds()
 	}
-	return budgetShare * float64(budget.AtOnce) / budget.LoadTime.Seconds() / perSecond
+	return budgetShare * float64(budget.Concurrency) / budget.LoadTime.Seconds() / perSecond
 }
 
-// loadsShareOfVersions is how many versions go by for each load of a replica.
-const loadsShareOfVersions = 2
+// versionsPerLoad is the number of versions per load of one replica if half of the replicas load each version.
+const versionsPerLoad = 2
 
 const (
-	// leastPart and mostPart bound a model's part of the replicas against an equal one.
-	leastPart = 0.5
-	mostPart  = 2.0
+	// minWorkRatio and maxWorkRatio bound the work of a model's jobs relative to the mean of all models.
+	minWorkRatio = 0.5
+	maxWorkRatio = 2.0
 )
 
-// partsOf returns the part of the replicas that each model is due by the work of its jobs; equal ones where that is not known.
-func partsOf(models []string, targets Targets) map[string]float64 {
+// fractionsOf returns the fraction of the replicas that each model is due by the work of its jobs. Models whose work is unknown
+// count as average.
+func fractionsOf(models []string, targets Targets) map[string]float64 {
 	known, count := 0.0, 0
 	for _, model := range models {
 		if targets[model].Work > 0 {
@@ -36,53 +37,53 @@
 			count++
 		}
 	}
-	parts, total := make(map[string]float64, len(models)), 0.0
+	fractions, total := make(map[string]float64, len(models)), 0.0
 	for _, model := range models {
-		part := 1.0
+		fraction := 1.0
 		if work := targets[model].Work; work > 0 {
-			part = min(mostPart, max(leastPart, work*float64(count)/known))
+			fraction = min(maxWorkRatio, max(minWorkRatio, work*float64(count)/known))
 		}
-		parts[model] = part
-		total += part
+		fractions[model] = fraction
+		total += fraction
 	}
-	for model := range parts {
-		parts[model] /= total
+	for model := range fractions {
+		fractions[model] /= total
 	}
-	return parts
+	return fractions
 }
 
-// itemsPerSlot is how many items a slot of the replicas that can run a model's newest jobs is meant to have: with half of the slots taken, a
-// step runs on without a wait after the loss of half of these replicas, and engines whose pace falls with what they run are at their faster.
+// itemsPerSlot is the intended number of items for each slot of the replicas that can run a model's newest jobs. At half load a
+// step continues without waiting after the loss of half of these replicas, and engines that slow down with their batch run faster.
 const itemsPerSlot = 0.5
 
-// needed returns how many replicas the open jobs of a model need, of which half can run the newest where each version is loaded by half of
-// them; many when the jobs are not known.
-func (target Target) needed(slots int) int {
+// neededReplicas returns how many replicas the open jobs of a model need. If each version is loaded by only half of the replicas,
+// twice as many are needed. The number is unlimited if the jobs are unknown.
+func (target Target) neededReplicas(slots int) int {
 	if target.Items <= 0 {
 		return math.MaxInt
 	}
-	usable := int(math.Ceil(float64(target.Items)/itemsPerSlot/float64(max(slots, 1)) - rounding))
+	usable := int(math.Ceil(float64(target.Items)/itemsPerSlot/float64(max(slots, 1)) - roundingTolerance))
 	if target.Lag >= 1 {
-		usable *= loadsShareOfVersions
+		usable *= versionsPerLoad
 	}
-	return max(leastShare, usable)
+	return max(minReplicas, usable)
 }
 
-// shares returns how many of a number of replicas, with so many slots each, each model has: its part, up to twice that where each version is
-// loaded by half of them and as far as loads can keep up; but no more than its jobs need.
+// shares returns how many replicas each model is assigned: its fraction, or up to twice that if each version is loaded by half of
+// them and loads can keep up; but no more than its jobs need.
 func (planner *Planner) shares(models []string, replicas, slots int, targets Targets) map[string]int {
-	parts := partsOf(models, targets)
-	together := planner.Budget.replicas(parts, targets)
+	fractions := fractionsOf(models, targets)
+	sustainable := planner.Budget.sustainableReplicas(fractions, targets)
 	shares := make(map[string]int, len(models))
 	for _, model := range models {
-		share := int(math.Ceil(parts[model]*float64(replicas) - rounding))
+		share := int(math.Ceil(fractions[model]*float64(replicas) - roundingTolerance))
 		if targets[model].Lag >= 1 {
-			share = min(2*share, max(leastShare, int(parts[model]*together+rounding)))
+			share = min(2*share, max(minReplicas, int(fractions[model]*sustainable+roundingTolerance)))
 		}
-		shares[model] = min(share, replicas, targets[model].needed(slots))
+		shares[model] = min(share, replicas, targets[model].neededReplicas(slots))
 	}
 	return shares
 }
 
-// rounding covers what sums of parts lose.
-const rounding = 1e-6
+// roundingTolerance absorbs rounding errors in sums of fractions.
+const roundingTolerance = 1e-6
--- a/internal/weights/standin_test.go
+++ b/internal/weights/standin_test.go
@@ -16,7 +16,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/weights"
 )
 
-// A process whose former one holds the lease still stands in for it until the lease lapses, and leads only then; another node does not.
+// A node whose earlier incarnation still holds the lease runs StandIn until the lease expires, and leads only then. Another node
+// does not run it.
 func TestNodeStandsInForItsFormerProcess(t *testing.T) {
 	for _, own := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/weights/suspension_test.go
+++ b/internal/weights/suspension_test.go
@@ -16,7 +16,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/weights"
 )
 
-// suspendable is the clock of a machine that may be suspended: it goes on then, and the steady clock does not.
+// suspendable is a clock that advances while the machine is suspended, unlike the steady clock.
 type suspendable struct {
 	clock.Clock
 	suspended atomic.Int64
@@ -27,11 +27,11 @@
 	return machine.Clock.Elapsed() + time.Duration(machine.suspended.Load())
 }
 
-// suspend suspends the machine for some time, in which the steady clock stands still.
+// suspend simulates a suspension of the machine, in which the steady clock stands still.
 func (machine *suspendable) suspend(duration time.Duration) { machine.suspended.Add(int64(duration)) }
 
-// held runs an election with a machine's clock and hands its term over.
-func held(t *testing.T, run func(term *weights.Term, machine *suspendable, store *memstore.Store)) {
+// withTerm runs an election with a suspendable clock and passes its first term to run.
+func withTerm(t *testing.T, run func(term *weights.Term, machine *suspendable, store *memstore.Store)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		machine, store := &suspendable{Clock: clock.Steady()}, memstore.New()
@@ -50,31 +50,30 @@
 	})
 }
 
-// A holder whose machine was suspended orders nothing when it wakes: another may hold the lease by then. It goes on once a renewal has told
-// that nobody does.
+// A holder gives no orders after a suspension until a renewal succeeds, since another node may hold the lease by then.
 func TestSuspendedHolderOrdersNothing(t *testing.T) {
-	held(t, func(term *weights.Term, machine *suspendable, _ *memstore.Store) {
+	withTerm(t, func(term *weights.Term, machine *suspendable, _ *memstore.Store) {
 		must.True(t, term.Valid(0))
 		machine.suspend(5 * time.Second)
-		must.False(t, term.Valid(0), must.Sprint("at once, before any timer has run"))
+		must.False(t, term.Valid(0), must.Sprint("immediately, before any timer has fired"))
 		must.LessEq(t, 0, term.Remaining())
 		time.Sleep(electionSettings.Renew + 10*time.Millisecond)
-		must.True(t, term.Valid(0), must.Sprint("its lease was in force still"))
+		must.True(t, term.Valid(0), must.Sprint("the lease was still in force"))
 	})
 }
 
-// A term counts from before its renewal was sent, also if the machine is suspended until the answer comes.
+// A term counts from before its renewal was sent, also if the machine is suspended until the answer arrives.
 func TestSuspensionDuringARenewalCounts(t *testing.T) {
-	held(t, func(term *weights.Term, machine *suspendable, store *memstore.Store) {
+	withTerm(t, func(term *weights.Term, machine *suspendable, store *memstore.Store) {
 		store.SetFaults(memstore.Faults{Silent: true})
-		time.Sleep(electionSettings.Renew + 50*time.Millisecond) // a renewal is under way
+		time.Sleep(electionSettings.Renew + 50*time.Millisecond) // a renewal is in progress
 		machine.suspend(5 * time.Second)
 		store.SetFaults(memstore.Faults{})
 		must.False(t, term.Valid(0))
 	})
 }
 
-// An orderer whose machine was suspended gives no order under its old term.
+// An orderer gives no order under its old term after a suspension.
 func TestSuspendedOrdererGivesNoOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines, machine := newEngines(4), &suspendable{Clock: clock.Steady()}
@@ -85,13 +84,13 @@
 		election.Clock = machine
 		go election.Run(ctx, orderer.Lead)
 		time.Sleep(2 * time.Second)
-		before := len(engines.given())
+		before := len(engines.accepted())
 		machine.suspend(5 * time.Second)
 		orderer.SetTarget("m", 2)
-		time.Sleep(electionSettings.Renew / 2) // less than the next renewal takes to come
-		must.Eq(t, before, len(engines.given()), must.Sprint("under a term that may be over"))
+		time.Sleep(electionSettings.Renew / 2) // before the next renewal
+		must.Eq(t, before, len(engines.accepted()), must.Sprint("the term may be over"))
 		time.Sleep(5 * time.Second)
-		must.Eq(t, 2, engines.at(2), must.Sprint("once it was renewed"))
+		must.Eq(t, 2, engines.countAt(2), must.Sprint("after the renewal"))
 		cancel()
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
--- a/internal/weights/term.go
+++ b/internal/weights/term.go
@@ -8,25 +8,26 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata"
 )
 
-// Term is a time during which this node holds the lease.
+// Term is a period during which this node holds the lease.
 type Term struct {
-	// Fence grows from term to term and is never shared.
-	Fence int64
-	lease metadata.LeaseID
-	life  time.Duration
+	// Fence increases from term to term and is unique.
+	Fence      int64
+	lease      metadata.LeaseID
+	timeToLive time.Duration
 
 	clock clock.Clock
 
 	mu    sync.Mutex
-	until time.Duration // by the clock, counted from before the renewal was sent
-	// begun says that this node is written down as the one that gives orders; none is given before.
+	until time.Duration // by the clock, counted from before the last successful renewal was sent
+	// begun is true once this node is recorded as the orderer. It gives no order before.
 	begun bool
 }
 
-// Valid reports whether the lease is in force, and will be for the margin.
+// Valid reports whether this node may give orders for at least the margin.
 func (term *Term) Valid(margin time.Duration) bool { return term.Remaining() > margin }
 
-// Remaining is how long the lease is in force from now on if it is not renewed; zero or less when it is not, or this node gives no orders yet.
+// Remaining returns how long this node may give orders if the lease is not renewed. It is zero or less if the lease has run out or
+// if this node may not give orders yet.
 func (term *Term) Remaining() time.Duration {
 	term.mu.Lock()
 	defer term.mu.Unlock()
@@ -42,7 +43,7 @@
 	term.begun = true
 }
 
-// Condition holds in the metadata store as long as this term is the last that has begun.
+// Condition returns a condition that holds in the metadata store while the holder's key is as this term wrote it.
 func (term *Term) Condition() metadata.Condition {
 	return metadata.Condition{Key: holderKey, Revision: metadata.Revision(term.Fence)}
 }
@@ -50,5 +51,5 @@
 func (term *Term) extend(sent time.Duration) {
 	term.mu.Lock()
 	defer term.mu.Unlock()
-	term.until = sent + term.life
+	term.until = sent + term.timeToLive
 }
