--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds what a node knows of the deployment: the configuration in force, with routes and services, and the
-// replicas that registered themselves. Readers take immutable snapshots; writers replace them.
+// Package catalog holds a node's view of the deployment: the configuration in force with its routes and services, and the
+// registered replicas. Readers get immutable snapshots; writers replace them.
 package catalog
 
 import (
@@ -9,35 +9,35 @@
 	"time"
 )
 
-// Kind says how often a request of a route may run.
+// Kind is the kind of a route. It determines whether a request may run more than once.
 type Kind int
 
 // Kinds of routes.
 const (
-	// Unsafe requests run at most once. A kind that nobody knows counts as this one.
+	// Unsafe requests run at most once. Unknown kinds are treated as Unsafe.
 	Unsafe Kind = iota
 	// Safe requests may run more than once.
 	Safe
-	// Stream requests are answered by a series of events, and run at most once unless the route is resumable.
+	// Stream requests are answered by a stream of events. They run at most once unless the route is resumable.
 	Stream
-	// Batch routes take batch jobs, whose items may run more than once.
+	// Batch routes accept batch jobs, whose items may run more than once.
 	Batch
 )
 
-// Part is a service with its share of a route's requests.
+// Part is a service and its weight among the services of a route.
 type Part struct {
 	Service string
 	Weight  int
 }
 
-// Route says where requests go.
+// Route selects the services that requests for a host and a path prefix go to.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
 	Parts  []Part
-	// Timeout is the longest time that a request may be held; Objective the time within which an answer earns full credit.
+	// Timeout is the longest time that a request may take. Objective is the latency target for full credit.
 	Timeout     time.Duration
 	Objective   time.Duration
 	MaxAttempts int
@@ -45,10 +45,10 @@
 	Priority      int
 	Resumable     bool
 	SingleVersion bool
-	// Public routes serve callers without a key, and do so for no tenant.
+	// Public routes serve callers without an API key. Their requests belong to no tenant.
 	Public bool
-	// JobObjective is the time after a batch job's submission at which all its results are due; MaxQueue is the time after
-	// which an item may be given up.
+	// JobObjective is the time after the submission of a batch job at which all its results are due. MaxQueue is the time after
+	// which an item may be abandoned.
 	JobObjective time.Duration
 	MaxQueue     time.Duration
 }
@@ -63,7 +63,7 @@
 	Name           string
 	HealthPath     string
 	MaxConnections int
-	// Models are the models that the service's engines run; empty for an application.
+	// Models are the models that the service's engines run; empty for a service without models.
 	Models []string
 }
 
@@ -75,13 +75,13 @@
 	IdleTimeout   time.Duration
 }
 
-// Configuration is one version of the operator's document.
+// Configuration is one version of the operator's configuration document.
 type Configuration struct {
 	Version  int64
 	Routes   []Route
 	Services map[string]Service
 	Limits   Limits
-	// Multitenant says that callers identify themselves by keys, even if Tenants is empty.
+	// Multitenant is true if callers identify themselves by API keys, even if Tenants is empty.
 	Multitenant bool
 	Tenants     []Tenant
 
@@ -90,7 +90,7 @@
 	byTenant map[string]*Tenant
 }
 
-// Index prepares the configuration for FindRoute, TenantOf and FindTenant. It must be called once, before the configuration is shared.
+// Index builds the indexes for FindRoute, TenantOf and FindTenant. It must be called once, before the configuration is shared.
 func (configuration *Configuration) Index() {
 	configuration.byHost = make(map[string][]*Route)
 	for index := range configuration.Routes {
@@ -101,7 +101,7 @@
 	configuration.indexTenants()
 }
 
-// FindRoute returns the route of a host whose prefix is the longest that begins the path; nil without one.
+// FindRoute returns the route of a host with the longest prefix that matches the path, or nil.
 func (configuration *Configuration) FindRoute(host, path string) *Route {
 	var best *Route
 	for _, route := range configuration.byHost[strings.ToLower(host)] {
@@ -112,7 +112,7 @@
 	return best
 }
 
-// Table holds the newest configuration and the replicas. It is safe for concurrent use.
+// Table holds the newest configuration and the registered replicas. It is safe for concurrent use.
 type Table struct {
 	configuration atomic.Pointer[Configuration]
 	replicas      atomic.Pointer[ReplicaSet]
@@ -120,20 +120,20 @@
 	changed       chan struct{}
 }
 
-// NewTable returns a table that knows no configuration and no replicas.
+// NewTable returns a table without a configuration and without replicas.
 func NewTable() *Table {
 	table := &Table{changed: make(chan struct{})}
 	table.replicas.Store(newReplicaSet(nil, 0))
 	return table
 }
 
-// Configuration returns the configuration in force; nil when none is known.
+// Configuration returns the configuration in force, or nil if there is none yet.
 func (table *Table) Configuration() *Configuration { return table.configuration.Load() }
 
-// Replicas returns the replicas that are registered.
+// Replicas returns the registered replicas.
 func (table *Table) Replicas() *ReplicaSet { return table.replicas.Load() }
 
-// SetConfiguration takes a configuration if it is newer than the one in force, and reports whether it did.
+// SetConfiguration replaces the configuration if the given one is newer, and reports whether it did.
 func (table *Table) SetConfiguration(configuration *Configuration) bool {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -141,11 +141,11 @@
 		return false
 	}
 	table.configuration.Store(configuration)
-	table.announce()
+	table.notifyChanged()
 	return true
 }
 
-// SetReplicas replaces the replicas by those of a revision of the metadata store, unless newer ones are known.
+// SetReplicas replaces the replicas by those at a revision of the metadata store, unless the table is newer.
 func (table *Table) SetReplicas(list []Replica, revision int64) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -153,10 +153,10 @@
 		return
 	}
 	table.replicas.Store(newReplicaSet(list, revision))
-	table.announce()
+	table.notifyChanged()
 }
 
-// ChangeReplicas takes changes of replicas up to a revision of the metadata store, unless newer ones are known.
+// ChangeReplicas applies changes up to a revision of the metadata store, unless the table is newer.
 func (table *Table) ChangeReplicas(changes []ReplicaChange, revision int64) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -165,18 +165,18 @@
 		return
 	}
 	table.replicas.Store(before.with(changes, revision))
-	table.announce()
+	table.notifyChanged()
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed at the next change of the table.
 func (table *Table) Changed() <-chan struct{} {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	return table.changed
 }
 
-// announce must be called with mu held.
-func (table *Table) announce() {
+// notifyChanged must be called with mu held.
+func (table *Table) notifyChanged() {
 	close(table.changed)
 	table.changed = make(chan struct{})
 }
--- a/internal/catalog/replica.go
+++ b/internal/catalog/replica.go
@@ -12,9 +12,9 @@
 	Version int64
 }
 
-// Replica is one life of one process of a service, as it registered itself.
+// Replica is the registration of one incarnation of a replica: one lifetime of a process of a service.
 type Replica struct {
-	// ID is used by no other replica, ever, nor by another life of the same one (ReplicaID).
+	// ID identifies an incarnation and is never reused; see ReplicaID.
 	ID       string
 	Service  string
 	Address  string
@@ -24,29 +24,30 @@
 	Models   []ModelVersion
 }
 
-// lifeSeparator stands between the name of a replica and the start of its life. Names don't hold it.
-const lifeSeparator = "@"
+// incarnationSeparator separates the name of a replica from the start time of its incarnation. Names do not contain it.
+const incarnationSeparator = "@"
 
-// ReplicaID returns the identifier of a life of a replica, by the name under which it registers and its start in Unix milliseconds, zero if that is
-// not known. A replica may start again under its name: it holds nothing of what it held before, and counts anew, so that all that is known of a
-// life (versions, orders, loads, paces, suspicions) ends with it.
-func ReplicaID(name string, born int64) string {
-	if born == 0 {
+// ReplicaID returns the identifier of an incarnation of a replica, formed from its registered name and its start time in Unix
+// milliseconds, zero if unknown. A replica that restarts under its name has lost its state and starts counting anew. State that
+// nodes keep by identifier (versions, orders, loads, speeds, suspicions) therefore ends with the incarnation.
+func ReplicaID(name string, startMillis int64) string {
+	if startMillis == 0 {
 		return name
 	}
-	return name + lifeSeparator + strconv.FormatInt(born, 10)
+	return name + incarnationSeparator + strconv.FormatInt(startMillis, 10)
 }
 
-// ReplicaName returns the name of a replica by the identifier of a life of it: what replicas, and nodes of builds that don't tell lives apart, call it.
+// ReplicaName returns the registered name that an identifier belongs to. Replicas, and nodes of builds that do not distinguish
+// incarnations, use the name alone.
 func ReplicaName(id string) string {
-	name, _, _ := strings.Cut(id, lifeSeparator)
+	name, _, _ := strings.Cut(id, incarnationSeparator)
 	return name
 }
 
-// Name returns the name under which the replica registers.
+// Name returns the registered name of the replica.
 func (replica *Replica) Name() string { return ReplicaName(replica.ID) }
 
-// Version returns the version of a model's weights, zero if the replica does not run it.
+// Version returns the version of a model's weights, or zero if the replica does not run the model.
 func (replica *Replica) Version(model string) int64 {
 	for _, held := range replica.Models {
 		if held.Model == model {
@@ -56,7 +57,8 @@
 	return 0
 }
 
-// LoadedSince reports whether an earlier entry of the replica differs in the versions of weights only; nil for no entry.
+// LoadedSince reports whether the replica differs from an earlier entry in nothing but the versions of its weights. It is false if
+// either entry is nil.
 func (replica *Replica) LoadedSince(earlier *Replica) bool {
 	if replica == nil || earlier == nil || slices.Equal(replica.Models, earlier.Models) {
 		return false
@@ -66,7 +68,7 @@
 	return replica.Equal(&same)
 }
 
-// Equal reports whether two entries of a replica say the same.
+// Equal reports whether two entries of a replica are equal.
 func (replica *Replica) Equal(other *Replica) bool {
 	return replica.ID == other.ID && replica.Service == other.Service && replica.Address == other.Address && replica.Zone == other.Zone &&
 		replica.Slots == other.Slots && replica.Draining == other.Draining && slices.Equal(replica.Models, other.Models)
--- a/internal/catalog/replicalist.go
+++ b/internal/catalog/replicalist.go
@@ -6,55 +6,56 @@
 	"strings"
 )
 
-// mostInChunk bounds the replicas of a chunk, which a change copies: 2 KB of pointers. With 10,000 replicas the list of chunks is as large.
-const mostInChunk = 256
+// maxChunkSize bounds the replicas of a chunk. A change copies a chunk and the list of chunks: smaller chunks make the former
+// cheaper, larger ones the latter.
+const maxChunkSize = 256
 
-// ReplicaList is an immutable list of replicas, ordered by identifier. It is kept in chunks, so that a list that follows another by a change
-// copies one of them: with 10,000 replicas 0.03 ms, where a list in one piece took 0.4 and a new one 3 to 5 (BenchmarkOneReplicaChanges).
+// ReplicaList is an immutable list of replicas, ordered by identifier. It consists of chunks, so that a change copies only the
+// chunks that it touches and shares the others with the former list.
 type ReplicaList struct {
-	// chunks are none of them empty; starts are the places of their first replicas.
+	// chunks has no empty chunk; starts has the position of the first replica of each chunk.
 	chunks []chunk
 	starts []int
 	size   int
-	// working is how many do not drain.
+	// working is the number of replicas that are not draining.
 	working int
 }
 
-// chunk is some replicas that follow each other in a list.
+// chunk is a contiguous part of a list.
 type chunk struct {
 	replicas []*Replica
 	working  int
 }
 
 func newChunk(replicas []*Replica) chunk {
-	made := chunk{replicas: replicas}
+	created := chunk{replicas: replicas}
 	for _, replica := range replicas {
 		if !replica.Draining {
-			made.working++
+			created.working++
 		}
 	}
-	return made
+	return created
 }
 
-// NewReplicaList returns a list of replicas in any order.
+// NewReplicaList returns a list of the given replicas, which may be in any order.
 func NewReplicaList(replicas ...*Replica) ReplicaList {
 	return newReplicaList(slices.SortedFunc(slices.Values(replicas), func(a, b *Replica) int { return strings.Compare(a.ID, b.ID) }))
 }
 
 func newReplicaList(sorted []*Replica) ReplicaList {
-	return listOf(chunked(sorted))
+	return listOfChunks(splitChunks(sorted))
 }
 
-// chunked returns chunks that have room to grow.
-func chunked(sorted []*Replica) []chunk {
+// splitChunks splits sorted replicas into half-filled chunks, which have room to grow.
+func splitChunks(sorted []*Replica) []chunk {
 	var chunks []chunk
-	for part := range slices.Chunk(sorted, mostInChunk/2) {
+	for part := range slices.Chunk(sorted, maxChunkSize/2) {
 		chunks = append(chunks, newChunk(part))
 	}
 	return chunks
 }
 
-func listOf(chunks []chunk) ReplicaList {
+func listOfChunks(chunks []chunk) ReplicaList {
 	list := ReplicaList{chunks: chunks, starts: make([]int, 0, len(chunks))}
 	for _, chunk := range chunks {
 		list.starts = append(list.starts, list.size)
@@ -67,19 +68,19 @@
 // Len returns the number of replicas.
 func (list ReplicaList) Len() int { return list.size }
 
-// Working returns the number of replicas that do not drain.
+// Working returns the number of replicas that are not draining.
 func (list ReplicaList) Working() int { return list.working }
 
-// At returns the replica at a place, from 0.
-func (list ReplicaList) At(place int) *Replica {
-	index, found := slices.BinarySearch(list.starts, place)
+// At returns the replica at a position, counted from 0.
+func (list ReplicaList) At(position int) *Replica {
+	index, found := slices.BinarySearch(list.starts, position)
 	if !found {
 		index--
 	}
-	return list.chunks[index].replicas[place-list.starts[index]]
+	return list.chunks[index].replicas[position-list.starts[index]]
 }
 
-// Each returns the replicas in their order.
+// Each iterates over the replicas in order.
 func (list ReplicaList) Each() iter.Seq[*Replica] {
 	return func(yield func(*Replica) bool) {
 		for _, chunk := range list.chunks {
@@ -92,34 +93,34 @@
 	}
 }
 
-// Find returns the replica of an identifier; nil without one.
+// Find returns the replica with an identifier, or nil.
 func (list ReplicaList) Find(id string) *Replica {
 	if list.size == 0 {
 		return nil
 	}
 	replicas := list.chunks[list.chunkOf(id)].replicas
-	index, found := search(replicas, id)
+	index, found := searchReplicas(replicas, id)
 	if !found {
 		return nil
 	}
 	return replicas[index]
 }
 
-// first returns the first replica whose identifier is a given one or follows it; nil without one.
-func (list ReplicaList) first(id string) *Replica {
+// firstFrom returns the first replica whose identifier is at least id, or nil.
+func (list ReplicaList) firstFrom(id string) *Replica {
 	if list.size == 0 {
 		return nil
 	}
 	chunk := list.chunkOf(id)
-	index, _ := search(list.chunks[chunk].replicas, id)
-	place := list.starts[chunk] + index
-	if place >= list.size {
+	index, _ := searchReplicas(list.chunks[chunk].replicas, id)
+	position := list.starts[chunk] + index
+	if position >= list.size {
 		return nil
 	}
-	return list.At(place)
+	return list.At(position)
 }
 
-// chunkOf returns the index of the chunk that an identifier belongs into: the last that begins with it or before it.
+// chunkOf returns the index of the chunk that an identifier belongs to.
 func (list ReplicaList) chunkOf(id string) int {
 	index, found := slices.BinarySearchFunc(list.chunks, id, func(chunk chunk, id string) int { return strings.Compare(chunk.replicas[0].ID, id) })
 	if found {
@@ -128,14 +129,14 @@
 	return max(0, index-1)
 }
 
-func search(sorted []*Replica, id string) (index int, found bool) {
+func searchReplicas(sorted []*Replica, id string) (index int, found bool) {
 	return slices.BinarySearchFunc(sorted, id, func(replica *Replica, id string) int { return strings.Compare(replica.ID, id) })
 }
 
-// with returns the list after changes, which are ordered by identifier, one for each.
+// with returns the list after changes, which are ordered by identifier, at most one for each replica.
 func (list ReplicaList) with(changes []ReplicaChange) ReplicaList {
 	if list.size == 0 {
-		return newReplicaList(merged(nil, changes))
+		return newReplicaList(mergeChanges(nil, changes))
 	}
 	chunks := make([]chunk, 0, len(list.chunks)+1)
 	for index, before := range list.chunks {
@@ -151,23 +152,23 @@
 		chunks = append(chunks, before.with(changes[:count])...)
 		changes = changes[count:]
 	}
-	return listOf(chunks)
+	return listOfChunks(chunks)
 }
 
-// with returns the chunks in place of one after changes: none for an empty one, halves of one that grows too large.
+// with returns the chunks that replace this one after changes: none if it becomes empty, several if it grows too large.
 func (before chunk) with(changes []ReplicaChange) []chunk {
-	replicas := merged(before.replicas, changes)
-	if len(replicas) <= mostInChunk && len(replicas) > 0 {
+	replicas := mergeChanges(before.replicas, changes)
+	if len(replicas) <= maxChunkSize && len(replicas) > 0 {
 		return []chunk{newChunk(replicas)}
 	}
-	return chunked(replicas)
+	return splitChunks(replicas)
 }
 
-// merged returns replicas with changes; both are ordered by identifier.
-func merged(sorted []*Replica, changes []ReplicaChange) []*Replica {
+// mergeChanges returns the replicas after changes; both are ordered by identifier.
+func mergeChanges(sorted []*Replica, changes []ReplicaChange) []*Replica {
 	result := make([]*Replica, 0, len(sorted)+len(changes))
 	for _, change := range changes {
-		index, found := search(sorted, change.ID)
+		index, found := searchReplicas(sorted, change.ID)
 		result = append(result, sorted[:index]...)
 		if change.Replica != nil {
 			result = append(result, change.Replica)
--- a/internal/catalog/replicaset.go
+++ b/internal/catalog/replicaset.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// ReplicaSet is an immutable snapshot of the registered replicas. A set that follows another by a few changes shares all with it but what
-// the changes touch.
+// ReplicaSet is an immutable snapshot of the registered replicas. A set that results from changes shares all untouched parts with
+// the former set.
 type ReplicaSet struct {
-	// Revision is that of the metadata store at which the replicas were registered so.
+	// Revision is the revision of the metadata store that the set corresponds to.
 	Revision  int64
 	all       ReplicaList
 	byService map[string]ReplicaList
 }
 
-// ReplicaChange is a replica that was registered, or whose entry has changed; Replica is nil for one that is gone.
+// ReplicaChange is a replica that has been registered, changed or removed. Replica is nil if it has been removed.
 type ReplicaChange struct {
 	ID      string
 	Replica *Replica
@@ -44,37 +44,37 @@
 // Service returns the replicas of a service, ordered by identifier.
 func (set *ReplicaSet) Service(name string) ReplicaList { return set.byService[name] }
 
-// Find returns a replica; nil if it is not registered.
+// Find returns the replica with an identifier, or nil if it is not registered.
 func (set *ReplicaSet) Find(id string) *Replica { return set.all.Find(id) }
 
-// FindNamed returns the life of a replica that is registered under a name; nil for none.
+// FindNamed returns the incarnation that is registered under a name, or nil.
 func (set *ReplicaSet) FindNamed(name string) *Replica {
 	if replica := set.all.Find(name); replica != nil {
 		return replica
 	}
-	if replica := set.all.first(name + lifeSeparator); replica != nil && replica.Name() == name {
+	if replica := set.all.firstFrom(name + incarnationSeparator); replica != nil && replica.Name() == name {
 		return replica
 	}
 	return nil
 }
 
-// with returns the set after changes, the last of each replica.
+// with returns the set after changes. If a replica occurs more than once, its last change counts.
 func (set *ReplicaSet) with(changes []ReplicaChange, revision int64) *ReplicaSet {
-	changes = set.effective(changes)
+	changes = set.effectiveChanges(changes)
 	next := &ReplicaSet{Revision: revision, all: set.all, byService: set.byService}
 	if len(changes) == 0 {
 		return next
 	}
 	next.all = set.all.with(changes)
 	next.byService = maps.Clone(set.byService)
-	for service, changed := range set.byServices(changes) {
+	for service, changed := range set.changesByService(changes) {
 		next.byService[service] = set.byService[service].with(changed)
 	}
 	return next
 }
 
-// effective returns the last change of each replica, ordered by identifier, without those that say what is known.
-func (set *ReplicaSet) effective(changes []ReplicaChange) []ReplicaChange {
+// effectiveChanges returns the last change of each replica, ordered by identifier, without those that change nothing.
+func (set *ReplicaSet) effectiveChanges(changes []ReplicaChange) []ReplicaChange {
 	last := make(map[string]*Replica, len(changes))
 	for _, change := range changes {
 		last[change.ID] = change.Replica
@@ -82,8 +82,8 @@
 	list := make([]ReplicaChange, 0, len(last))
 	for id, replica := range last {
 		before := set.Find(id)
-		same := before == replica || (before != nil && replica != nil && before.Equal(replica))
-		if !same {
+		unchanged := before == replica || (before != nil && replica != nil && before.Equal(replica))
+		if !unchanged {
 			list = append(list, ReplicaChange{id, replica})
 		}
 	}
@@ -91,8 +91,8 @@
 	return list
 }
 
-// byServices returns the changes by the services whose lists they touch: that of a replica's former entry, and that of its new one.
-func (set *ReplicaSet) byServices(changes []ReplicaChange) map[string][]ReplicaChange {
+// changesByService returns the changes by the services whose lists they affect: the former and the new service of each replica.
+func (set *ReplicaSet) changesByService(changes []ReplicaChange) map[string][]ReplicaChange {
 	touched := make(map[string][]ReplicaChange)
 	for _, change := range changes {
 		before := set.Find(change.ID)
--- a/internal/catalog/replicaset_test.go
+++ b/internal/catalog/replicaset_test.go
@@ -13,7 +13,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/catalog"
 )
 
-// Whatever changes come, in whatever groups, a set that follows by difference holds what one that is built anew does.
+// Any sequence of changes leads to the same set as building it from the resulting replicas.
 func TestChangesLeadToTheSameSet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, known := catalog.NewTable(), make(map[string]catalog.Replica)
@@ -45,16 +45,16 @@
 }
 
 func checkSame(t *rapid.T, known map[string]catalog.Replica, set *catalog.ReplicaSet, revision int64) {
-	anew := catalog.NewTable()
+	rebuilt := catalog.NewTable()
 	var list []catalog.Replica
 	for _, replica := range known {
 		list = append(list, replica)
 	}
-	anew.SetReplicas(list, revision)
+	rebuilt.SetReplicas(list, revision)
 	must.Eq(t, revision, set.Revision)
-	must.Eq(t, values(anew.Replicas().All()), values(set.All()))
+	must.Eq(t, values(rebuilt.Replicas().All()), values(set.All()))
 	for _, service := range []string{"a", "b"} {
-		must.Eq(t, values(anew.Replicas().Service(service)), values(set.Service(service)))
+		must.Eq(t, values(rebuilt.Replicas().Service(service)), values(set.Service(service)))
 	}
 	for id := range known {
 		must.Eq(t, known[id], *set.Find(id))
@@ -80,7 +80,7 @@
 	return result
 }
 
-// A snapshot that a reader holds does not change with the table.
+// A snapshot does not change when the table does.
 func TestSnapshotsStayAsTheyAre(t *testing.T) {
 	table := catalog.NewTable()
 	table.SetReplicas([]catalog.Replica{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}}, 1)
@@ -99,8 +99,8 @@
 	return names
 }
 
-// What one change costs grows far less than the set: memory is counted, which repeats, in place of time. Built anew, 100 times as many
-// replicas take 100 times as much.
+// The cost of one change grows far less than the size of the set. The test compares allocated bytes, which are reproducible,
+// instead of time.
 func TestCostOfAChange(t *testing.T) {
 	perChange := func(count int) int64 {
 		table := tableOf(count)
@@ -131,7 +131,7 @@
 	return []catalog.ReplicaChange{{ID: id, Replica: &catalog.Replica{ID: id, Service: "s", Models: []catalog.ModelVersion{{Model: "m", Version: revision}}}}}
 }
 
-// One replica changes: 4.7 ms and 2.2 MB with 10,000 replicas when the set was built anew.
+// BenchmarkOneReplicaChanges measures the change of one replica by the size of the set.
 func BenchmarkOneReplicaChanges(b *testing.B) {
 	for _, count := range []int{100, 1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -145,18 +145,18 @@
 	}
 }
 
-// The life of a replica is found by its name, also among names that begin alike and others whose lives are not told.
+// FindNamed finds incarnations with and without a start time, also among names with a common prefix.
 func TestFindNamed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, lives := catalog.NewTable(), make(map[string]string)
+		table, ids := catalog.NewTable(), make(map[string]string)
 		var list []catalog.Replica
 		for number := range rapid.IntRange(0, 700).Draw(t, "replicas") {
 			name := fmt.Sprint("i-", number)
-			lives[name] = catalog.ReplicaID(name, rapid.Int64Range(0, 3).Draw(t, "born"))
-			list = append(list, catalog.Replica{ID: lives[name], Service: "a"})
+			ids[name] = catalog.ReplicaID(name, rapid.Int64Range(0, 3).Draw(t, "born"))
+			list = append(list, catalog.Replica{ID: ids[name], Service: "a"})
 		}
 		table.SetReplicas(list, 1)
-		for name, id := range lives {
+		for name, id := range ids {
 			must.Eq(t, id, table.Replicas().FindNamed(name).ID)
 			must.Eq(t, name, catalog.ReplicaName(id))
 		}
--- a/internal/catalog/tenant.go
+++ b/internal/catalog/tenant.go
@@ -5,24 +5,24 @@
 	"strings"
 )
 
-// KeyDigest stands for an API key. Keys themselves are kept nowhere: a digest in a memory dump or a log opens nothing.
+// KeyDigest is the digest of an API key. The keys themselves are not kept, so that a memory dump or a log reveals none.
 type KeyDigest [sha256.Size]byte
 
 // DigestKey returns the digest of an API key.
 func DigestKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// Tenant is a group of callers with keys of its own, who see neither the batch jobs nor the texts of other tenants.
+// Tenant is a group of callers with its own API keys. Tenants cannot see the batch jobs or texts of other tenants.
 type Tenant struct {
 	Name string
-	// Priority is the rank of the tenant's requests; 0 is highest. It goes before the priority of a route.
+	// Priority is the rank of the tenant's requests; 0 is highest. It takes precedence over the priority of a route.
 	Priority int
 	Keys     []KeyDigest
 }
 
-// TenantOf returns the tenant that holds a key; nil when no tenant does.
+// TenantOf returns the tenant that an API key belongs to, or nil.
 func (configuration *Configuration) TenantOf(key KeyDigest) *Tenant { return configuration.byKey[key] }
 
-// FindTenant returns the tenant of a name; nil without one.
+// FindTenant returns the tenant with a name, or nil.
 func (configuration *Configuration) FindTenant(name string) *Tenant {
 	return configuration.byTenant[name]
 }
