--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -1,5 +1,5 @@
-// Package home polls the replicas that this node is the home of, publishes their load, and orders the versions that the
-// configuration wants.
+// Package home controls replicas. Each replica has one home node, which polls it, publishes its load, and orders it to load the
+// versions that the configuration requires.
 package home
 
 import (
@@ -21,22 +21,22 @@
 	"github.com/thistlewalk/thistlewalk/internal/placement"
 )
 
-// Settings of a home.
+// Settings are the settings of a home.
 type Settings struct {
-	// SettleTime is how long after its start a node waits before it takes replicas: until it knows the other members, it
-	// would take them all.
+	// SettleTime is how long after its start a node waits before it polls replicas. Before it has learned the other members, it
+	// would consider itself the home of every replica.
 	SettleTime time.Duration
 	// CallTimeout bounds a poll or an order.
 	CallTimeout time.Duration
-	// FailedAfter is how many polls in a row must fail before a replica is published as failed.
+	// FailedAfter is the number of consecutive failed polls after which a replica is published as failed.
 	FailedAfter int
-	// OrderRetry is the least time between two equal orders to one replica.
+	// OrderRetry is the minimum interval between two equal orders to a replica.
 	OrderRetry time.Duration
-	// OrderAttempts is how many equal orders may fail before the replica is reported; trying goes on more slowly.
+	// OrderAttempts is the number of equal orders after which an error is logged. Later retries are less frequent.
 	OrderAttempts int
 }
 
-// Home runs the replicas of this node.
+// Home controls the replicas whose home is this node.
 type Home struct {
 	settings Settings
 	nodeID   string
@@ -51,13 +51,13 @@
 	logger   *log.Logger
 	started  time.Time
 
-	mu       sync.Mutex
-	replicas map[string]*replica
-	view     *membership.View // that replicas were assigned by
-	listed   *machines.List   // likewise
+	mu          sync.Mutex
+	replicas    map[string]*replica
+	view        *membership.View // membership of the last assignment
+	machineList *machines.List   // machine list of the last assignment
 }
 
-// replica is the state of one replica that this node is the home of. It is used by one tick at a time.
+// replica is the state of a replica whose home is this node. It is not guarded by mu: only one tick at a time uses it.
 type replica struct {
 	machine  machines.Machine
 	failures int
@@ -72,27 +72,27 @@
 	reported bool
 }
 
-// New returns a home without replicas. announce passes on digests whose flags changed; isolated tells that the node sees
-// too few others to know what it is the home of.
+// New returns a home without replicas. announce sends digests whose flags have changed to the other nodes. isolated reports
+// whether the node reaches too few others to know which replicas it is the home of.
 func New(settings Settings, nodeID, zone string, client engine.Client, table *loads.Table, members *membership.Table,
 	list func() *machines.List, document func() *experiment.Document, announce func([]*loads.Digest), isolated func() bool, logger *log.Logger) *Home {
 	return &Home{settings: settings, nodeID: nodeID, zone: zone, client: client, loads: table, members: members,
 		list: list, document: document, announce: announce, isolated: isolated, logger: logger, started: time.Now(), replicas: make(map[string]*replica)}
 }
 
-// Tick polls every replica once, all at the same time, and waits for the answers.
+// Tick polls all replicas concurrently and waits until they have answered.
 func (home *Home) Tick(ctx context.Context) {
 	if time.Since(home.started) < home.settings.SettleTime || home.isolated() {
 		return
 	}
 	var pending sync.WaitGroup
 	for _, found := range home.assigned() {
-		pending.Go(func() { home.visit(ctx, found) })
+		pending.Go(func() { home.poll(ctx, found) })
 	}
 	pending.Wait()
 }
 
-// Assignments returns the home node of each replica on the machine list, by the members known now.
+// Assignments returns the home node of each replica on the machine list, given the current members.
 func (home *Home) Assignments() map[string]string {
 	nodes := make(map[string][]string) // identifiers of live nodes by zone
 	var everywhere []string
@@ -114,15 +114,14 @@
 	return assignments
 }
 
-// assigned returns the replicas whose home is this node. The assignments are worked out anew only when the members or
-// the machine list have changed.
+// assigned returns the replicas whose home is this node. It reassigns them only if the members or the machine list have changed.
 func (home *Home) assigned() []*replica {
 	view, list := home.members.View(), home.list()
 	home.mu.Lock()
 	defer home.mu.Unlock()
-	if home.view != view || home.listed != list {
+	if home.view != view || home.machineList != list {
 		home.reassign()
-		home.view, home.listed = view, list
+		home.view, home.machineList = view, list
 	}
 	assigned := make([]*replica, 0, len(home.replicas))
 	for _, found := range home.replicas {
@@ -131,7 +130,7 @@
 	return assigned
 }
 
-// reassign must hold mu.
+// reassign must be called with mu held.
 func (home *Home) reassign() {
 	assignments := home.Assignments()
 	kept := make(map[string]*replica)
@@ -149,92 +148,92 @@
 	home.replicas = kept
 }
 
-// visit polls one replica, publishes its load and sends the orders that are due.
-func (home *Home) visit(ctx context.Context, found *replica) {
-	report, err := home.client.Report(ctx, found.machine.Address, home.settings.CallTimeout)
+// poll polls a replica, publishes its load and sends the orders that are due.
+func (home *Home) poll(ctx context.Context, target *replica) {
+	report, err := home.client.Report(ctx, target.machine.Address, home.settings.CallTimeout)
 	if ctx.Err() != nil {
 		return
 	}
 	if err != nil {
-		found.failures++
-		home.publishFailure(found)
+		target.failures++
+		home.publishFailure(target)
 		return
 	}
-	found.failures = 0
-	home.publish(found, report)
-	if found.machine.Leaving || report.Leaving {
+	target.failures = 0
+	home.publish(target, report)
+	if target.machine.Leaving || report.Leaving {
 		return
 	}
-	if home.order(ctx, found, report) {
-		if report, err = home.client.Report(ctx, found.machine.Address, home.settings.CallTimeout); err == nil {
-			home.publish(found, report)
+	if home.order(ctx, target, report) {
+		if report, err = home.client.Report(ctx, target.machine.Address, home.settings.CallTimeout); err == nil {
+			home.publish(target, report)
 		}
 	}
 }
 
-func (home *Home) publishFailure(found *replica) {
-	if found.failures < home.settings.FailedAfter {
+func (home *Home) publishFailure(target *replica) {
+	if target.failures < home.settings.FailedAfter {
 		return
 	}
-	digest := loads.Digest{ID: found.machine.ID, Address: found.machine.Address, Zone: found.machine.Zone,
-		Sequence: sequence(), Leaving: found.machine.Leaving, Failed: true}
-	home.offer(digest)
+	digest := loads.Digest{ID: target.machine.ID, Address: target.machine.Address, Zone: target.machine.Zone,
+		Sequence: sequence(), Leaving: target.machine.Leaving, Failed: true}
+	home.publishDigest(digest)
 }
 
-// offer publishes a digest; a change of its flags is announced at once.
-func (home *Home) offer(digest loads.Digest) {
+// publishDigest stores a digest. A change of its flags is announced immediately.
+func (home *Home) publishDigest(digest loads.Digest) {
 	if home.loads.Offer(digest, time.Now()) == loads.NewsFlags {
 		home.announce([]*loads.Digest{&digest})
 	}
 }
 
-func (home *Home) publish(found *replica, report engine.Report) {
+func (home *Home) publish(target *replica, report engine.Report) {
 	held := make([]*controlv1.HeldVersion, 0, len(report.Held))
 	for _, version := range report.Held {
 		held = append(held, &controlv1.HeldVersion{Policy: version.Policy, Active: version.Active, Staged: version.Staged})
 	}
 	slices.SortFunc(held, func(a, b *controlv1.HeldVersion) int { return strings.Compare(a.GetPolicy(), b.GetPolicy()) })
-	digest := loads.Digest{ID: found.machine.ID, Address: found.machine.Address, Zone: found.machine.Zone,
+	digest := loads.Digest{ID: target.machine.ID, Address: target.machine.Address, Zone: target.machine.Zone,
 		Sequence: sequence(), Running: report.Running, Queued: report.Queued, Capacity: report.Capacity,
-		Leaving: found.machine.Leaving || report.Leaving, Held: held}
-	home.offer(digest)
+		Leaving: target.machine.Leaving || report.Leaving, Held: held}
+	home.publishDigest(digest)
 }
 
 func sequence() uint64 { return uint64(time.Now().UnixMilli()) }
 
-// order sends what is due and reports whether any order was taken.
-func (home *Home) order(ctx context.Context, found *replica, report engine.Report) bool {
-	if !home.takeFence(ctx, found, report) {
+// order sends the orders that are due, and reports whether the replica accepted any.
+func (home *Home) order(ctx context.Context, target *replica, report engine.Report) bool {
+	if !home.acquireFence(ctx, target, report) {
 		return false
 	}
 	taken := false
 	for _, policy := range home.document().Policies {
-		next, due := wanted(policy, report)
-		if due && home.send(ctx, found, next) {
+		next, due := nextOrder(policy, report)
+		if due && home.send(ctx, target, next) {
 			taken = true
 		}
 	}
 	return taken
 }
 
-// takeFence makes this node the holder of the replica's fence.
-func (home *Home) takeFence(ctx context.Context, found *replica, report engine.Report) bool {
+// acquireFence makes this node the holder of the replica's fence. A later term prevents a former home from giving orders.
+func (home *Home) acquireFence(ctx context.Context, target *replica, report engine.Report) bool {
 	if report.Fence.Holder == home.nodeID {
-		found.fence = report.Fence
+		target.fence = report.Fence
 		return true
 	}
 	fence := engine.Fence{Term: report.Fence.Term + 1, Holder: home.nodeID, Revision: report.Fence.Revision}
-	err := home.client.Order(ctx, found.machine.Address, engine.Order{Fence: fence, Action: engine.ActionHold}, home.settings.CallTimeout)
+	err := home.client.Order(ctx, target.machine.Address, engine.Order{Fence: fence, Action: engine.ActionHold}, home.settings.CallTimeout)
 	if err != nil {
-		home.logger.Info("fence not taken", "replica", found.machine.ID, "term", fence.Term, "error", err)
+		home.logger.Info("fence not taken", "replica", target.machine.ID, "term", fence.Term, "error", err)
 		return false
 	}
-	found.fence = fence
+	target.fence = fence
 	return true
 }
 
-// wanted returns the order that brings a replica towards what the configuration wants of a policy.
-func wanted(policy experiment.Policy, report engine.Report) (engine.Order, bool) {
+// nextOrder returns the next order that brings a replica closer to the configuration of a policy, and whether an order is due.
+func nextOrder(policy experiment.Policy, report engine.Report) (engine.Order, bool) {
 	held := engine.Held{}
 	for _, candidate := range report.Held {
 		if candidate.Policy == policy.Name {
@@ -260,40 +259,40 @@
 	}
 }
 
-// send sends an order unless an equal one was sent a short time ago.
-func (home *Home) send(ctx context.Context, found *replica, order engine.Order) bool {
-	state, ok := found.orders[order.Policy]
+// send sends an order unless an equal one was sent within the retry delay.
+func (home *Home) send(ctx context.Context, target *replica, order engine.Order) bool {
+	state, ok := target.orders[order.Policy]
 	if !ok || state.order.Action != order.Action || state.order.Version != order.Version {
 		state = &orderState{}
-		found.orders[order.Policy] = state
+		target.orders[order.Policy] = state
 	}
-	if time.Since(state.sent) < home.pause(state) {
+	if time.Since(state.sent) < home.retryDelay(state) {
 		return false
 	}
-	order.Fence.Term, order.Fence.Holder = found.fence.Term, home.nodeID
-	order.Fence.Revision = max(home.document().Revision, found.fence.Revision)
+	order.Fence.Term, order.Fence.Holder = target.fence.Term, home.nodeID
+	order.Fence.Revision = max(home.document().Revision, target.fence.Revision)
 	state.order, state.sent = order, time.Now()
 	state.attempts++
-	err := home.client.Order(ctx, found.machine.Address, order, home.settings.CallTimeout)
+	err := home.client.Order(ctx, target.machine.Address, order, home.settings.CallTimeout)
 	if state.attempts > home.settings.OrderAttempts && !state.reported {
 		state.reported = true
-		home.logger.Error("replica does not follow its orders", "replica", found.machine.ID, "policy", order.Policy,
+		home.logger.Error("replica does not follow its orders", "replica", target.machine.ID, "policy", order.Policy,
 			"version", order.Version, "action", order.Action, "attempts", state.attempts, "error", err)
 	}
 	if err != nil {
-		home.logger.Info("order failed", "replica", found.machine.ID, "policy", order.Policy, "version", order.Version,
+		home.logger.Info("order failed", "replica", target.machine.ID, "policy", order.Policy, "version", order.Version,
 			"action", order.Action, "fenced", errors.Is(err, engine.ErrFenced), "error", err)
 		return false
 	}
 	return true
 }
 
-// slowRetries multiplies the pause once the attempts are spent.
-const slowRetries = 5
+// slowRetryFactor multiplies the retry delay after OrderAttempts attempts.
+const slowRetryFactor = 5
 
-func (home *Home) pause(state *orderState) time.Duration {
+func (home *Home) retryDelay(state *orderState) time.Duration {
 	if state.attempts > home.settings.OrderAttempts {
-		return home.settings.OrderRetry * slowRetries
+		return home.settings.OrderRetry * slowRetryFactor
 	}
 	if state.attempts == 0 {
 		return 0
--- a/internal/home/home_test.go
+++ b/internal/home/home_test.go
@@ -37,7 +37,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			test.held.Policy = "p"
 			policy.State = test.state
-			order, due := wanted(policy, engine.Report{Held: []engine.Held{test.held}})
+			order, due := nextOrder(policy, engine.Report{Held: []engine.Held{test.held}})
 			must.Eq(t, test.due, due)
 			if due {
 				must.Eq(t, test.action, order.Action)
@@ -47,7 +47,7 @@
 	}
 }
 
-// Two homes that both believe in themselves order one engine: the later term wins, and the other's orders are refused.
+// If two nodes both consider themselves the home of a replica, the later term wins and the orders of the other are refused.
 func TestOnlyOneHomeOrdersAReplica(t *testing.T) {
 	server := httptest.NewServer(platform.NewEngine(platform.EngineSettings{ID: "e"}, platform.NewTruth(), nil).Handler())
 	defer server.Close()
