--- a/internal/execution/runner.go
+++ b/internal/execution/runner.go
@@ -1,5 +1,5 @@
-// Package execution runs one rollout: it picks a replica, follows the stream, and goes on at another replica after a
-// failure where the request allows it.
+// Package execution runs a rollout: it selects a replica, follows the stream, and resumes at another replica after a failure if
+// the request allows it.
 package execution
 
 import (
@@ -26,28 +26,29 @@
 	Prompt    string
 	MaxTokens int
 	Priority  int
-	// Repeatable requests may be sent to a second replica after a failure.
+	// Repeatable is true if the request may be sent to another replica after a failure.
 	Repeatable bool
-	// Preferred is the replica that ran the rollout's last turn; empty for none.
+	// Preferred is the replica that ran the previous turn of the rollout; empty if there is none.
 	Preferred string
 	PrefixKey string
-	// RoomShare waits for a replica whose batch is filled to less than this share, instead of queueing; zero does not.
+	// RoomShare makes the request wait for a replica whose batch is filled to less than this share, instead of joining a queue.
+	// Zero disables this.
 	RoomShare float64
 }
 
-// Settings of the runner.
+// Settings are the settings of a runner.
 type Settings struct {
-	// RouteWait is how long a request waits for a serviceable replica before it is refused as not run.
+	// RouteWait is how long a request waits for a replica that can serve it.
 	RouteWait time.Duration
-	// StallTime is how long a stream may be silent before it counts as broken.
+	// StallTime is how long a stream may be silent before the attempt is aborted.
 	StallTime time.Duration
 	// CancelTimeout bounds the call that cancels an abandoned attempt.
 	CancelTimeout time.Duration
-	// MaximumAttempts bounds how many replicas one request is sent to.
+	// MaximumAttempts bounds the number of attempts of a request.
 	MaximumAttempts int
 }
 
-// Counters are totals of a runner.
+// Counters are the totals of a runner.
 type Counters struct {
 	Attempts int64
 	Retries  int64
@@ -68,7 +69,7 @@
 	counters Counters
 }
 
-// NewRunner returns a runner. document gives the newest configuration.
+// NewRunner returns a runner. document returns the newest configuration.
 func NewRunner(settings Settings, zone string, client engine.Client, table *loads.Table, router *routing.Router,
 	budget *admission.RetryBudget, document func() *experiment.Document) *Runner {
 	return &Runner{settings: settings, zone: zone, client: client, loads: table, router: router, budget: budget, document: document}
@@ -77,22 +78,22 @@
 // Outcome is a completed rollout.
 type Outcome struct {
 	Sample rollout.Sample
-	// Replica is the one that finished it.
+	// Replica is the replica that completed the rollout.
 	Replica string
 }
 
-// Run runs a request to its end and passes each chunk to each, in order and without repetition. Its error is a
-// result.Error: of class not run only when no engine began the request.
-func (runner *Runner) Run(ctx context.Context, request Request, each func(rollout.Chunk) error) (Outcome, error) {
+// Run runs a request and passes its chunks to onChunk in order and without repetition. The error is a result.Error. Its class is
+// "not run" only if no engine has begun the request.
+func (runner *Runner) Run(ctx context.Context, request Request, onChunk func(rollout.Chunk) error) (Outcome, error) {
 	run := &run{
-		runner: runner, request: request, each: each,
-		transcript: rollout.NewTranscript(request.RequestID, min(request.MaxTokens, maximumSized)),
-		attempt:    rand.Uint64() >> attemptShift,
-		routedBy:   time.Now().Add(runner.settings.RouteWait),
+		runner: runner, request: request, onChunk: onChunk,
+		transcript:    rollout.NewTranscript(request.RequestID, min(request.MaxTokens, maxPreallocatedTokens)),
+		attempt:       rand.Uint64() >> attemptShift,
+		routeDeadline: time.Now().Add(runner.settings.RouteWait),
 	}
 	runner.budget.FirstAttempt()
 	for {
-		done, err := run.once(ctx)
+		done, err := run.tryOnce(ctx)
 		if err != nil {
 			return Outcome{}, err
 		}
@@ -103,32 +104,32 @@
 }
 
 const (
-	// attemptShift keeps attempt numbers exact in JSON numbers, with room to count up.
-	attemptShift = 12
-	maximumSized = 4096
-	routePause   = 20 * time.Millisecond
+	// attemptShift keeps attempt numbers small enough to be exact in JSON, with room to count up.
+	attemptShift          = 12
+	maxPreallocatedTokens = 4096
+	routeRetryInterval    = 20 * time.Millisecond
 )
 
 // run is the state of one request.
 type run struct {
-	runner     *Runner
-	request    Request
-	each       func(rollout.Chunk) error
-	transcript *rollout.Transcript
-	attempt    uint64
-	attempts   []uint64
-	replicas   []string
-	excluded   []string
-	sent       int
-	// began tells that some engine may have begun the request.
-	began     bool
-	started   time.Time
-	routedBy  time.Time
-	callerErr error
+	runner       *Runner
+	request      Request
+	onChunk      func(rollout.Chunk) error
+	transcript   *rollout.Transcript
+	attempt      uint64
+	attemptIDs   []uint64
+	replicaIDs   []string
+	excluded     []string
+	attemptCount int
+	// mayHaveBegun is true if an engine may have begun the request.
+	mayHaveBegun  bool
+	started       time.Time
+	routeDeadline time.Time
+	callerErr     error
 }
 
-// once makes one attempt. It returns true when the rollout is complete, false to try again.
-func (run *run) once(ctx context.Context) (bool, error) {
+// tryOnce makes one attempt. It returns true if the rollout is complete, and false without an error if it is to be tried again.
+func (run *run) tryOnce(ctx context.Context) (bool, error) {
 	if ctx.Err() != nil {
 		return false, run.interrupted(ctx)
 	}
@@ -139,21 +140,21 @@
 	digest := replica.Digest()
 	run.attempt++
 	run.transcript.BeginAttempt(run.attempt)
-	run.sent++
-	end := replica.Begin()
+	run.attemptCount++
+	finish := replica.Begin()
 	err := run.stream(ctx, digest)
-	end()
+	finish()
 	if err == nil || run.transcript.Complete() && run.callerErr == nil {
 		replica.Succeeded()
-		run.noteAttempt(digest.ID)
+		run.recordAttempt(digest.ID)
 		return true, nil
 	}
-	return false, run.failed(ctx, replica, err)
+	return false, run.handleFailure(ctx, replica, err)
 }
 
-func (run *run) noteAttempt(replicaID string) {
-	run.attempts = append(run.attempts, run.attempt)
-	run.replicas = append(run.replicas, replicaID)
+func (run *run) recordAttempt(replicaID string) {
+	run.attemptIDs = append(run.attemptIDs, run.attempt)
+	run.replicaIDs = append(run.replicaIDs, replicaID)
 }
 
 func (run *run) route() *loads.Replica {
@@ -166,32 +167,32 @@
 	return runner.router.Route(&wanted, runner.loads.List())
 }
 
-// waitForReplica pauses, or gives up when the wait is over.
+// waitForReplica pauses before the next selection, or returns the final result if the wait has ended.
 func (run *run) waitForReplica(ctx context.Context) error {
 	run.excluded = nil
-	if time.Now().After(run.routedBy) {
-		if run.began {
-			return result.New(result.UnknownBroken, "no replica is left to go on at")
+	if time.Now().After(run.routeDeadline) {
+		if run.mayHaveBegun {
+			return result.New(result.UnknownBroken, "no replica is left to resume on")
 		}
 		return result.New(result.NotRunNoReplica, "no replica may run policy %q", run.request.Arm.Policy).WithRetryAfter(time.Second)
 	}
 	select {
 	case <-ctx.Done():
 		return run.interrupted(ctx)
-	case <-time.After(routePause):
+	case <-time.After(routeRetryInterval):
 		return nil
 	}
 }
 
-// interrupted returns the result of a request whose context ended.
+// interrupted returns the result of a request whose context has ended.
 func (run *run) interrupted(ctx context.Context) error {
-	if run.began {
+	if run.mayHaveBegun {
 		return result.New(result.UnknownTimeout, "%v", context.Cause(ctx))
 	}
 	return result.New(result.NotRunDeadline, "%v", context.Cause(ctx))
 }
 
-// stream sends the request and follows its stream; a silent stream is cut.
+// stream sends the request and follows its stream. A silent stream is aborted.
 func (run *run) stream(ctx context.Context, digest *loads.Digest) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -211,39 +212,39 @@
 	}
 	return run.runner.client.Stream(ctx, digest.Address, request, func(chunk rollout.Chunk) error {
 		stall.Reset(run.runner.settings.StallTime)
-		return run.take(chunk)
+		return run.acceptChunk(chunk)
 	})
 }
 
-var errStalled = errors.New("the stream was silent for too long")
+var errStalled = errors.New("stream stalled: no data within the stall timeout")
 
-func (run *run) take(chunk rollout.Chunk) error {
-	taken, err := run.transcript.Append(chunk)
-	if err != nil || !taken {
+func (run *run) acceptChunk(chunk rollout.Chunk) error {
+	appended, err := run.transcript.Append(chunk)
+	if err != nil || !appended {
 		return err
 	}
 	run.runner.countTokens(len(chunk.TokenIDs))
-	if run.each == nil {
+	if run.onChunk == nil {
 		return nil
 	}
-	if err := run.each(chunk); err != nil {
+	if err := run.onChunk(chunk); err != nil {
 		run.callerErr = err
 		return err
 	}
 	return nil
 }
 
-// failed decides what follows a failed attempt: nil to try again.
-func (run *run) failed(ctx context.Context, replica *loads.Replica, cause error) error {
+// handleFailure decides how to continue after a failed attempt. It returns nil to try again.
+func (run *run) handleFailure(ctx context.Context, replica *loads.Replica, cause error) error {
 	digest := replica.Digest()
 	notAccepted := errors.Is(cause, engine.ErrNotAccepted)
 	if !notAccepted {
-		run.began = true
-		run.noteAttempt(digest.ID)
+		run.mayHaveBegun = true
+		run.recordAttempt(digest.ID)
 		go run.cancelAttempt(digest.Address, run.attempt)
 	}
 	if run.callerErr != nil {
-		return result.New(result.UnknownBroken, "the caller went away: %v", run.callerErr)
+		return result.New(result.UnknownBroken, "caller disconnected: %v", run.callerErr)
 	}
 	if ctx.Err() != nil {
 		return run.interrupted(ctx)
@@ -254,24 +255,24 @@
 		return result.New(result.UnknownBroken, "replica %s: %v", digest.ID, cause)
 	}
 	if !notAccepted {
-		run.routedBy = time.Now().Add(run.runner.settings.RouteWait)
+		run.routeDeadline = time.Now().Add(run.runner.settings.RouteWait)
 	}
 	return run.spendRetry(notAccepted, cause)
 }
 
-// spendRetry takes a retry from the budget or returns the final result.
+// spendRetry takes a retry from the budget, or returns the final result if the attempts or the budget are used up.
 func (run *run) spendRetry(notAccepted bool, cause error) error {
 	run.runner.countRetry(run.transcript.Tokens() > 0)
-	if run.sent < run.runner.settings.MaximumAttempts && run.runner.budget.Retry() {
+	if run.attemptCount < run.runner.settings.MaximumAttempts && run.runner.budget.Retry() {
 		return nil
 	}
-	if run.began {
-		return result.New(result.UnknownBroken, "gave up after %d attempts: %v", run.sent, cause)
+	if run.mayHaveBegun {
+		return result.New(result.UnknownBroken, "gave up after %d attempts: %v", run.attemptCount, cause)
 	}
 	if notAccepted {
-		return result.New(result.NotRunRefused, "gave up after %d attempts: %v", run.sent, cause).WithRetryAfter(time.Second)
+		return result.New(result.NotRunRefused, "gave up after %d attempts: %v", run.attemptCount, cause).WithRetryAfter(time.Second)
 	}
-	return result.New(result.UnknownBroken, "gave up after %d attempts: %v", run.sent, cause)
+	return result.New(result.UnknownBroken, "gave up after %d attempts: %v", run.attemptCount, cause)
 }
 
 func (run *run) cancelAttempt(address string, attempt uint64) {
@@ -284,9 +285,9 @@
 	sample.Policy = run.request.Arm.Policy
 	sample.Started = run.started
 	sample.Finished = time.Now()
-	sample.Replicas = run.replicas
-	sample.EngineAttempt = run.attempts
-	return Outcome{Sample: sample, Replica: run.replicas[len(run.replicas)-1]}
+	sample.Replicas = run.replicaIDs
+	sample.EngineAttempt = run.attemptIDs
+	return Outcome{Sample: sample, Replica: run.replicaIDs[len(run.replicaIDs)-1]}
 }
 
 func (runner *Runner) countTokens(count int) {
