--- a/internal/batchlog/bubble_test.go
+++ b/internal/batchlog/bubble_test.go
@@ -5,10 +5,10 @@
 	"testing/synctest"
 )
 
-// bubble is the test that synctest bubbles of drawn histories belong to.
+// bubble is the test whose synctest bubbles run the random histories.
 var bubble *testing.T
 
-// synctestRun runs a function in modelled time.
+// synctestRun runs a function under a simulated clock and passes on its panic.
 func synctestRun(run func()) {
 	var failure any
 	synctest.Test(bubble, func(*testing.T) {
--- a/internal/batchlog/collect.go
+++ b/internal/batchlog/collect.go
@@ -11,11 +11,11 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata"
 )
 
-// deletesPerCall keeps a transaction within the entries that a store takes.
+// deletesPerCall keeps a transaction within the store's limit of entries.
 const deletesPerCall = 30
 
-// Collect removes the jobs that ended before a time of day, and returns how many. Clocks of nodes may differ: the caller
-// leaves a margin. A job whose removal is cut off is removed by a later call, since its entry among the ended goes last.
+// Collect removes the jobs that ended before a point in time and returns their number. The caller must allow for clock skew
+// between nodes. A later call completes an interrupted removal, because the entry under the ended jobs is removed last.
 func (log *Log) Collect(ctx context.Context, before time.Time) (int, error) {
 	listing, err := log.Store.ListStale(ctx, endedPrefix)
 	if err != nil {
--- a/internal/batchlog/keys.go
+++ b/internal/batchlog/keys.go
@@ -4,7 +4,8 @@
 	"fmt"
 )
 
-// endedPrefix lists the jobs that have ended, with the time of day in ms, until they are collected.
+// endedPrefix is the prefix of the entries of ended jobs. Their value is the time of the end in Unix milliseconds. They exist
+// until the job is collected.
 const endedPrefix = "ended/"
 
 func jobPrefix(id string) string { return "batch/" + id + "/" }
@@ -25,5 +26,5 @@
 
 func ownedKey(node, id string) string { return ownedPrefix(node) + id }
 
-// LeftKey is the key that exists from a node's first job on. While it does not, no process of the node has left a job behind.
+// LeftKey returns the key that exists once a node has owned a job. Without it, no process of the node has left a job behind.
 func LeftKey(node string) string { return "left/" + node }
--- a/internal/batchlog/log.go
+++ b/internal/batchlog/log.go
@@ -1,6 +1,6 @@
-// Package batchlog keeps batch jobs in the metadata store: a job and its owner are written in one transaction, results are
-// appended in pages on the condition that the owner has not changed, and an end removes the owner. A former owner, however
-// late it wakes, therefore can neither list results nor undo an end.
+// Package batchlog stores batch jobs in the metadata store. One transaction writes a job and its owner. Results are appended in
+// pages on condition that the owner has not changed, and the end of a job removes its owner. This fences former owners: they can
+// neither append results nor undo an end.
 package batchlog
 
 import (
@@ -21,43 +21,44 @@
 
 // Errors of a Log.
 var (
-	// ErrNotOwner says that another node owns the job by now, or that it has ended.
+	// ErrNotOwner means that another node owns the job or that the job has ended.
 	ErrNotOwner = errors.New("the job has another owner or has ended")
-	// ErrNotFound says that no such job was ever accepted.
+	// ErrNotFound means that the job was never accepted or has been removed.
 	ErrNotFound = errors.New("no such job")
 )
 
 const (
-	chunkBytes = 700 << 10
-	retryFirst = 40 * time.Millisecond
-	retryMost  = 300 * time.Millisecond
-	callLimit  = 600 * time.Millisecond
+	chunkBytes        = 700 << 10
+	initialRetryDelay = 40 * time.Millisecond
+	maxRetryDelay     = 300 * time.Millisecond
+	callTimeout       = 600 * time.Millisecond
 )
 
 // Log reads and writes batch jobs. It is safe for concurrent use.
 type Log struct {
 	Store metadata.Store
-	// Health tells when the store does not answer, so that nothing is tried meanwhile; nil for unknown.
+	// Health delays attempts while the store is unreachable. It may be nil.
 	Health *metadata.Health
-	// Node is the name under which this node owns jobs, Life the life of its process.
+	// Node is the name under which this node owns jobs. Life is the incarnation of its process.
 	Node string
 	Life int64
 }
 
-// Hold is this node's ownership of a job. It belongs to one goroutine, but for InDoubt.
-type Hold struct {
+// Ownership is this node's ownership of a job, fenced by the revision of the owner's key. Except for InDoubt it must be used by
+// one goroutine at a time.
+type Ownership struct {
 	JobID string
-	// doubt says that a try of an append that goes on may have been done without its answer.
-	doubt atomic.Bool
-	// revision of the owner's key; every append carries it as a condition.
+	// inDoubt is true if an attempt of an append may have taken effect without a response.
+	inDoubt atomic.Bool
+	// revision is the revision of the owner's key. It is a condition of every append.
 	revision metadata.Revision
 	claim    string
 	pages    int
 }
 
-// Accept makes a job durable with this node as its owner. If the job was accepted before, held is nil and the caller asks
-// for its owner. An error that is ErrUncertain leaves open whether the job was accepted.
-func (log *Log) Accept(ctx context.Context, job *batchv1.Job) (held *Hold, err error) {
+// Accept makes a job durable with this node as its owner. If the job was accepted before, held is nil, and Owner returns its
+// owner. After an error that is metadata.ErrUncertain the job may have been accepted.
+func (log *Log) Accept(ctx context.Context, job *batchv1.Job) (held *Ownership, err error) {
 	encoded, err := proto.Marshal(job)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode a batch job")
@@ -76,7 +77,7 @@
 	var conflict *metadata.ConflictError
 	switch {
 	case err == nil:
-		return &Hold{JobID: job.GetId(), revision: revision, claim: claim}, nil
+		return &Ownership{JobID: job.GetId(), revision: revision, claim: claim}, nil
 	case errors.As(err, &conflict):
 		return nil, nil
 	default:
@@ -90,7 +91,7 @@
 	return claim, encoded, errors.Wrap(err, "encode an owner")
 }
 
-// Owner returns the owner of a job that has not ended; ErrNotOwner when it has none.
+// Owner returns the owner of a job. It returns ErrNotOwner if the job has none, for example because it has ended.
 func (log *Log) Owner(ctx context.Context, id string) (*batchv1.Ownership, metadata.Revision, error) {
 	item, found, err := log.Store.Get(ctx, ownerKey(id))
 	if err != nil {
@@ -106,27 +107,28 @@
 	return owner, item.Revision, nil
 }
 
-// AnyLife stands for every process of a node.
-const AnyLife = 0
+// AnyIncarnation matches every process of a node.
+const AnyIncarnation = 0
 
-// Claim makes this node the owner of a job in place of a process of a node; ErrNotOwner says that the job is not that one's
-// any more. Nobody takes a job from a node that was not found dead, nor from a process that has begun since.
-func (log *Log) Claim(ctx context.Context, id, from string, life int64) (*Hold, error) {
+// Claim transfers a job from a process of another node, or an earlier process of this node, to this node. It returns ErrNotOwner
+// if that process does not own the job. The incarnation protects a restarted node from claims that are meant for its previous
+// process.
+func (log *Log) Claim(ctx context.Context, id, from string, incarnation int64) (*Ownership, error) {
 	claim, encoded, err := log.newClaim()
 	if err != nil {
 		return nil, err
 	}
-	var held *Hold
+	var held *Ownership
 	err = log.retry(ctx, func(ctx context.Context) error {
 		owner, revision, err := log.Owner(ctx, id)
 		if err != nil {
 			return err
 		}
-		if owner.GetClaim() == claim { // an earlier try was done although its answer was lost
-			held = &Hold{JobID: id, revision: revision, claim: claim}
+		if owner.GetClaim() == claim { // an earlier attempt succeeded but its response was lost
+			held = &Ownership{JobID: id, revision: revision, claim: claim}
 			return nil
 		}
-		if owner.GetNode() != from || (life != AnyLife && owner.GetLife() != life) {
+		if owner.GetNode() != from || (incarnation != AnyIncarnation && owner.GetLife() != incarnation) {
 			return ErrNotOwner
 		}
 		txn := metadata.Txn{
@@ -140,19 +142,19 @@
 		if err != nil {
 			return err
 		}
-		held = &Hold{JobID: id, revision: taken, claim: claim}
+		held = &Ownership{JobID: id, revision: taken, claim: claim}
 		return nil
 	})
 	return held, err
 }
 
-// InDoubt reports whether results may be listed of which this node does not know so yet: the answer of an append was lost, and what
-// became of it is not settled. Any goroutine may ask.
-func (held *Hold) InDoubt() bool { return held.doubt.Load() }
+// InDoubt reports whether the log may have results that this node has not listed yet, because the outcome of an append is
+// unknown. It may be called by any goroutine.
+func (held *Ownership) InDoubt() bool { return held.inDoubt.Load() }
 
-// Append lists results after those that are listed already, and replaces the texts that are not finished; either may be missing. It
-// tries until it succeeds, the context ends, or another owner took the job.
-func (log *Log) Append(ctx context.Context, held *Hold, results []*batchv1.Result, unfinished []*batchv1.Partial) error {
+// Append appends results and replaces the saved texts of unfinished items. Either may be empty. It retries until it succeeds,
+// the context ends, or the job has another owner.
+func (log *Log) Append(ctx context.Context, held *Ownership, results []*batchv1.Result, unfinished []*batchv1.Partial) error {
 	if len(results) == 0 && len(unfinished) == 0 {
 		return nil
 	}
@@ -180,12 +182,12 @@
 		var conflict *metadata.ConflictError
 		if !errors.As(err, &conflict) {
 			if errors.Is(err, metadata.ErrUncertain) {
-				held.doubt.Store(true)
+				held.inDoubt.Store(true)
 			}
 			return err
 		}
 		if page, found := conflict.Find(key); found && string(page.Value) == string(encoded) {
-			return nil // an earlier try was done although its answer was lost
+			return nil // an earlier attempt succeeded but its response was lost
 		}
 		return ErrNotOwner
 	})
@@ -195,10 +197,11 @@
 	return err
 }
 
-// Settled says that this node has taken note of the last append, so that nothing is listed of which it does not know.
-func (held *Hold) Settled() { held.doubt.Store(false) }
+// Settle ends the doubt about appends. The caller has listed the results of the last append.
+func (held *Ownership) Settle() { held.inDoubt.Store(false) }
 
-// End makes the end of a job durable, whoever owns it. Ending twice is no error; ErrNotFound says that there is no such job.
+// End makes the end of a job durable, whichever node owns the job. It is idempotent. It returns ErrNotFound if there is no such
+// job.
 func (log *Log) End(ctx context.Context, id string) error {
 	return log.retry(ctx, func(ctx context.Context) error {
 		owner, revision, err := log.Owner(ctx, id)
@@ -213,9 +216,9 @@
 	})
 }
 
-// EndHeld is End for the owner, which needs no look-up. Whole reports whether the job was this owner's to the end, so that what
-// it listed is all there is; otherwise another node may have listed more.
-func (log *Log) EndHeld(ctx context.Context, held *Hold) (whole bool, err error) {
+// EndOwned is End for the owner of a job, which needs no lookup. complete is true if this node owned the job until its end, so
+// that no other node can have listed further results.
+func (log *Log) EndOwned(ctx context.Context, held *Ownership) (complete bool, err error) {
 	_, err = log.Store.Commit(ctx, endTxn(held.JobID, log.Node, held.revision))
 	if err == nil {
 		return true, nil
@@ -242,8 +245,9 @@
 	return nil
 }
 
-// Resume reads a job that this node has claimed. It must follow the claim, after which no earlier owner can append.
-func (log *Log) Resume(ctx context.Context, held *Hold) (*Record, error) {
+// Resume reads a job that this node has claimed. It must be called after the claim, since no former owner can append from then
+// on.
+func (log *Log) Resume(ctx context.Context, held *Ownership) (*Record, error) {
 	var record *Record
 	err := log.retry(ctx, func(ctx context.Context) error {
 		var err error
@@ -257,7 +261,7 @@
 	return record, nil
 }
 
-// Owned returns the jobs that a node owns and that have not ended. A stale list may be some seconds old, and costs less.
+// Owned returns the identifiers of the open jobs that a node owns. A stale list may lag by some seconds and costs less.
 func (log *Log) Owned(ctx context.Context, node string, stale bool) ([]string, error) {
 	list := log.Store.List
 	if stale {
@@ -274,8 +278,8 @@
 	return ids, nil
 }
 
-// StillOwner reports whether a hold is in force.
-func (log *Log) StillOwner(ctx context.Context, held *Hold) (bool, error) {
+// StillOwner reports whether this node still owns the job under the same claim.
+func (log *Log) StillOwner(ctx context.Context, held *Ownership) (bool, error) {
 	owner, _, err := log.Owner(ctx, held.JobID)
 	if errors.Is(err, ErrNotOwner) {
 		return false, nil
@@ -283,16 +287,16 @@
 	return err == nil && owner.GetClaim() == held.claim, err
 }
 
-// retry repeats an operation that is safe to repeat until it succeeds, fails for good, or the context ends.
+// retry repeats an idempotent operation until it succeeds, fails permanently, or the context ends.
 func (log *Log) retry(ctx context.Context, operation func(context.Context) error) error {
 	policy := backoff.NewExponentialBackOff()
-	policy.InitialInterval, policy.MaxInterval = retryFirst, retryMost
+	policy.InitialInterval, policy.MaxInterval = initialRetryDelay, maxRetryDelay
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
 		log.Health.AwaitGood(ctx)
-		callCtx, cancel := context.WithTimeout(ctx, callLimit)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		err := operation(callCtx)
-		if err != nil && isFinal(err) {
+		if err != nil && isPermanent(err) {
 			return struct{}{}, backoff.Permanent(err)
 		}
 		return struct{}{}, err
@@ -304,4 +308,4 @@
 	return err
 }
 
-func isFinal(err error) bool { return errors.Is(err, ErrNotOwner) || errors.Is(err, ErrNotFound) }
+func isPermanent(err error) bool { return errors.Is(err, ErrNotOwner) || errors.Is(err, ErrNotFound) }
--- a/internal/batchlog/log_test.go
+++ b/internal/batchlog/log_test.go
@@ -29,7 +29,7 @@
 	return ctx
 }
 
-// A job is accepted once, whichever node is asked.
+// Guards against accepting a job twice when it is submitted at two nodes.
 func TestAcceptOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New()
@@ -46,7 +46,7 @@
 	})
 }
 
-// An owner that was frozen can't list results once another node has claimed its job.
+// Guards against appends by a former owner that was suspended while another node claimed its job.
 func TestFormerOwnerCannotAppend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New()
@@ -54,7 +54,7 @@
 		held, err := frozen.Accept(within(t, time.Second), newJob("job"))
 		must.NoError(t, err)
 		must.NoError(t, frozen.Append(within(t, time.Second), held, result("before"), nil))
-		claimed, err := successor.Claim(within(t, time.Second), "job", "a", batchlog.AnyLife)
+		claimed, err := successor.Claim(within(t, time.Second), "job", "a", batchlog.AnyIncarnation)
 		must.NoError(t, err)
 		record, err := successor.Resume(within(t, time.Second), claimed)
 		must.NoError(t, err)
@@ -67,7 +67,7 @@
 	})
 }
 
-// An append whose answer is lost, or that is done only after the try was given up, is listed once.
+// Guards against listing results twice when the response to an append is lost or the append takes effect after its timeout.
 func TestLostAnswerListsOnce(t *testing.T) {
 	for _, late := range []time.Duration{0, 1500 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// After an end nothing is listed, the end repeats, and the job reads as ended.
+// Guards against appends after the end of a job, and against an end that is not idempotent.
 func TestEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New()
@@ -96,7 +96,7 @@
 		must.NoError(t, err)
 		must.NoError(t, other.End(within(t, time.Second), "job"))
 		must.NoError(t, other.End(within(t, time.Second), "job"))
-		whole, err := owner.EndHeld(within(t, time.Second), held)
+		whole, err := owner.EndOwned(within(t, time.Second), held)
 		must.NoError(t, err)
 		must.False(t, whole)
 		must.ErrorIs(t, owner.Append(within(t, time.Second), held, result("late"), nil), batchlog.ErrNotOwner)
@@ -110,29 +110,28 @@
 	})
 }
 
-// A frozen owner that wakes and ends its job must not take what it listed for all there is: it answered positions away that
-// its successor had listed.
+// Guards against a former owner that ends its job and regards its own list as complete although the successor has listed more.
 func TestEndByFormerOwnerIsNotWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New()
 		frozen, successor := batchlog.Log{Store: store, Node: "a"}, batchlog.Log{Store: store, Node: "b"}
 		held, err := frozen.Accept(within(t, time.Second), newJob("job"))
 		must.NoError(t, err)
-		claimed, err := successor.Claim(within(t, time.Second), "job", "a", batchlog.AnyLife)
+		claimed, err := successor.Claim(within(t, time.Second), "job", "a", batchlog.AnyIncarnation)
 		must.NoError(t, err)
 		must.NoError(t, successor.Append(within(t, time.Second), claimed, result("x"), nil))
-		whole, err := frozen.EndHeld(within(t, time.Second), held)
+		whole, err := frozen.EndOwned(within(t, time.Second), held)
 		must.NoError(t, err)
 		must.False(t, whole)
 		claimed, err = successor.Accept(within(t, time.Second), newJob("other"))
 		must.NoError(t, err)
-		whole, err = successor.EndHeld(within(t, time.Second), claimed)
+		whole, err = successor.EndOwned(within(t, time.Second), claimed)
 		must.NoError(t, err)
 		must.True(t, whole)
 	})
 }
 
-// Ended jobs are removed after a while, open ones never.
+// Guards against removing open or recently ended jobs, and against entries of removed jobs that remain in the store.
 func TestCollect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New()
@@ -144,7 +143,7 @@
 				must.NoError(t, log.Append(within(t, time.Second), held, result(fmt.Sprint(id, page)), nil))
 			}
 			if id != "open" {
-				_, err = log.EndHeld(within(t, time.Second), held)
+				_, err = log.EndOwned(within(t, time.Second), held)
 				must.NoError(t, err)
 			}
 			time.Sleep(time.Minute)
@@ -167,7 +166,7 @@
 	})
 }
 
-// A job larger than a value of the store is kept in pieces.
+// Guards against failing to store a job that exceeds the size of one value of the store.
 func TestLargeJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := batchlog.Log{Store: memstore.New(), Node: "a"}
@@ -181,19 +180,20 @@
 	})
 }
 
-// model is what callers were told of one job.
+// model records what was acknowledged to the callers of one job.
 type model struct {
 	accepted, ended bool
 	listed          []string // in the order of their positions
 }
 
-// node is one node's view: what it believes to own.
+// node is one node with the ownership that it assumes to have.
 type node struct {
 	log  batchlog.Log
-	held *batchlog.Hold
+	held *batchlog.Ownership
 }
 
-// Histories of accepts, appends, claims, ends, outages, lost and late writes: what was acknowledged stays, in its place.
+// Guards against losing or moving acknowledged results in random histories of accepts, appends, claims, ends, outages, lost and
+// late writes.
 func TestHistories(t *testing.T) {
 	bubble = t
 	rapid.Check(t, func(t *rapid.T) {
@@ -209,41 +209,41 @@
 	for index := range nodes {
 		nodes[index] = &node{log: batchlog.Log{Store: store, Node: fmt.Sprint("node-", index)}}
 	}
-	told := &model{}
+	acknowledged := &model{}
 	for step, operation := range operations {
-		play(t, store, nodes[picks[step]], told, operation, fmt.Sprint("item-", step))
-		check(t, store, told)
+		play(t, store, nodes[picks[step]], acknowledged, operation, fmt.Sprint("item-", step))
+		check(t, store, acknowledged)
 	}
 	store.SetFaults(memstore.Faults{})
-	time.Sleep(5 * time.Second) // late writes come
-	check(t, store, told)
+	time.Sleep(5 * time.Second) // late writes take effect
+	check(t, store, acknowledged)
 }
 
-func play(t *rapid.T, store *memstore.Store, actor *node, told *model, operation int, item string) {
+func play(t *rapid.T, store *memstore.Store, actor *node, acknowledged *model, operation int, item string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 1200*time.Millisecond)
 	defer cancel()
 	switch operation {
 	case 0, 1:
 		held, err := actor.log.Accept(ctx, newJob("job"))
 		if err == nil {
-			told.accepted = true
+			acknowledged.accepted = true
 		}
 		if held != nil {
 			actor.held = held
 		}
 	case 2, 3, 4:
 		if actor.held != nil && actor.log.Append(ctx, actor.held, result(item), nil) == nil {
-			if told.ended {
+			if acknowledged.ended {
 				t.Fatalf("%s was listed after the end", item)
 			}
-			told.listed = append(told.listed, item)
+			acknowledged.listed = append(acknowledged.listed, item)
 		}
 	case 5, 6:
 		owner, _, err := actor.log.Owner(ctx, "job")
 		if err != nil {
 			return
 		}
-		held, err := actor.log.Claim(ctx, "job", owner.GetNode(), batchlog.AnyLife)
+		held, err := actor.log.Claim(ctx, "job", owner.GetNode(), batchlog.AnyIncarnation)
 		if err != nil {
 			return
 		}
@@ -252,7 +252,7 @@
 		}
 	case 7:
 		if actor.log.End(ctx, "job") == nil {
-			told.ended = true
+			acknowledged.ended = true
 		}
 	case 8:
 		store.SetFaults(memstore.Faults{LoseAnswers: 2, LateBy: time.Duration(len(item)%3) * 700 * time.Millisecond})
@@ -263,38 +263,38 @@
 	}
 }
 
-// check reads the job as any node would and compares it with what callers were told.
-func check(t *rapid.T, store *memstore.Store, told *model) {
+// check reads the job as any node would and compares it with what was acknowledged.
+func check(t *rapid.T, store *memstore.Store, acknowledged *model) {
 	reader := batchlog.Log{Store: store, Node: "reader"}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	record, err := reader.Load(ctx, "job")
 	if err != nil {
-		if told.accepted {
-			t.Fatalf("an accepted job can't be read: %v", err)
+		if acknowledged.accepted {
+			t.Fatalf("an accepted job cannot be read: %v", err)
 		}
 		return
 	}
-	if told.ended && !record.Ended {
-		t.Fatalf("an acknowledged end is gone")
+	if acknowledged.ended && !record.Ended {
+		t.Fatalf("an acknowledged end is lost")
 	}
 	position, seen := 0, make(map[string]bool)
 	for _, listed := range record.Results {
 		if seen[listed.GetItemId()] {
-			t.Fatalf("%s stands twice", listed.GetItemId())
+			t.Fatalf("%s is listed twice", listed.GetItemId())
 		}
 		seen[listed.GetItemId()] = true
-		if position < len(told.listed) && told.listed[position] == listed.GetItemId() {
+		if position < len(acknowledged.listed) && acknowledged.listed[position] == listed.GetItemId() {
 			position++
 		}
 	}
-	if position != len(told.listed) {
-		t.Fatalf("listed %v, told %v", record.Results, told.listed)
+	if position != len(acknowledged.listed) {
+		t.Fatalf("listed %v, acknowledged %v", record.Results, acknowledged.listed)
 	}
 }
 
-// An owner knows that results may be listed without its knowledge while the outcome of an append is open: whoever reads the log itself
-// may have seen them already.
+// Guards against an owner that rules out further results while the outcome of an append is unknown: readers of the log may have
+// seen them already.
 func TestAppendOfUnknownOutcomeIsInDoubt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New()
@@ -305,13 +305,13 @@
 		store.SetFaults(memstore.Faults{LoseAnswers: 1})
 		appended := make(chan error, 1)
 		go func() { appended <- log.Append(within(t, 5*time.Second), held, result("first"), nil) }()
-		time.Sleep(620 * time.Millisecond) // the first call has ended, the second waits
+		time.Sleep(620 * time.Millisecond) // the first call has timed out and the second is pending
 		must.True(t, held.InDoubt())
 		must.NoError(t, <-appended)
-		must.True(t, held.InDoubt(), must.Sprint("until the owner lists it, too"))
-		held.Settled()
+		must.True(t, held.InDoubt(), must.Sprint("until the owner has listed the results"))
+		held.Settle()
 		must.False(t, held.InDoubt())
-		store.SetFaults(memstore.Faults{Down: true}) // refused: nothing was done
+		store.SetFaults(memstore.Faults{Down: true}) // rejected without effect
 		go func() { appended <- log.Append(within(t, time.Second), held, result("second"), nil) }()
 		time.Sleep(400 * time.Millisecond)
 		must.False(t, held.InDoubt())
--- a/internal/batchlog/record.go
+++ b/internal/batchlog/record.go
@@ -10,18 +10,18 @@
 	batchv1 "github.com/thistlewalk/thistlewalk/api/batch/v1"
 )
 
-// Record is a job as it is stored.
+// Record is a job as stored.
 type Record struct {
 	Job     *batchv1.Job
 	Results []*batchv1.Result
-	// Unfinished are texts that the owner had not finished when it last listed results.
+	// Unfinished holds the latest saved texts of unfinished items.
 	Unfinished []*batchv1.Partial
 	Ended      bool
 	Owner      *batchv1.Ownership
 	pages      int
 }
 
-// Load reads a job; ErrNotFound says that it was never accepted.
+// Load reads a job. It returns ErrNotFound if the job was never accepted or has been removed.
 func (log *Log) Load(ctx context.Context, id string) (*Record, error) {
 	listing, err := log.Store.List(ctx, jobPrefix(id))
 	if err != nil {
@@ -44,7 +44,7 @@
 	return record, nil
 }
 
-// add takes one key of a job. Keys come in their order, so that chunks and pages do.
+// add decodes the value of one key of a job. Keys must be added in lexical order, so that chunks and pages are in sequence.
 func (record *Record) add(name string, value []byte, encoded *[]byte) error {
 	switch {
 	case strings.HasPrefix(name, "job/"):
--- a/internal/batchrun/backup.go
+++ b/internal/batchrun/backup.go
@@ -61,18 +61,18 @@
 // offerGrowing has the text of a running item saved if it has grown enough since it last was, and backed up if the log can't take it.
 // It is called by the item's run.
 func (running *task) offerGrowing() {
-	if running.lastEvent < max(partialLeast, running.saved) {
+	if running.lastEvent < max(partialLeast, running.nextSave) {
 		return
 	}
-	running.saved = running.lastEvent + savedStep
+	running.nextSave = running.lastEvent + savedStep
 	partial := &batchv1.Partial{
 		ItemId: running.item.GetId(), Text: bytes.Clone(running.text), LastEvent: running.lastEvent, Versions: slices.Clone(running.versions),
 	}
 	owned := running.job
 	owned.mu.Lock()
 	defer owned.mu.Unlock()
-	if running.lastEvent >= running.backedUp {
-		running.backedUp = int64(partialGrowth * float64(running.lastEvent))
+	if running.lastEvent >= running.nextBackup {
+		running.nextBackup = int64(partialGrowth * float64(running.lastEvent))
 		owned.growing[partial.GetItemId()] = partial
 	}
 	owned.unfinished[partial.GetItemId()] = partial
@@ -187,7 +187,7 @@
 func (runner *Runner) fetchKept(ctx context.Context, id string) []*batchv1.Partial {
 	ctx, cancel := context.WithTimeout(ctx, backupLimit)
 	defer cancel()
-	list := runner.kept.partialsOf(id)
+	list := runner.kept.forJob(id)
 	var mu sync.Mutex
 	var calls sync.WaitGroup
 	for _, name := range runner.Peers.Nearest() {
--- a/internal/batchrun/room_bench_test.go
+++ b/internal/batchrun/capacity_bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/catalog"
 )
 
-// benchScheduler is a scheduler over replicas of three models, with what other nodes told of their loads.
+// benchScheduler returns a scheduler over replicas of three models, with loads reported by other nodes.
 func benchScheduler(replicas, nodes int) *scheduler {
 	table := catalog.NewTable()
 	var list []catalog.Replica
@@ -27,12 +27,12 @@
 	runner := &Runner{Options: Options{Catalog: table, Loads: loads, Zone: "z"}}
 	scheduler := newScheduler(runner)
 	for index := range replicas {
-		scheduler.pace.observe(fmt.Sprint("r", index), 40*time.Millisecond, now)
+		scheduler.latencies.observe(fmt.Sprint("r", index), 40*time.Millisecond, now)
 	}
 	return scheduler
 }
 
-// One round places a step of 150 items.
+// BenchmarkPlaceStep measures one dispatch round that places a job of 150 items.
 func BenchmarkPlaceStep(b *testing.B) {
 	for _, replicas := range []int{35, 750, 3000} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
@@ -43,11 +43,11 @@
 			}
 			owned := newJob(b.Context(), definition, time.Second)
 			for b.Loop() {
-				room := newRoom(scheduler, time.Now())
+				capacity := newCapacity(scheduler, time.Now())
 				for _, item := range definition.GetItems() {
 					waiting := &task{job: owned, item: item, service: "s"}
-					if replica := room.pick(waiting); replica != nil {
-						room.take(replica.ID)
+					if replica := capacity.pick(waiting); replica != nil {
+						capacity.reserve(replica.ID)
 					}
 				}
 			}
--- a/internal/batchrun/defer.go
+++ b/internal/batchrun/defer.go
@@ -107,7 +107,7 @@
 	if owned.deferral.taken.Load() {
 		wait = takeWait
 	}
-	reached := runner.callPeer(owned.ctx, name, wait+preferredLimit, func(ctx context.Context, client batchv1.Batches) (bool, error) {
+	reached := runner.callPeer(owned.ctx, name, wait+preferredTimeout, func(ctx context.Context, client batchv1.Batches) (bool, error) {
 		response, err := client.Take(ctx, &batchv1.TakeRequest{Job: owned.definition, WaitMs: wait.Milliseconds()})
 		accepted = response.GetAccepted()
 		return err == nil, err
@@ -128,7 +128,7 @@
 // beginEarly begins the items of a job whose acceptance takes long, unless the preferred node does, or this node is cut off: another may
 // have accepted the job by now, and items that run twice take the replicas' slots from each other.
 func (runner *Runner) beginEarly(owned *job) {
-	for wait := beginAfter; ; wait = takeAgain {
+	for wait := earlyStartDelay; ; wait = takeAgain {
 		timer := time.NewTimer(wait)
 		select {
 		case <-owned.accepted:
@@ -145,7 +145,7 @@
 		if owned.deferral.taken.Swap(false) {
 			runner.Logger.Warn("job no longer deferred", "job", owned.id())
 		}
-		runner.begin(owned)
+		runner.startItems(owned)
 		return
 	}
 }
@@ -157,7 +157,7 @@
 	if runner.ended.has(id) || runner.knownElsewhere(ctx, id) {
 		return &batchv1.TakeResponse{Accepted: true}, nil
 	}
-	if runner.isCutOff() {
+	if runner.isPartitioned() {
 		return nil, twirp.NewError(twirp.Unavailable, errNotServed.Error())
 	}
 	owned := runner.acceptOnce(request.GetJob(), runner.objectiveOf(request.GetJob()))
--- a/internal/batchrun/end.go
+++ b/internal/batchrun/end.go
@@ -68,16 +68,16 @@
 
 // endDurably writes the end of a job whose items are cut.
 func (runner *Runner) endDurably(owned *job) error {
-	ctx, cancel := context.WithTimeout(runner.ctx, acceptLimit)
+	ctx, cancel := context.WithTimeout(runner.ctx, acceptTimeout)
 	defer cancel()
-	whole, err := runner.Log.EndHeld(ctx, owned.held)
+	whole, err := runner.Log.EndOwned(ctx, owned.held)
 	if whole {
 		runner.remember(owned)
 	}
 	runner.Metrics.Job("ended")
-	spent := runner.spent(owned)
+	spent := runner.timingOf(owned)
 	runner.Logger.Info("job ended", "job", owned.id(), "listed", len(owned.listed), "items", len(owned.items), "step", owned.definition.GetStep(),
-		"here_ms", spent.here.Milliseconds(), "enough_ms", spent.enough.Milliseconds(), "bound_ms", spent.bound.Milliseconds(),
+		"here_ms", spent.elapsed.Milliseconds(), "enough_ms", spent.enough.Milliseconds(), "bound_ms", spent.lowerBound.Milliseconds(),
 		"longest", spent.longest, "events", spent.events, "error", err)
 	runner.remove(owned)
 	if err != nil {
@@ -120,7 +120,7 @@
 // awaitEnd waits for an end that another caller began.
 func (runner *Runner) awaitEnd(ctx context.Context, owned *job) error {
 	for runner.find(owned.id()) == owned && ctx.Err() == nil {
-		wait.Pause(ctx, acceptPause)
+		wait.Pause(ctx, acceptRetryDelay)
 	}
 	if runner.ended.has(owned.id()) {
 		return nil
--- a/internal/batchrun/evacuate.go
+++ b/internal/batchrun/evacuate.go
@@ -39,7 +39,7 @@
 		if len(names) == 0 {
 			continue
 		}
-		for _, owned := range runner.open() {
+		for _, owned := range runner.openJobs() {
 			if owned.isAccepted() {
 				taken := runner.handOver(ctx, owned, names)
 				runner.Logger.Warn("job evacuated", "job", owned.id(), "to", names, "taken", taken, "lost_ms", runner.Log.Health.LostFor().Milliseconds())
--- a/internal/batchrun/flush.go
+++ b/internal/batchrun/flush.go
@@ -47,7 +47,7 @@
 	err := runner.Log.Append(owned.ctx, owned.held, results, texts)
 	if err == nil {
 		owned.list(results)
-		owned.held.Settled()
+		owned.held.Settle()
 		if len(results) == 0 {
 			return true
 		}
--- a/internal/batchrun/generate.go
+++ b/internal/batchrun/generate.go
@@ -63,13 +63,13 @@
 	if target != nil && ended != outcomeMoved {
 		runner.Loads.End(target.ID, backend.Unknown, time.Now())
 	}
-	runner.scheduler.nudge()
+	runner.scheduler.wakeUp()
 	runner.Metrics.Item(ended.String(), time.Since(started))
 	runner.Logger.Info("item", "request", running.item.GetId(), "job", running.job.id(), "replica", replica.ID, "outcome", ended,
 		"status", status, "from", from, "events", running.lastEvent, "versions", running.versions, "minimum", running.job.definition.GetMinimumVersion(),
 		"took_ms", time.Since(started).Milliseconds())
 	if ended == outcomeMoved {
-		runner.goOn(running, target, route)
+		runner.runAt(running, target, route)
 		return
 	}
 	runner.follow(running, replica, route, ended)
@@ -139,7 +139,7 @@
 func (runner *Runner) attempt(current *attempt, route *catalog.Route) (ended outcome, status int) {
 	running, replica := current.task, current.replica
 	if running.job.ctx.Err() != nil {
-		runner.scheduler.untried(replica.ID)
+		runner.scheduler.cancelProbe(replica.ID)
 		return outcomeCut, 0
 	}
 	ctx, cancel := context.WithCancelCause(running.job.ctx)
@@ -150,18 +150,18 @@
 	answer, err := runner.Sender.Send(ctx, replica, itemRequest(running, route))
 	switch {
 	case backend.IsHeld(err):
-		runner.scheduler.untried(replica.ID)
+		runner.scheduler.cancelProbe(replica.ID)
 		return outcomeHeld, 0
 	case err != nil:
-		runner.scheduler.took(replica.ID)
+		runner.scheduler.clearRefusal(replica.ID)
 		return interrupted(ctx, running), 0
 	}
 	defer answer.Body.Close()
 	if answer.NotExecuted {
-		runner.scheduler.refused(replica.ID, time.Now())
+		runner.scheduler.recordRefusal(replica.ID, time.Now())
 		return outcomeRefused, answer.Status
 	}
-	runner.scheduler.took(replica.ID)
+	runner.scheduler.clearRefusal(replica.ID)
 	switch {
 	case answer.Status == http.StatusUnprocessableEntity:
 		running.rejected++
@@ -278,8 +278,8 @@
 	gap := now.Sub(stream.last)
 	stream.last = now
 	stream.events++
-	stream.attempt.made.Store(stream.task.lastEvent)
+	stream.attempt.events.Store(stream.task.lastEvent)
 	if stream.events > 1 {
-		stream.runner.scheduler.pace.observe(stream.replica.ID, gap, now)
+		stream.runner.scheduler.latencies.observe(stream.replica.ID, gap, now)
 	}
 }
--- a/internal/batchrun/history_test.go
+++ b/internal/batchrun/history_test.go
@@ -163,7 +163,7 @@
 	for _, other := range []string{"a", "b", "c"} {
 		if runner := history.world.node(other); runner != nil && other != name {
 			if runner.TakeOverNode(context.Background(), name, life) == nil { // the node itself takes up what is left
-				history.world.forget(name)
+				history.world.clearLeftKey(name)
 			}
 			break
 		}
@@ -180,7 +180,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 	defer cancel()
 	if runner.HandOver(ctx) {
-		history.world.forget(name)
+		history.world.clearLeftKey(name)
 	}
 	history.world.kill(name)
 	history.world.start(name)
--- a/internal/batchrun/job.go
+++ b/internal/batchrun/job.go
@@ -27,8 +27,8 @@
 	deferral deferral
 
 	mu        sync.Mutex
-	held      *batchlog.Hold // nil until accepted; used by the flush loop only afterwards
-	elsewhere bool           // accepted, but another node owns it or it has ended
+	held      *batchlog.Ownership // nil until accepted; used by the flush loop only afterwards
+	elsewhere bool                // accepted, but another node owns it or it has ended
 	progress  *batch.Progress
 	tasks     map[string]*task
 	listed    []*batchv1.Result
--- a/internal/batchrun/kept.go
+++ b/internal/batchrun/kept.go
@@ -8,63 +8,63 @@
 )
 
 const (
-	keptMost = 2048
-	keptLife = 30 * time.Second
-	keptJobs = 256
+	maxKeptItems = 2048
+	keptTTL      = 30 * time.Second
+	maxKeptJobs  = 256
 )
 
-// keptText is what a job had made of an item, possibly nothing, in case a later job brings the item back or another node takes
-// the job up.
+// keptText is the text generated so far for an item, possibly empty. It is kept for a later job that submits the item again and
+// for the node that takes over the job.
 type keptText struct {
 	job       string
 	tenant    string
 	text      []byte
 	lastEvent int64
 	versions  []int64
-	whole     bool
+	complete  bool
 	at        time.Time
 }
 
-// keptItems holds texts by item. It is safe for concurrent use.
+// keptItems is a bounded store of texts by item. It is safe for concurrent use.
 type keptItems struct {
 	mu    sync.Mutex
 	items map[keptKey]*keptText
-	// ofJob are the items that other nodes had kept here, by job.
-	ofJob map[string]map[keptKey]bool
+	// byJob holds the keys of the texts that other nodes stored here, by job.
+	byJob map[string]map[keptKey]bool
 }
 
-// keptKey names an item: another tenant may use the same identifier.
+// keptKey identifies an item. Item identifiers are unique only within a tenant.
 type keptKey struct{ tenant, item string }
 
 func newKeptItems() *keptItems {
-	return &keptItems{items: make(map[keptKey]*keptText), ofJob: make(map[string]map[keptKey]bool)}
+	return &keptItems{items: make(map[keptKey]*keptText), byJob: make(map[string]map[keptKey]bool)}
 }
 
-// keepFor keeps texts of a job of a tenant for its owner.
-func (kept *keptItems) keepFor(job, tenant string, partials []*batchv1.Partial) {
+// putForJob stores texts that the owner of a job backs up at this node.
+func (kept *keptItems) putForJob(job, tenant string, partials []*batchv1.Partial) {
 	now := time.Now()
 	for _, partial := range partials {
-		kept.put(partial.GetItemId(), textOf(job, tenant, partial, now))
+		kept.put(partial.GetItemId(), newKeptText(job, tenant, partial, now))
 	}
 	kept.mu.Lock()
 	defer kept.mu.Unlock()
-	if len(kept.ofJob) >= keptJobs {
-		clear(kept.ofJob)
+	if len(kept.byJob) >= maxKeptJobs {
+		clear(kept.byJob)
 	}
-	if kept.ofJob[job] == nil {
-		kept.ofJob[job] = make(map[keptKey]bool, len(partials))
+	if kept.byJob[job] == nil {
+		kept.byJob[job] = make(map[keptKey]bool, len(partials))
 	}
 	for _, partial := range partials {
-		kept.ofJob[job][keptKey{tenant, partial.GetItemId()}] = true
+		kept.byJob[job][keptKey{tenant, partial.GetItemId()}] = true
 	}
 }
 
-// partialsOf returns what is kept for a job.
-func (kept *keptItems) partialsOf(job string) []*batchv1.Partial {
+// forJob returns the texts that the owner of a job backed up at this node.
+func (kept *keptItems) forJob(job string) []*batchv1.Partial {
 	kept.mu.Lock()
 	defer kept.mu.Unlock()
 	var list []*batchv1.Partial
-	for key := range kept.ofJob[job] {
+	for key := range kept.byJob[job] {
 		if text := kept.items[key]; text != nil {
 			list = append(list, text.partial(key.item))
 		}
@@ -72,14 +72,14 @@
 	return list
 }
 
-func textOf(job, tenant string, partial *batchv1.Partial, now time.Time) *keptText {
+func newKeptText(job, tenant string, partial *batchv1.Partial, now time.Time) *keptText {
 	return &keptText{
-		job: job, tenant: tenant, text: partial.GetText(), lastEvent: partial.GetLastEvent(), versions: partial.GetVersions(), whole: partial.GetWhole(), at: now,
+		job: job, tenant: tenant, text: partial.GetText(), lastEvent: partial.GetLastEvent(), versions: partial.GetVersions(), complete: partial.GetWhole(), at: now,
 	}
 }
 
 func (text *keptText) partial(id string) *batchv1.Partial {
-	return &batchv1.Partial{ItemId: id, Text: text.text, LastEvent: text.lastEvent, Versions: text.versions, Whole: text.whole}
+	return &batchv1.Partial{ItemId: id, Text: text.text, LastEvent: text.lastEvent, Versions: text.versions, Whole: text.complete}
 }
 
 func (kept *keptItems) put(id string, text *keptText) {
@@ -87,23 +87,23 @@
 	defer kept.mu.Unlock()
 	key := keptKey{text.tenant, id}
 	present := kept.items[key]
-	if present == nil && len(kept.items) >= keptMost {
+	if present == nil && len(kept.items) >= maxKeptItems {
 		kept.expire(text.at)
 	}
-	if (present != nil && text.supersedes(present)) || (present == nil && len(kept.items) < keptMost) {
+	if (present != nil && text.supersedes(present)) || (present == nil && len(kept.items) < maxKeptItems) {
 		kept.items[key] = text
 	}
 }
 
-// supersedes reports whether a text takes the place of another of the same item: one made under newer weights, or a longer one.
+// supersedes reports whether text replaces other as the text of the same item: it was made by newer weights or is longer.
 func (text *keptText) supersedes(other *keptText) bool {
-	if newest, before := newestOf(text.versions), newestOf(other.versions); newest != before {
+	if newest, before := newestVersion(text.versions), newestVersion(other.versions); newest != before {
 		return newest > before
 	}
-	return text.whole || (!other.whole && text.lastEvent >= other.lastEvent)
+	return text.complete || (!other.complete && text.lastEvent >= other.lastEvent)
 }
 
-func newestOf(versions []int64) int64 {
+func newestVersion(versions []int64) int64 {
 	newest := int64(0)
 	for _, version := range versions {
 		newest = max(newest, version)
@@ -111,17 +111,17 @@
 	return newest
 }
 
-// expire must be called with mu held.
+// expire removes texts that are older than keptTTL. It must be called with mu held.
 func (kept *keptItems) expire(now time.Time) {
 	for key, text := range kept.items {
-		if now.Sub(text.at) > keptLife {
+		if now.Sub(text.at) > keptTTL {
 			delete(kept.items, key)
 		}
 	}
 }
 
-// take returns and forgets the text of an item of a job, whichever job of its tenant made it; nil without one. What a node of a build that tells no
-// tenant had kept here counts for its own job only.
+// take removes and returns the text of an item, whichever job of the same tenant produced it, or nil. A text without a tenant
+// comes from a node with an older build and is used only for the job that produced it.
 func (kept *keptItems) take(owned *job, id string) *keptText {
 	kept.mu.Lock()
 	defer kept.mu.Unlock()
@@ -139,21 +139,23 @@
 	return text
 }
 
-// useKept begins an item with a kept text if the versions that made it fit the job, and reports whether it is whole.
-func (waiting *task) useKept(kept *keptText) (whole bool) {
-	waiting.returned = kept.job != waiting.job.id()
+// resumeFrom continues an item from a kept text if the weights that made it satisfy the job's minimum version. It reports
+// whether the text is complete.
+func (waiting *task) resumeFrom(kept *keptText) (complete bool) {
+	waiting.resubmitted = kept.job != waiting.job.id()
 	for _, version := range kept.versions {
 		if version < waiting.job.definition.GetMinimumVersion() {
 			return false
 		}
 	}
 	waiting.text, waiting.lastEvent, waiting.versions = kept.text, kept.lastEvent, kept.versions
-	return kept.whole
+	return kept.complete
 }
 
-// keep remembers what was made of an item whose job ended or left this node, also if it is nothing: the item may be brought back.
-func (runner *Runner) keep(cut *task, whole bool) {
-	runner.kept.put(cut.item.GetId(), &keptText{
-		job: cut.job.id(), tenant: cut.job.definition.GetTenant(), text: cut.text, lastEvent: cut.lastEvent, versions: cut.versions, whole: whole, at: time.Now(),
+// keep stores the text of an item whose job ended or left this node. An empty text is stored as well: it marks the item as seen
+// if a later job submits it again.
+func (runner *Runner) keep(stopped *task, complete bool) {
+	runner.kept.put(stopped.item.GetId(), &keptText{
+		job: stopped.job.id(), tenant: stopped.job.definition.GetTenant(), text: stopped.text, lastEvent: stopped.lastEvent, versions: stopped.versions, complete: complete, at: time.Now(),
 	})
 }
--- a/internal/batchrun/pace_test.go
+++ b/internal/batchrun/latency_test.go
@@ -8,16 +8,16 @@
 	"github.com/shoenig/test/must"
 )
 
-func isSlow(table *paceTable, replica string, now time.Time) bool {
+func isSlow(table *latencyTable, replica string, now time.Time) bool {
 	return table.slowdowns(now)[replica] > 1
 }
 
-// A replica counts as slow against the others, as long as its events are fresh, and only if enough are known.
+// Guards against classifying replicas as slow from too few replicas or from stale events.
 func TestSlowReplicas(t *testing.T) {
 	now := time.Unix(100, 0)
-	table := newPaceTable()
+	table := newLatencyTable()
 	observe := func(replica string, gap time.Duration) {
-		for range paceLeastCount {
+		for range minSamples {
 			table.observe(replica, gap, now)
 		}
 	}
@@ -30,28 +30,28 @@
 	must.True(t, isSlow(table, "slow", now))
 	must.False(t, isSlow(table, "r1", now))
 	must.InDelta(t, 5, table.slowdowns(now)["slow"], 0.01)
-	must.False(t, isSlow(table, "slow", now.Add(paceLife+time.Second)))
+	must.False(t, isSlow(table, "slow", now.Add(recentTTL+time.Second)))
 	must.MapEmpty(t, table.slowdowns(now.Add(time.Hour)))
 }
 
-// What a replica usually takes is remembered for longer than whether it is slow now.
+// Guards against losing the long-term latency when the recent one expires.
 func TestUsualPace(t *testing.T) {
 	now := time.Unix(100, 0)
-	table := newPaceTable()
+	table := newLatencyTable()
 	for range 10 {
 		table.observe("fast", 40*time.Millisecond, now)
 		table.observe("other", 52*time.Millisecond, now)
 	}
-	now = now.Add(paceLife + time.Second)
-	must.InDelta(t, 1.0, table.relative(now)["fast"], 0.001)
-	must.InDelta(t, 1.3, table.relative(now)["other"], 0.001)
-	must.MapEmpty(t, table.relative(now.Add(usualLife)))
+	now = now.Add(recentTTL + time.Second)
+	must.InDelta(t, 1.0, table.relativeLatencies(now)["fast"], 0.001)
+	must.InDelta(t, 1.3, table.relativeLatencies(now)["other"], 0.001)
+	must.MapEmpty(t, table.relativeLatencies(now.Add(longTermTTL)))
 }
 
-// A moment's pause makes one gap of each stream long, and slows no replica; what it usually takes counts until it is clearly slow.
+// Guards against classifying a replica as slow after a single long gap per stream, as a pause of the process causes it.
 func TestPauseIsNotSlow(t *testing.T) {
 	now := time.Unix(100, 0)
-	table := newPaceTable()
+	table := newLatencyTable()
 	observe := func(replica string, gap time.Duration, count int) {
 		for range count {
 			now = now.Add(time.Millisecond)
@@ -65,7 +65,7 @@
 	must.False(t, isSlow(table, "a", now))
 	usual := table.expected("a", now)
 	must.Between(t, 0.04, usual, 0.1)
-	now = now.Add(paceWindow + time.Millisecond)
+	now = now.Add(latencyWindow + time.Millisecond)
 	for _, replica := range []string{"b", "c", "d"} {
 		observe(replica, 40*time.Millisecond, 60)
 	}
--- a/internal/batchrun/move.go
+++ b/internal/batchrun/move.go
@@ -14,53 +14,53 @@
 )
 
 const (
-	// mostMoves bounds how often an item is moved to a faster replica.
-	mostMoves = 3
-	// moveInterval is the least time between two searches for items to move: each looks at all that run. Those that gain the most,
-	// moversMost of them, are moved as soon as there is room.
-	moveInterval = 150 * time.Millisecond
-	moversMost   = 16
-	// moveGain is the least time that a move must save. The prompt and the text are read again at the other replica, which takes
-	// some hundredths of a second.
-	moveGain = 300 * time.Millisecond
-	// moveShare is the least share of the rest's time that a move must save: estimates of less are noise.
-	moveShare = 0.15
-	// moveLeastEvents is how many events an attempt has made before it can be moved: until then its replica's pace is not known.
-	moveLeastEvents = 4
+	// maxMoves bounds how often an item is moved to a faster replica.
+	maxMoves = 3
+	// moveInterval is the minimum time between two searches for items to move, each of which examines all running items. The
+	// maxMoveCandidates items with the most remaining time are moved as soon as a faster replica has a free slot.
+	moveInterval      = 150 * time.Millisecond
+	maxMoveCandidates = 16
+	// minMoveGain is the minimum time that a move must save. It covers the prefill of prompt and text at the other replica.
+	minMoveGain = 300 * time.Millisecond
+	// minMoveGainShare is the minimum share of the remaining time that a move must save. Smaller gains are within the error of the
+	// estimate.
+	minMoveGainShare = 0.15
+	// minEventsBeforeMove is the number of events after which an attempt may be moved. The replica's latency is unknown before.
+	minEventsBeforeMove = 4
 )
 
-// errMoved is the cause of an attempt's end when the item goes on at a faster replica.
+// errMoved is the cancellation cause of an attempt whose item continues at a faster replica.
 var errMoved = errors.New("the item was moved")
 
-// attempt is one run of an item at a replica. Its fields but made belong to the scheduler's mu.
+// attempt is one run of an item at a replica. All fields except events are guarded by the scheduler's mu.
 type attempt struct {
-	task    *task
-	replica *catalog.Replica
-	cancel  context.CancelCauseFunc // nil until the request is sent
-	first   int64                   // the item's events when the attempt began
-	made    atomic.Int64            // the item's events by now
-	target  *catalog.Replica        // where the item goes on, with a slot reserved; nil for nowhere
-	fixed   bool                    // the route wants one version: another replica may have another
+	task          *task
+	replica       *catalog.Replica
+	cancel        context.CancelCauseFunc // nil until the request is sent
+	firstEvent    int64                   // the item's event count at the start of the attempt
+	events        atomic.Int64            // the item's current event count
+	target        *catalog.Replica        // the replica that the item moves to, with a slot reserved; nil if it is not moving
+	singleVersion bool                    // the route requires a single version, which another replica may not serve
 }
 
-// begin notes an attempt that is about to be made.
+// begin registers an attempt that is about to start.
 func (scheduler *scheduler) begin(running *task, replica *catalog.Replica, route *catalog.Route) *attempt {
-	started := &attempt{task: running, replica: replica, first: running.lastEvent, fixed: route.SingleVersion}
-	started.made.Store(running.lastEvent)
+	started := &attempt{task: running, replica: replica, firstEvent: running.lastEvent, singleVersion: route.SingleVersion}
+	started.events.Store(running.lastEvent)
 	scheduler.mu.Lock()
 	defer scheduler.mu.Unlock()
 	scheduler.running[started] = struct{}{}
 	return started
 }
 
-// cancelWith sets how the attempt is cut.
+// cancelWith sets the function that cancels the attempt.
 func (scheduler *scheduler) cancelWith(started *attempt, cancel context.CancelCauseFunc) {
 	scheduler.mu.Lock()
 	defer scheduler.mu.Unlock()
 	started.cancel = cancel
 }
 
-// end forgets an attempt, and returns the replica at which a slot is reserved for the item; nil for none.
+// end removes an attempt and returns the replica at which a slot is reserved for the item, or nil.
 func (scheduler *scheduler) end(ended *attempt) *catalog.Replica {
 	scheduler.mu.Lock()
 	defer scheduler.mu.Unlock()
@@ -68,80 +68,80 @@
 	return ended.target
 }
 
-// planMoves reserves slots at faster replicas for the running items that gain the most by it, and cuts their attempts. It goes
-// before waiting items are placed, and must be called with mu held.
-func (scheduler *scheduler) planMoves(room *room) {
-	if room.now.Sub(scheduler.lookedForMoves) >= moveInterval {
-		scheduler.lookedForMoves = room.now
-		scheduler.findMovers(room.now)
+// planMoves reserves slots at faster replicas for the running items that gain the most and cancels their attempts. It runs
+// before waiting items are placed and must be called with mu held.
+func (scheduler *scheduler) planMoves(capacity *capacity) {
+	if capacity.now.Sub(scheduler.candidatesFoundAt) >= moveInterval {
+		scheduler.candidatesFoundAt = capacity.now
+		scheduler.findMoveCandidates(capacity.now)
 	}
-	for _, mover := range scheduler.movers {
-		if _, runs := scheduler.running[mover]; runs && mover.target == nil {
-			scheduler.move(mover, room)
+	for _, candidate := range scheduler.moveCandidates {
+		if _, running := scheduler.running[candidate]; running && candidate.target == nil {
+			scheduler.move(candidate, capacity)
 		}
 	}
 }
 
-// findMovers lists the running items that a move may gain the most. It must be called with mu held.
-func (scheduler *scheduler) findMovers(now time.Time) {
-	seconds := make(map[*attempt]float64) // that the rest takes where it is
-	scheduler.movers = scheduler.movers[:0]
+// findMoveCandidates selects the movable items with the most remaining time. It must be called with mu held.
+func (scheduler *scheduler) findMoveCandidates(now time.Time) {
+	seconds := make(map[*attempt]float64) // remaining at the current replica
+	scheduler.moveCandidates = scheduler.moveCandidates[:0]
 	for started := range scheduler.running {
-		if rest, movable := scheduler.rest(started, now); movable {
+		if rest, movable := scheduler.remainingSeconds(started, now); movable {
 			seconds[started] = rest
-			scheduler.movers = append(scheduler.movers, started)
+			scheduler.moveCandidates = append(scheduler.moveCandidates, started)
 		}
 	}
-	slices.SortFunc(scheduler.movers, func(a, b *attempt) int { return cmp.Compare(seconds[b], seconds[a]) })
-	kept := min(moversMost, len(scheduler.movers))
-	clear(scheduler.movers[kept:])
-	scheduler.movers = scheduler.movers[:kept]
+	slices.SortFunc(scheduler.moveCandidates, func(a, b *attempt) int { return cmp.Compare(seconds[b], seconds[a]) })
+	kept := min(maxMoveCandidates, len(scheduler.moveCandidates))
+	clear(scheduler.moveCandidates[kept:])
+	scheduler.moveCandidates = scheduler.moveCandidates[:kept]
 }
 
-// rest returns how many seconds the rest of a running item takes where it is. movable is false when a move cannot gain enough.
-// It must be called with mu held.
-func (scheduler *scheduler) rest(started *attempt, now time.Time) (seconds float64, movable bool) {
-	made := started.made.Load()
-	if started.fixed || started.cancel == nil || started.target != nil || started.task.moves >= mostMoves || made < started.first+moveLeastEvents {
+// remainingSeconds returns the expected time to finish a running item at its current replica. movable is false if no move can
+// save enough. It must be called with mu held.
+func (scheduler *scheduler) remainingSeconds(started *attempt, now time.Time) (seconds float64, movable bool) {
+	events := started.events.Load()
+	if started.singleVersion || started.cancel == nil || started.target != nil || started.task.moves >= maxMoves || events < started.firstEvent+minEventsBeforeMove {
 		return 0, false
 	}
-	left := scheduler.remaining(started.task, made)
-	seconds = left * scheduler.pace.expected(started.replica.ID, now)
-	return seconds, left*scheduler.pace.fastest(now) <= mostAfterMove(seconds)
+	left := scheduler.remaining(started.task, events)
+	seconds = left * scheduler.latencies.expected(started.replica.ID, now)
+	return seconds, left*scheduler.latencies.fastest(now) <= maxSecondsAfterMove(seconds)
 }
 
-// mostAfterMove returns how many seconds the rest of an item may take elsewhere for a move to gain enough.
-func mostAfterMove(seconds float64) float64 {
-	return min(seconds-moveGain.Seconds(), seconds*(1-moveShare))
+// maxSecondsAfterMove returns the maximum remaining time at another replica for which a move saves enough.
+func maxSecondsAfterMove(seconds float64) float64 {
+	return min(seconds-minMoveGain.Seconds(), seconds*(1-minMoveGainShare))
 }
 
-// move has an item go on at the best replica that has room, if that saves enough. It must be called with mu held.
-func (scheduler *scheduler) move(started *attempt, room *room) {
-	left := scheduler.remaining(started.task, started.made.Load())
-	here := left * scheduler.pace.expected(started.replica.ID, room.now)
+// move continues an item at the best replica with a free slot if that saves enough. It must be called with mu held.
+func (scheduler *scheduler) move(started *attempt, capacity *capacity) {
+	left := scheduler.remaining(started.task, started.events.Load())
+	here := left * scheduler.latencies.expected(started.replica.ID, capacity.now)
 	var best *catalog.Replica
-	bestSeconds := mostAfterMove(here)
-	for _, replica := range room.candidates(started.task) {
-		pace := scheduler.pace.expected(replica.ID, room.now)
-		if pace <= 0 || replica.ID == started.replica.ID || room.ejected(replica) || !room.hasRoom(replica) || room.scheduler.refusals[replica.ID] != nil {
+	bestSeconds := maxSecondsAfterMove(here)
+	for _, replica := range capacity.candidates(started.task) {
+		latency := scheduler.latencies.expected(replica.ID, capacity.now)
+		if latency <= 0 || replica.ID == started.replica.ID || capacity.ejected(replica) || !capacity.hasFreeSlot(replica) || capacity.scheduler.refusals[replica.ID] != nil {
 			continue
 		}
-		if seconds := left * pace; seconds <= bestSeconds {
+		if seconds := left * latency; seconds <= bestSeconds {
 			best, bestSeconds = replica, seconds
 		}
 	}
 	if best == nil {
 		return
 	}
-	room.take(best.ID)
+	capacity.reserve(best.ID)
 	scheduler.runner.Loads.Begin(best.ID, time.Now())
 	started.target = best
 	started.task.moves++
 	started.cancel(errMoved)
 }
 
-// goOn makes the next attempt of an item that was moved.
-func (runner *Runner) goOn(moved *task, target *catalog.Replica, route *catalog.Route) {
+// runAt starts the next attempt of a moved item at the replica that has a slot reserved for it.
+func (runner *Runner) runAt(moved *task, target *catalog.Replica, route *catalog.Route) {
 	if moved.job.ctx.Err() != nil {
 		runner.Loads.End(target.ID, backend.Unknown, time.Now())
 		runner.keep(moved, false)
--- a/internal/batchrun/move_test.go
+++ b/internal/batchrun/move_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Items that run at a slow replica go on at a faster one once that has room, from where they were.
+// Guards against items that stay at a slow replica although a faster one has free slots, and against moves that lose text.
 func TestItemsMoveToFasterReplicas(t *testing.T) {
 	inWorld(t, 14, func(t *testing.T, world *world) {
 		definition := newDefinition("first", 8, 1)
@@ -32,7 +32,7 @@
 	})
 }
 
-// The line of a job's end tells the time until enough was whole beside the least that its items allow.
+// Guards against wrong timings in the log line of a job's end: the time until enough groups were complete, and its lower bound.
 func TestEndTellsTheTimeBesideItsBound(t *testing.T) {
 	inWorld(t, 18, func(t *testing.T, world *world) {
 		definition := newDefinition(longJob, 4, 1)
--- a/internal/batchrun/read.go
+++ b/internal/batchrun/read.go
@@ -12,28 +12,30 @@
 )
 
 const (
-	// pageLimit bounds the texts of one answer in bytes; one result is always answered.
-	pageLimit   = 900 << 10
-	peerMargin  = 600 * time.Millisecond
-	storeReads  = 2 * time.Second
-	mostWaiting = 5 * time.Second
-	// unsureAfter is how long the metadata store is lost before the owner of a job can't tell that there are no more results.
+	// pageLimit bounds the size of the texts on one page in bytes. A page has at least one result.
+	pageLimit        = 900 << 10
+	peerCallMargin   = 600 * time.Millisecond
+	storeReadTimeout = 2 * time.Second
+	maxReadWait      = 5 * time.Second
+	// unsureAfter is the duration of a metadata store outage after which the owner of a job cannot rule out that more results are
+	// listed.
 	unsureAfter = time.Second
 )
 
-// Page is a part of a job's results.
+// Page is a range of a job's results.
 type Page struct {
 	Total   int
 	Results []*batchv1.Result
 }
 
-// extend returns a page with the results that follow it, as far as one page may hold them.
+// extend returns the page with the following results appended, up to pageLimit.
 func (page Page) extend(total int, results []*batchv1.Result) Page {
 	return cutPage(total, slices.Concat(page.Results, results), 0, pageLimit)
 }
 
-// Read returns the results at position from and after of a job of a tenant, empty for none. If there is none it waits for one, up to
-// wait. ErrNotFound says that the tenant has no such job, ErrUnsure that this can't be told now.
+// Read returns the results of a job from position from on. It waits up to wait if there are none yet. The tenant is empty in
+// deployments without tenants. Read returns ErrNotFound if the tenant has no such job and ErrUnsure if that cannot be determined
+// at the moment.
 func (runner *Runner) Read(ctx context.Context, tenant, job string, from int, wait time.Duration) (page Page, err error) {
 	err = runner.inScope(ctx, tenant, job, func(id string) error {
 		page, err = runner.read(ctx, id, from, wait)
@@ -43,11 +45,11 @@
 }
 
 func (runner *Runner) read(ctx context.Context, id string, from int, wait time.Duration) (Page, error) {
-	wait = min(wait, mostWaiting)
-	if page, ok := runner.readHere(ctx, id, from, wait, pageLimit); ok {
+	wait = min(wait, maxReadWait)
+	if page, ok := runner.readLocal(ctx, id, from, wait, pageLimit); ok {
 		return page, nil
 	}
-	page, served, err := runner.readThere(ctx, id, from, wait)
+	page, served, err := runner.readFromOwner(ctx, id, from, wait)
 	if served || err != nil {
 		return page, err
 	}
@@ -58,16 +60,16 @@
 	return cutPage(len(record.Job.GetItems()), record.Results, from, pageLimit), nil
 }
 
-// readThere reads from the owner of a job what this node has no copy of. What is listed never changes, so that copies are right for
-// ever, and are answered also when the owner can't be asked.
-func (runner *Runner) readThere(ctx context.Context, id string, from int, wait time.Duration) (page Page, served bool, err error) {
+// readFromOwner returns this node's copies of the results, extended by what the owner of the job returns. Listed results never
+// change, so copies stay valid and are returned also if the owner is unreachable.
+func (runner *Runner) readFromOwner(ctx context.Context, id string, from int, wait time.Duration) (page Page, served bool, err error) {
 	known := runner.copies.page(id, from)
 	if len(known.Results) > 0 {
 		wait = 0
 	}
 	next := from + len(known.Results)
 	allowance := runner.copies.allowance(id, from)
-	served, err = runner.askOwnerNamed(ctx, id, wait+peerMargin, func(ctx context.Context, name string, owner batchv1.Batches) (bool, error) {
+	served, err = runner.askOwnerNamed(ctx, id, wait+peerCallMargin, func(ctx context.Context, name string, owner batchv1.Batches) (bool, error) {
 		request := &batchv1.ReadRequest{JobId: id, From: int64(next), WaitMs: wait.Milliseconds()}
 		if !runner.Peers.SameZone(name) {
 			request.MaxBytes = allowance
@@ -89,10 +91,10 @@
 	return page, served, err
 }
 
-// readHere answers texts of up to limit bytes from what this node owns or remembers. Whoever goes on reading an open job waits for its
-// results, and gets a whole page. While the job is being ended, the outcome of a write is open, or the metadata store is lost, this node
-// does not know whether more is listed by now: what it answers stays true, that there is no more can't be told.
-func (runner *Runner) readHere(ctx context.Context, id string, from int, wait time.Duration, limit int) (Page, bool) {
+// readLocal reads a job that runs at this node or is cached here as ended, with texts of up to limit bytes. A reader that
+// continues in a running job gets a full page. The result is false if this node cannot answer. That includes an empty page while
+// more results may be listed: the job is ending, an append is in doubt, or the metadata store is unreachable.
+func (runner *Runner) readLocal(ctx context.Context, id string, from int, wait time.Duration, limit int) (Page, bool) {
 	if owned := runner.find(id); owned != nil && owned.isAccepted() && !owned.isLeaving() {
 		if from > 0 {
 			limit = pageLimit
@@ -129,7 +131,7 @@
 	}
 }
 
-// cutPage returns the results from a position on whose texts take up to limit bytes, and one at least.
+// cutPage returns the results from a position on whose texts take up to limit bytes, but at least one.
 func cutPage(total int, results []*batchv1.Result, from, limit int) Page {
 	page := Page{Total: total}
 	if from < 0 || from >= len(results) {
@@ -147,8 +149,8 @@
 	return page
 }
 
-// askOwner calls the node that owns a job. served is false when no owner could be asked, and the job has to be read from the
-// log; err says that not even the owner could be found out.
+// askOwner calls the node that owns a job. served is false if no owner answered and the job has to be read from the log. err is
+// set if the owner cannot be determined.
 func (runner *Runner) askOwner(ctx context.Context, id string, limit time.Duration, call func(context.Context, batchv1.Batches) (bool, error)) (served bool, err error) {
 	return runner.askOwnerNamed(ctx, id, limit, func(ctx context.Context, _ string, owner batchv1.Batches) (bool, error) { return call(ctx, owner) })
 }
@@ -171,7 +173,7 @@
 	if !runner.Log.Health.Good() {
 		return false, errors.Mark(errNotServed, ErrUnsure)
 	}
-	lookup, cancel := context.WithTimeout(ctx, storeReads)
+	lookup, cancel := context.WithTimeout(ctx, storeReadTimeout)
 	defer cancel()
 	owner, _, err := runner.Log.Owner(lookup, id)
 	switch {
@@ -200,9 +202,9 @@
 	return served && err == nil
 }
 
-// load reads a job from the log, and remembers it if it has ended.
+// load reads a job from the log and caches it if it has ended.
 func (runner *Runner) load(ctx context.Context, id string) (*batchlog.Record, error) {
-	ctx, cancel := context.WithTimeout(ctx, storeReads)
+	ctx, cancel := context.WithTimeout(ctx, storeReadTimeout)
 	defer cancel()
 	record, err := runner.Log.Load(ctx, id)
 	switch {
@@ -218,7 +220,7 @@
 	return record, nil
 }
 
-// Body returns the body of an item that is not listed yet, of a job of a tenant, empty for none.
+// Body returns the body of an item that is not listed yet. The tenant is empty in deployments without tenants.
 func (runner *Runner) Body(ctx context.Context, tenant, job, itemID string) (body []byte, err error) {
 	err = runner.inScope(ctx, tenant, job, func(id string) error {
 		body, err = runner.readBody(ctx, id, itemID)
@@ -236,7 +238,7 @@
 	}
 	var body []byte
 	var found bool
-	served, err := runner.askOwner(ctx, id, peerMargin, func(ctx context.Context, owner batchv1.Batches) (bool, error) {
+	served, err := runner.askOwner(ctx, id, peerCallMargin, func(ctx context.Context, owner batchv1.Batches) (bool, error) {
 		response, err := owner.ReadBody(ctx, &batchv1.ReadBodyRequest{JobId: id, ItemId: itemID})
 		if err != nil || !response.GetOwned() {
 			return false, err
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -1,5 +1,5 @@
-// Package batchrun runs the batch jobs that this node owns: it sends their items to engines, follows the streams, has the
-// texts scored, makes the results durable and answers what callers ask of jobs, wherever these are owned.
+// Package batchrun runs the batch jobs that this node owns. It sends items to engines, reads their event streams, requests
+// scores, makes results durable and answers calls for jobs, including those that other nodes own.
 package batchrun
 
 import (
@@ -19,11 +19,11 @@
 	"github.com/thistlewalk/thistlewalk/internal/telemetry"
 )
 
-// Errors of a Runner. ErrUnsure says that the answer can't be given now; a caller may ask again.
+// Errors of a Runner. ErrUnsure means that the answer is unknown at the moment and that the caller may retry.
 var (
 	ErrUnsure   = errors.New("the job's state can't be told now")
 	ErrNotFound = batchlog.ErrNotFound
-	// ErrStopping says that the node takes no more jobs; nothing of the job has run here.
+	// ErrStopping means that the node accepts no more jobs. No item of the rejected job has run here.
 	ErrStopping = errors.New("the node is stopping")
 
 	errNotServed = errors.New("the metadata store does not answer this node")
@@ -33,48 +33,48 @@
 type Event struct {
 	ID   int64
 	Data []byte
-	// Version of the weights from this event on; zero when it has not changed.
+	// Version is the version of the weights from this event on, or zero if it is unchanged.
 	Version int64
 }
 
-// EventReader reads the events of an answer's body. Next returns io.EOF after the last event of a whole body.
+// EventReader reads the events of a response body. Next returns io.EOF after the last event of a complete body.
 type EventReader interface {
 	Next() (Event, error)
 }
 
-// Decoder makes event readers.
+// Decoder creates event readers.
 type Decoder interface {
 	Events(body io.Reader) EventReader
 }
 
-// Peers reaches the other nodes that run batch jobs.
+// Peers gives access to the other nodes that run batch jobs.
 type Peers interface {
-	// Client returns the client of a node; nil when the node is not known.
+	// Client returns the client of a node, or nil if the node is unknown.
 	Client(node string) batchv1.Batches
-	// Nearest returns the names of live nodes that could run jobs for this one, best first.
+	// Nearest returns the names of live nodes that can run jobs in place of this one, best first.
 	Nearest() []string
-	// Candidates returns the names of some nodes that could run jobs for this one, the nearest first, beyond those of Nearest: many
-	// machines may be cut from the metadata store at once.
+	// Candidates returns the names of further nodes that can run jobs in place of this one, nearest first. It goes beyond Nearest
+	// because many nodes may lose the metadata store at once.
 	Candidates() []string
-	// Preferred returns the name of the node that runs jobs of a model for this node's zone; empty for none.
+	// Preferred returns the name of the node that runs the jobs of a model for this node's zone, or an empty string.
 	Preferred(model string) string
-	// Alternate returns the name of the node that does so should the preferred one be gone; empty for none.
+	// Alternate returns the name of the node that replaces the preferred node if that one fails, or an empty string.
 	Alternate(model string) string
-	// Directory returns the name of the node that looks a job up for all others; empty for none.
+	// Directory returns the name of the node that looks up a job on behalf of all nodes, or an empty string.
 	Directory(job string) string
-	// Isolated reports whether none of the nodes that this one watches was heard of lately.
+	// Isolated reports whether this node has not received a recent sign of life from any node that it monitors.
 	Isolated() bool
 	// SameZone reports whether a node is in this node's zone.
 	SameZone(node string) bool
-	// AnnounceJob tells all nodes where a job runs; they may miss it.
+	// AnnounceJob broadcasts that a job runs at this node. Delivery is best effort.
 	AnnounceJob(job *batchv1.Job)
-	// AnnounceDemand tells whoever orders replicas which versions of a model a job takes; it may be missed.
+	// AnnounceDemand sends the versions of a model that a job accepts to the node that orders replicas. Delivery is best effort.
 	AnnounceDemand(job *batchv1.Job)
-	// ShareLoads tells the other nodes that run jobs of this node's requests in flight; they may miss it.
+	// ShareLoads sends this node's requests in flight to the other nodes that run jobs. Delivery is best effort.
 	ShareLoads(inFlight map[string]int)
 }
 
-// Options of a Runner.
+// Options configures a Runner.
 type Options struct {
 	Node    string
 	Life    int64
@@ -87,7 +87,7 @@
 	Logger  *log.Logger
 	Metrics *telemetry.Metrics
 	Flush   batch.FlushPolicy
-	// Zone is the node's own zone.
+	// Zone is the zone of this node.
 	Zone string
 }
 
@@ -97,40 +97,40 @@
 	ctx       context.Context
 	cancel    context.CancelFunc
 	scheduler *scheduler
-	scoring   chan struct{} // bounds the scoring requests in flight
+	scoring   chan struct{} // limits the scoring requests in flight
 
 	mu       sync.Mutex
 	jobs     map[string]*job
 	ended    *endedCache
-	owners   map[string]string // owner by job, as last seen; a hint only
-	tenants  map[string]string // tenant by job, which never changes
+	owners   map[string]string // last known owner by job; a hint that may be stale
+	tenants  map[string]string // tenant by job; it never changes
 	kept     *keptItems
 	copies   *copies
-	claiming map[string]bool // jobs that this node is taking up
-	lastJob  time.Time       // when a job ran here last
-	begins   chan struct{}   // closed when the next job begins to run here; nil while nobody waits for that
+	claiming map[string]bool // jobs that this node is claiming
+	lastJob  time.Time       // when the last job was removed
+	jobAdded chan struct{}   // closed when the next job is added; nil if nobody waits for it
 	stopping bool
-	sweeps   *sweeps
+	sweeps   *sweepSchedule
 }
 
 const (
-	scoringInFlight = 8
-	ownerHints      = 4096
+	maxScoringInFlight = 8
+	maxOwnerHints      = 4096
 )
 
-// New returns a runner. Start must be called before its first use.
+// New returns a runner. Start must be called before any other method.
 func New(options Options) *Runner {
 	ctx, cancel := context.WithCancel(context.Background())
 	runner := &Runner{
-		Options: options, ctx: ctx, cancel: cancel, scoring: make(chan struct{}, scoringInFlight),
+		Options: options, ctx: ctx, cancel: cancel, scoring: make(chan struct{}, maxScoringInFlight),
 		jobs: make(map[string]*job), ended: newEndedCache(), owners: make(map[string]string), tenants: make(map[string]string), kept: newKeptItems(), copies: newCopies(), claiming: make(map[string]bool),
-		sweeps: newSweeps(),
+		sweeps: newSweepSchedule(),
 	}
 	runner.scheduler = newScheduler(runner)
 	return runner
 }
 
-// Start begins to dispatch items.
+// Start starts the background loops.
 func (runner *Runner) Start() {
 	go runner.scheduler.run(runner.ctx)
 	go runner.shareLoads(runner.ctx)
@@ -138,21 +138,22 @@
 	go runner.evacuate(runner.ctx)
 }
 
-// Close cuts all that is running.
+// Close cancels all running work.
 func (runner *Runner) Close() { runner.cancel() }
 
-// find returns the job if it runs here.
+// find returns a job that runs here, or nil.
 func (runner *Runner) find(id string) *job {
 	runner.mu.Lock()
 	defer runner.mu.Unlock()
 	return runner.jobs[id]
 }
 
-// RememberOwner keeps a hint of where a job is owned. A node that waits for the job's acceptance looks at once whether it is true.
+// RememberOwner records a hint about a job's owner. If this node has deferred the job's acceptance to another node, it verifies
+// the hint at once.
 func (runner *Runner) RememberOwner(id, node string) {
 	runner.mu.Lock()
 	defer runner.mu.Unlock()
-	if len(runner.owners) >= ownerHints {
+	if len(runner.owners) >= maxOwnerHints {
 		clear(runner.owners)
 	}
 	runner.owners[id] = node
@@ -170,38 +171,38 @@
 // put adds a job. It must be called with mu held.
 func (runner *Runner) put(owned *job) {
 	runner.jobs[owned.id()] = owned
-	runner.sweeps.use()
-	if runner.begins != nil {
-		close(runner.begins)
-		runner.begins = nil
+	runner.sweeps.recordUse()
+	if runner.jobAdded != nil {
+		close(runner.jobAdded)
+		runner.jobAdded = nil
 	}
 }
 
-// awaitJob waits until a job runs here: a node without jobs, as most of a large fleet are, uses no processor time for them.
+// awaitJob waits until a job runs here, so that nodes without jobs use no processor time.
 func (runner *Runner) awaitJob(ctx context.Context) {
 	runner.mu.Lock()
 	if len(runner.jobs) > 0 {
 		runner.mu.Unlock()
 		return
 	}
-	if runner.begins == nil {
-		runner.begins = make(chan struct{})
+	if runner.jobAdded == nil {
+		runner.jobAdded = make(chan struct{})
 	}
-	begins := runner.begins
+	jobAdded := runner.jobAdded
 	runner.mu.Unlock()
 	select {
 	case <-ctx.Done():
-	case <-begins:
+	case <-jobAdded:
 	}
 }
 
-// remove takes a job out of this node and cuts its items.
+// remove removes a job from this node and cancels its items.
 func (runner *Runner) remove(owned *job) {
 	runner.mu.Lock()
 	if runner.jobs[owned.id()] == owned {
 		delete(runner.jobs, owned.id())
 		if owned.isAccepted() {
-			runner.noteTenant(owned.id(), owned.definition.GetTenant())
+			runner.setTenant(owned.id(), owned.definition.GetTenant())
 		}
 		runner.lastJob = time.Now()
 	}
@@ -210,14 +211,14 @@
 	runner.scheduler.drop(owned)
 }
 
-// busyFor is how long after its last job a node expects another: trainers send a step every few seconds.
-const busyFor = 10 * time.Second
+// busyPeriod is how long a node counts as busy after its last job. Trainers submit a job every few seconds.
+const busyPeriod = 10 * time.Second
 
-// Busy reports whether jobs run here, or did lately.
+// Busy reports whether jobs run here or ran here within busyPeriod.
 func (runner *Runner) Busy(now time.Time) bool {
 	runner.mu.Lock()
 	defer runner.mu.Unlock()
-	return len(runner.jobs) > 0 || (!runner.lastJob.IsZero() && now.Sub(runner.lastJob) < busyFor)
+	return len(runner.jobs) > 0 || (!runner.lastJob.IsZero() && now.Sub(runner.lastJob) < busyPeriod)
 }
 
 // OpenJobs returns the number of jobs that run here.
--- a/internal/batchrun/runner_test.go
+++ b/internal/batchrun/runner_test.go
@@ -18,7 +18,7 @@
 
 var jobRoute = &catalog.Route{Kind: catalog.Batch, JobObjective: 8 * time.Second}
 
-// inWorld runs a test over nodes in modelled time.
+// inWorld runs a test with three nodes under a simulated clock.
 func inWorld(t *testing.T, seed uint64, run func(t *testing.T, world *world)) {
 	synctest.Test(t, func(t *testing.T) {
 		world := newWorld(seed)
@@ -32,7 +32,7 @@
 	})
 }
 
-// await reads a job at a node until all of it is listed.
+// await reads a job at a node until all of its results are listed.
 func await(t *testing.T, runner *batchrun.Runner, id string, total int, limit time.Duration) []*batchv1.Result {
 	t.Helper()
 	deadline := time.Now().Add(limit)
@@ -48,7 +48,7 @@
 	}
 }
 
-// A job runs whole although streams break, replicas refuse and fail.
+// Guards against lost or wrong results when streams break and replicas refuse work.
 func TestRunsWholeUnderFaults(t *testing.T) {
 	inWorld(t, 1, func(t *testing.T, world *world) {
 		world.engines.breakShare, world.engines.refuseShare = 0.1, 0.2
@@ -58,7 +58,7 @@
 	})
 }
 
-// Jobs go to the node that runs the model's jobs, and to the node that was asked when that one is gone.
+// Guards against running a job at another node than the preferred one, and against rejecting jobs when that node has failed.
 func TestPreferredNodeRunsJobs(t *testing.T) {
 	inWorld(t, 9, func(t *testing.T, world *world) {
 		world.preferred = "b"
@@ -72,7 +72,7 @@
 	})
 }
 
-// What a node has read of a job at its owner it answers also when neither the owner nor the store can be asked.
+// Guards against losing access to results that a node has read before, when neither the owner nor the store is reachable.
 func TestCopiesAreReadWithoutTheOwner(t *testing.T) {
 	inWorld(t, 12, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition("job", 20, 1), jobRoute))
@@ -90,7 +90,7 @@
 	})
 }
 
-// A successor finishes what a killed node had begun, and keeps what was listed in its place.
+// Guards against changed positions of listed results, and lost ones, after the owner was killed and its job taken over.
 func TestTakeOverOfKilledNode(t *testing.T) {
 	inWorld(t, 2, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition("job", 30, 1), jobRoute))
@@ -105,7 +105,7 @@
 	})
 }
 
-// The texts of long items outlive a node that is killed, as far as they were backed up: the successor goes on with them.
+// Guards against regenerating long items from the start after the owner was killed, although their texts were backed up.
 func TestGrowingTextsOutliveTheirNode(t *testing.T) {
 	inWorld(t, 11, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition(longJob, 4, 1), jobRoute))
@@ -119,7 +119,7 @@
 	})
 }
 
-// Texts of long items outlive all processes, as far as they were written with results: the same node goes on with them.
+// Guards against regenerating long items from the start after all processes were killed, although their texts were saved.
 func TestGrowingTextsOutliveAllNodes(t *testing.T) {
 	inWorld(t, 12, func(t *testing.T, world *world) {
 		definition := newDefinition(longJob, 4, 1)
@@ -141,10 +141,10 @@
 	})
 }
 
-// partialEvents is how many events a text has at least when it is first backed up.
+// partialEvents is the minimum length of a text when it is first backed up.
 const partialEvents = 16
 
-// A planned stop hands the texts of unfinished items over: the successor goes on where they end.
+// Guards against losing the texts of unfinished items in a handover at a planned stop.
 func TestHandOverKeepsTexts(t *testing.T) {
 	inWorld(t, 3, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition("job", 6, 1), jobRoute))
@@ -155,7 +155,7 @@
 	})
 }
 
-// An outage of the store delays the acceptance, not the items.
+// Guards against delaying the items of a job while a store outage delays its acceptance.
 func TestOutageDoesNotStopItems(t *testing.T) {
 	inWorld(t, 4, func(t *testing.T, world *world) {
 		world.store.SetFaults(memstore.Faults{Down: true})
@@ -168,7 +168,7 @@
 	})
 }
 
-// A node that is killed in an outage of the store loses no text that was finished: others kept it.
+// Guards against regenerating finished items when their node is killed during a store outage: other nodes have backups.
 func TestTextsOutliveTheirNodeInAnOutage(t *testing.T) {
 	inWorld(t, 8, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition("job", 8, 1), jobRoute))
@@ -184,7 +184,7 @@
 	})
 }
 
-// The same holds while the store answers, but loses the answers to writes.
+// Guards against the same when the store is reachable but the responses to writes are lost.
 func TestTextsOutliveTheirNodeWhenWritesAreLost(t *testing.T) {
 	inWorld(t, 10, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition("job", 8, 1), jobRoute))
@@ -197,12 +197,12 @@
 		checkResults(t, await(t, world.node("a"), "job", 8, 3*time.Second), 1)
 		must.Eq(t, started, total(world.engines), must.Sprint("items ran again"))
 		world.close()
-		time.Sleep(2 * time.Hour) // the late writes come, to no effect
+		time.Sleep(2 * time.Hour) // the delayed writes arrive and must have no effect
 		checkResults(t, await(t, world.start("b"), "job", 8, 3*time.Second), 1)
 	})
 }
 
-// Items wait for a replica whose weights are new enough, and texts of older weights are not listed.
+// Guards against running items at replicas with weights older than the minimum version, and against listing such texts.
 func TestMinimumVersion(t *testing.T) {
 	inWorld(t, 5, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition("job", 4, 2), jobRoute))
@@ -221,7 +221,7 @@
 	})
 }
 
-// An item that fails as often as its route allows is listed as given up; one that fails less often is not.
+// Guards against terminating an item before it has failed as often as its route allows, and against retrying it after that.
 func TestGivesUpAfterAttempts(t *testing.T) {
 	inWorld(t, 6, func(t *testing.T, world *world) {
 		world.engines.failShare = 1
@@ -233,7 +233,7 @@
 	})
 }
 
-// After an end no item starts, at any node, and what was listed stays.
+// Guards against starting items of an ended job and against changing its listed results.
 func TestEndStopsItems(t *testing.T) {
 	inWorld(t, 7, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition("job", 40, 1), jobRoute))
@@ -263,8 +263,8 @@
 	return count
 }
 
-// Drawn histories: kills, restarts, hand-overs, outages, lost and late writes. What was listed stays in its place at every
-// node that answers, and every accepted job is whole in the end.
+// Runs random histories of kills, restarts, handovers, outages, lost and late writes. Listed results keep their positions at
+// every node that responds, and every accepted job completes.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(drawn *rapid.T) {
 		events := rapid.SliceOfN(rapid.IntRange(0, historyEvents-1), 4, 16).Draw(drawn, "events")
@@ -277,30 +277,30 @@
 	})
 }
 
-// Histories that once failed, with their causes.
+// Replays histories that failed in the past.
 func TestFailedHistories(t *testing.T) {
 	cases := []struct {
 		cause         string
 		seed          uint64
 		events, picks []int
 	}{
-		{"a successor and the restarted node took a job from each other, and the loser answered with what it had listed", 0x2,
+		{"a successor and the restarted node claimed a job from each other, and the former owner returned outdated results", 0x2,
 			[]int{4, 2, 1, 1, 0, 3, 6, 1, 3, 0, 1, 3}, []int{0, 0, 1, 2, 2, 2, 1, 0, 0, 0, 2, 2}},
-		{"a node's first look for its own jobs waited on a silent store without a limit", 0x2d83074,
+		{"a node's first sweep waited for an unresponsive store without a timeout", 0x2d83074,
 			[]int{1, 3, 6, 4, 6, 3, 2}, []int{0, 0, 0, 1, 0, 2, 0}},
-		{"a job ended just as an item was to try a replica that had refused: the replica stayed closed at that node for good", 0x47407f,
+		{"a job ended while an item was about to probe a replica after a refusal, and the node never used the replica again", 0x47407f,
 			[]int{0, 8, 1, 0, 6}, []int{0, 0, 2, 0, 0}},
-		{"a node that was giving a job away answered with what it had listed, and the next owner had listed more", 0xffffffffffffffff,
+		{"a node returned its own results during a handover although the new owner had listed more", 0xffffffffffffffff,
 			[]int{3, 1, 0, 2, 6, 5, 3, 0, 5, 7, 10, 3, 2, 9, 3, 0}, []int{1, 1, 1, 0, 1, 1, 2, 1, 0, 1, 0, 2, 0, 2, 0, 1}},
-		{"an owner that the store refused said that there were no results, after another node had ended the job and read a late page", 0,
+		{"an owner without access to the store reported no results after another node had ended the job and read a late page", 0,
 			[]int{2, 7, 8, 2, 5, 10, 8, 3, 4, 7, 0, 0, 3, 2, 9}, []int{1, 2, 0, 2, 1, 2, 1, 2, 2, 2, 1, 0, 0, 0, 1}},
-		{"the same, before the owner knew that the store was lost", 0x1f9, []int{2, 0, 5, 4, 10, 8, 2}, []int{0, 0, 0, 1, 0, 2, 1}},
-		{"a node that a job was submitted to as well said that it had taken it over, and gave it up once it found another owner", 0x3b5aed5,
+		{"the same, before the owner had detected the store outage", 0x1f9, []int{2, 0, 5, 4, 10, 8, 2}, []int{0, 0, 0, 1, 0, 2, 1}},
+		{"a node that was accepting a job confirmed its takeover, and dropped the job when it found another owner", 0x3b5aed5,
 			[]int{5, 2, 3, 0, 10, 5, 1, 10, 5, 3, 6, 1, 0, 3, 0, 4}, []int{2, 1, 1, 1, 0, 0, 0, 1, 0, 0, 1, 2, 1, 2, 0, 1}},
-		{"an owner said that there were no results while the outcome of its append was open, and others had read them", 0x151d83,
+		{"an owner reported no results while the outcome of its append was unknown and other nodes had read the results", 0x151d83,
 			[]int{2, 2, 2, 2, 6, 5, 6, 5}, []int{1, 0, 1, 0, 1, 2, 2, 1}},
 		{"the same", 0x26, []int{2, 8, 6, 2, 5, 6, 5, 0, 8, 1}, []int{2, 0, 2, 2, 2, 1, 2, 0, 0, 1}},
-		{"no failure of the system: an end that was not sure was done once the store was back", 0x5,
+		{"test fault: an end with an unknown outcome took effect after the store recovered", 0x5,
 			[]int{10, 0, 5, 10, 7, 4, 5, 1, 10, 8}, []int{0, 0, 1, 1, 1, 0, 1, 0, 2, 0}},
 	}
 	for _, c := range cases {
@@ -312,7 +312,7 @@
 	}
 }
 
-// Texts are saved again as they grow, also while no results are listed.
+// Guards against saving the texts of long items only once, or only together with results.
 func TestGrowingTextsAreSavedEachSecond(t *testing.T) {
 	inWorld(t, 20, func(t *testing.T, world *world) {
 		world.engines.mu.Lock()
@@ -331,7 +331,7 @@
 	})
 }
 
-// A node that starts again takes its jobs up side by side: each waits for nodes that may keep texts.
+// Guards against resuming the jobs of a restarted node one after the other: each waits for nodes that may have backups.
 func TestJobsAreTakenUpSideBySide(t *testing.T) {
 	inWorld(t, 21, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition(longJob, 4, 1), jobRoute))
--- a/internal/batchrun/scheduler.go
+++ b/internal/batchrun/scheduler.go
@@ -13,38 +13,38 @@
 	"github.com/thistlewalk/thistlewalk/internal/forwarding"
 )
 
-// task is an item that is not finished. Its fields belong to the scheduler while it waits and to its run while it runs.
+// task is an unfinished item. The scheduler owns its fields while it waits, its attempt while it runs.
 type task struct {
 	job  *job
 	item *batchv1.Item
-	// service is the part of the route that runs the item, drawn once for each configuration.
+	// service is the service of the route that runs the item, chosen at random and again after a configuration change.
 	service              string
 	configurationVersion int64
-	// returned says that an earlier job had the item: the trainer waits for its group.
-	returned  bool
-	text      []byte
-	lastEvent int64
-	versions  []int64
-	failures  int // answers of 500
-	rejected  int // answers of 422
-	// avoid is the replica that the last attempt left, until avoidUntil.
-	avoid      string
-	avoidUntil time.Time
-	notBefore  time.Time
-	moves      int
-	latest     time.Time // at which it can begin to be whole in time; set while it waits
-	backedUp   int64     // the event from which on the text is backed up again
-	saved      int64     // the event from which on the text is saved again
+	// resubmitted is true if an earlier job had the item. The trainer then waits for the item's group.
+	resubmitted bool
+	text        []byte
+	lastEvent   int64
+	versions    []int64
+	failures    int // responses with status 500
+	rejected    int // responses with status 422
+	// avoid is the replica of the previous attempt, which is not used again before avoidUntil.
+	avoid       string
+	avoidUntil  time.Time
+	notBefore   time.Time
+	moves       int
+	latestStart time.Time // latest start that completes the item by the job's due time; set while it waits
+	nextBackup  int64     // event from which on the text is backed up again
+	nextSave    int64     // event from which on the text is saved again
 }
 
-// estimate is the number of tokens that are likely still to come.
+// estimate returns the expected number of tokens of the item.
 func (waiting *task) estimate() int64 {
 	return batch.ExpectedTokens(waiting.item)
 }
 
-// restart forgets the text, which does not fit the job.
+// restart discards the text, so that the next attempt starts from the prompt.
 func (waiting *task) restart() {
-	waiting.text, waiting.lastEvent, waiting.versions, waiting.backedUp, waiting.saved = nil, 0, nil, 0, 0
+	waiting.text, waiting.lastEvent, waiting.versions, waiting.nextBackup, waiting.nextSave = nil, 0, nil, 0, 0
 }
 
 // scheduler assigns waiting items to replicas with free slots.
@@ -54,33 +54,33 @@
 
 	mu      sync.Mutex
 	waiting []*task
-	// groupHome is the replica that ran the last item of a group, which keeps the group's prompt.
-	groupHome map[string]string
-	refusals  map[string]*refusal // replicas that refused work and have taken none since
-	failures  map[string]int      // answers of 500 in a row, by replica
-	suitable  *suitability
-	pace      *paceTable
-	lengths   lengthTable
-	running   map[*attempt]struct{}
-	// movers are the attempts that a move may gain the most, as of lookedForMoves.
-	movers         []*attempt
-	lookedForMoves time.Time
+	// groupReplica is the replica that ran the last item of a group and probably has the group's prompt in its prefix cache.
+	groupReplica map[string]string
+	refusals     map[string]*refusal // replicas that refused work and have accepted none since
+	failures     map[string]int      // consecutive responses with status 500, by replica
+	suitable     *suitability
+	latencies    *latencyTable
+	lengths      lengthTable
+	running      map[*attempt]struct{}
+	// moveCandidates are the attempts for which a move may gain the most, as of candidatesFoundAt.
+	moveCandidates    []*attempt
+	candidatesFoundAt time.Time
 }
 
 const (
 	idleTick       = 250 * time.Millisecond
 	busyTick       = 80 * time.Millisecond
-	refusalCooling = 120 * time.Millisecond
+	refusalBackoff = 120 * time.Millisecond
 )
 
 func newScheduler(runner *Runner) *scheduler {
 	return &scheduler{
-		runner: runner, wake: make(chan struct{}, 1), groupHome: make(map[string]string), refusals: make(map[string]*refusal), failures: make(map[string]int),
-		suitable: newSuitability(runner), pace: newPaceTable(), running: make(map[*attempt]struct{}),
+		runner: runner, wake: make(chan struct{}, 1), groupReplica: make(map[string]string), refusals: make(map[string]*refusal), failures: make(map[string]int),
+		suitable: newSuitability(runner), latencies: newLatencyTable(), running: make(map[*attempt]struct{}),
 	}
 }
 
-// run dispatches whenever something may have changed.
+// run dispatches items when they are added, when the catalog changes and periodically while items wait or run.
 func (scheduler *scheduler) run(ctx context.Context) {
 	for {
 		changed := scheduler.runner.Catalog.Changed()
@@ -104,7 +104,7 @@
 	}
 }
 
-// waitForWork sleeps until an item waits, so that an idle node uses no processor time.
+// waitForWork blocks until an item is added, so that an idle node uses no processor time.
 func (scheduler *scheduler) waitForWork(ctx context.Context) {
 	scheduler.mu.Lock()
 	empty := len(scheduler.waiting) == 0 && len(scheduler.running) == 0
@@ -118,14 +118,14 @@
 	}
 }
 
-func (scheduler *scheduler) nudge() {
+func (scheduler *scheduler) wakeUp() {
 	select {
 	case scheduler.wake <- struct{}{}:
 	default:
 	}
 }
 
-// add puts items in line, in the order of the latest times at which they can begin.
+// add queues items in the order of their latest start times.
 func (scheduler *scheduler) add(tasks ...*task) {
 	now := time.Now()
 	scheduler.mu.Lock()
@@ -139,14 +139,14 @@
 	}
 	slices.SortStableFunc(scheduler.waiting, compareTasks)
 	scheduler.mu.Unlock()
-	scheduler.nudge()
+	scheduler.wakeUp()
 }
 
 func compareTasks(a, b *task) int {
-	return cmp.Or(a.latest.Compare(b.latest), cmp.Compare(b.estimate(), a.estimate()))
+	return cmp.Or(a.latestStart.Compare(b.latestStart), cmp.Compare(b.estimate(), a.estimate()))
 }
 
-// drop takes a job's items out of the line and keeps their texts.
+// drop removes a job's items from the queue and keeps their texts.
 func (scheduler *scheduler) drop(owned *job) {
 	scheduler.mu.Lock()
 	defer scheduler.mu.Unlock()
@@ -157,11 +157,11 @@
 		return waiting.job == owned
 	})
 	for _, item := range owned.definition.GetItems() {
-		delete(scheduler.groupHome, item.GetGroup())
+		delete(scheduler.groupReplica, item.GetGroup())
 	}
 }
 
-// dispatch starts every item that a replica has room for, and returns how many still wait.
+// dispatch starts every item for which a replica has a free slot and returns the number of items that still wait.
 func (scheduler *scheduler) dispatch() int {
 	scheduler.mu.Lock()
 	defer scheduler.mu.Unlock()
@@ -170,11 +170,11 @@
 	if configuration == nil {
 		return len(scheduler.waiting)
 	}
-	room := newRoom(scheduler, now)
-	scheduler.planMoves(room)
+	capacity := newCapacity(scheduler, now)
+	scheduler.planMoves(capacity)
 	left := scheduler.waiting[:0]
 	for _, waiting := range scheduler.waiting {
-		if now.Before(waiting.notBefore) || !scheduler.place(waiting, configuration, room) {
+		if now.Before(waiting.notBefore) || !scheduler.place(waiting, configuration, capacity) {
 			left = append(left, waiting)
 		}
 	}
@@ -183,30 +183,30 @@
 	return len(left)
 }
 
-// place starts an item if a replica has room for it. It must be called with mu held.
-func (scheduler *scheduler) place(waiting *task, configuration *catalog.Configuration, room *room) bool {
+// place starts an item if a replica has a free slot for it. It must be called with mu held.
+func (scheduler *scheduler) place(waiting *task, configuration *catalog.Configuration, capacity *capacity) bool {
 	route := configuration.FindRoute(waiting.job.definition.GetHost(), waiting.item.GetPath())
 	if route == nil {
 		return false
 	}
 	if waiting.service == "" || waiting.configurationVersion != configuration.Version {
-		waiting.service, waiting.configurationVersion = keepPart(route, waiting.service), configuration.Version
+		waiting.service, waiting.configurationVersion = chooseService(route, waiting.service), configuration.Version
 	}
-	replica := room.pick(waiting)
+	replica := capacity.pick(waiting)
 	if replica == nil {
 		return false
 	}
-	room.take(replica.ID)
-	scheduler.try(replica.ID)
-	scheduler.groupHome[waiting.item.GetGroup()] = replica.ID
+	capacity.reserve(replica.ID)
+	scheduler.beginProbe(replica.ID)
+	scheduler.groupReplica[waiting.item.GetGroup()] = replica.ID
 	scheduler.runner.Loads.Begin(replica.ID, time.Now())
 	waiting.job.runs.Add(1)
 	go scheduler.runner.runItem(waiting, replica, route)
 	return true
 }
 
-// keepPart keeps the service that was drawn as long as the route has it.
-func keepPart(route *catalog.Route, drawn string) string {
+// chooseService returns the service chosen earlier if the route still has it, and otherwise a service drawn by weight.
+func chooseService(route *catalog.Route, drawn string) string {
 	for _, part := range route.Parts {
 		if part.Service == drawn && part.Weight > 0 {
 			return drawn
@@ -215,44 +215,46 @@
 	return forwarding.PickPart(route.Parts)
 }
 
-// refusal keeps work from a replica: after a pause it gets one item at a time, until it takes one.
+// refusal is the backoff state of a replica that refused work. After the backoff the replica gets a single item as a probe until
+// it accepts one.
 type refusal struct {
-	until  time.Time
-	trying bool
+	until   time.Time
+	probing bool
 }
 
-// refused notes that a replica refused an item.
-func (scheduler *scheduler) refused(replica string, now time.Time) {
+// recordRefusal starts the backoff of a replica that refused an item.
+func (scheduler *scheduler) recordRefusal(replica string, now time.Time) {
 	scheduler.mu.Lock()
 	defer scheduler.mu.Unlock()
-	scheduler.refusals[replica] = &refusal{until: now.Add(refusalCooling)}
+	scheduler.refusals[replica] = &refusal{until: now.Add(refusalBackoff)}
 }
 
-// took notes that a replica took an item, or that the item's attempt failed otherwise.
-func (scheduler *scheduler) took(replica string) {
+// clearRefusal ends the backoff of a replica that accepted an item or whose attempt failed for another reason.
+func (scheduler *scheduler) clearRefusal(replica string) {
 	scheduler.mu.Lock()
 	defer scheduler.mu.Unlock()
 	delete(scheduler.refusals, replica)
 }
 
-// open reports whether a replica may be tried. It must be called with mu held.
-func (scheduler *scheduler) open(replica string, now time.Time) bool {
+// mayTry reports whether a replica may get an item: it is not backing off and no probe is under way. It must be called with mu
+// held.
+func (scheduler *scheduler) mayTry(replica string, now time.Time) bool {
 	held := scheduler.refusals[replica]
-	return held == nil || (now.After(held.until) && !held.trying)
+	return held == nil || (now.After(held.until) && !held.probing)
 }
 
-// try notes that a replica is tried. It must be called with mu held.
-func (scheduler *scheduler) try(replica string) {
+// beginProbe marks a replica as being probed if it refused work before. It must be called with mu held.
+func (scheduler *scheduler) beginProbe(replica string) {
 	if held := scheduler.refusals[replica]; held != nil {
-		held.trying = true
+		held.probing = true
 	}
 }
 
-// untried notes that a replica was not tried after all: the job ended before. Without it the replica would stay closed for good.
-func (scheduler *scheduler) untried(replica string) {
+// cancelProbe ends a probe that was not sent because its job ended. Otherwise the replica would never be probed again.
+func (scheduler *scheduler) cancelProbe(replica string) {
 	scheduler.mu.Lock()
 	defer scheduler.mu.Unlock()
 	if held := scheduler.refusals[replica]; held != nil {
-		held.trying = false
+		held.probing = false
 	}
 }
--- a/internal/batchrun/scope.go
+++ b/internal/batchrun/scope.go
@@ -10,14 +10,15 @@
 	"github.com/thistlewalk/thistlewalk/internal/batch"
 )
 
-// errForeign says that the job under an identifier is another tenant's.
-var errForeign = errors.New("the identifier is that of another tenant's job")
+// errOtherTenant means that the job with this identifier belongs to another tenant.
+var errOtherTenant = errors.New("the identifier is that of another tenant's job")
 
-// inScope makes a call for the job of a tenant, empty for none, that a caller named. A job lies under the identifier that its caller gave, by which
-// nodes of builds that know no tenants find it, or in its tenant's scope if another tenant's job lies there.
+// inScope calls call with the internal identifier of the job that a tenant's caller named. A job is stored under the name that
+// its caller gave, which nodes with older builds without tenants look up, or under a name scoped to its tenant if another
+// tenant's job has that name. The tenant is empty in deployments without tenants.
 func (runner *Runner) inScope(ctx context.Context, tenant, named string, call func(id string) error) error {
 	if strings.Contains(named, batch.ScopeSeparator) {
-		return ErrNotFound // no caller has named a job so: it would lie in the scope of any tenant
+		return ErrNotFound // callers cannot use the separator; otherwise they could address the scope of any tenant
 	}
 	err := runner.forTenant(ctx, tenant, named, call)
 	if !runner.multitenant() || !errors.Is(err, ErrNotFound) {
@@ -26,7 +27,8 @@
 	return call(batch.ScopedID(tenant, named))
 }
 
-// forTenant makes a call for a job unless it is another tenant's, of which a caller learns not even that there is one.
+// forTenant calls call unless the job belongs to another tenant. In that case it returns ErrNotFound, so that the caller cannot
+// learn that the job exists.
 func (runner *Runner) forTenant(ctx context.Context, tenant, id string, call func(id string) error) error {
 	owner, err := runner.tenantOf(ctx, id)
 	switch {
@@ -44,8 +46,8 @@
 	return configuration != nil && configuration.Multitenant
 }
 
-// tenantOf returns the tenant of a job, empty for none. Where this node does not know it, from the job itself or its owner's announcement, it
-// reads the log once.
+// tenantOf returns the tenant of a job, which may be empty. It reads the log if this node knows the tenant neither from the job
+// itself nor from its owner's announcement.
 func (runner *Runner) tenantOf(ctx context.Context, id string) (string, error) {
 	if !runner.multitenant() {
 		return "", nil
@@ -60,7 +62,7 @@
 	return record.Job.GetTenant(), nil
 }
 
-// knownTenant returns the tenant of an accepted job of which this node knows whose it is.
+// knownTenant returns the tenant of an accepted job if this node knows it.
 func (runner *Runner) knownTenant(id string) (tenant string, known bool) {
 	runner.mu.Lock()
 	defer runner.mu.Unlock()
@@ -71,37 +73,37 @@
 	return tenant, known
 }
 
-// tenantHints bounds the jobs of which a node remembers the tenant: at 2 steps a second, those of half an hour.
-const tenantHints = 4096
+// maxTenantHints bounds the jobs whose tenant a node remembers.
+const maxTenantHints = 4096
 
-// RememberTenant notes whose job one is.
+// RememberTenant records the tenant of a job.
 func (runner *Runner) RememberTenant(id, tenant string) {
 	runner.mu.Lock()
 	defer runner.mu.Unlock()
-	runner.noteTenant(id, tenant)
+	runner.setTenant(id, tenant)
 }
 
-// noteTenant must be called with mu held.
-func (runner *Runner) noteTenant(id, tenant string) {
-	if len(runner.tenants) >= tenantHints {
+// setTenant must be called with mu held.
+func (runner *Runner) setTenant(id, tenant string) {
+	if len(runner.tenants) >= maxTenantHints {
 		clear(runner.tenants)
 	}
 	runner.tenants[id] = tenant
 }
 
-// checkTenant returns errForeign if this node knows that the identifier of a submitted job is that of another tenant's.
+// checkTenant returns errOtherTenant if this node knows that the identifier of a submitted job belongs to another tenant's job.
 func (runner *Runner) checkTenant(definition *batchv1.Job) error {
 	if tenant, known := runner.knownTenant(definition.GetId()); known && !batch.MayUse(definition.GetTenant(), tenant) {
-		return errForeign
+		return errOtherTenant
 	}
 	return nil
 }
 
-// checkAccepted returns errForeign if the job that was accepted under an identifier is another tenant's than the submitted one.
+// checkAccepted returns errOtherTenant if the accepted job with the identifier of a submitted job belongs to another tenant.
 func (runner *Runner) checkAccepted(ctx context.Context, definition *batchv1.Job) error {
 	tenant, err := runner.tenantOf(ctx, definition.GetId())
 	if err == nil && !batch.MayUse(definition.GetTenant(), tenant) {
-		return errForeign
+		return errOtherTenant
 	}
 	return err
 }
--- a/internal/batchrun/scope_test.go
+++ b/internal/batchrun/scope_test.go
@@ -19,7 +19,7 @@
 	return definition
 }
 
-// withTenants has the deployment have tenants.
+// withTenants enables tenants in the configuration.
 func (world *world) withTenants() {
 	configuration := *world.catalog.Configuration()
 	configuration.Version++
@@ -28,8 +28,8 @@
 	world.catalog.SetConfiguration(&configuration)
 }
 
-// A job is its tenant's at every node: read by its owner, from copies, through other nodes and from the log after its end. Another tenant
-// and a caller without one learn not even that it exists, whatever they name it.
+// Guards against access by another tenant, or by a caller without one, to a job by any name: at its owner, from copies, through
+// other nodes, or from the log after its end. The calls must not reveal that the job exists.
 func TestJobsOfTenants(t *testing.T) {
 	inWorld(t, 31, func(t *testing.T, world *world) {
 		world.withTenants()
@@ -59,7 +59,7 @@
 	})
 }
 
-// Two tenants may use the same identifiers for jobs and items: neither gets what was made for the other.
+// Guards against mixing the results of two tenants that use the same identifiers for jobs and items.
 func TestTenantsWithTheSameIdentifiers(t *testing.T) {
 	inWorld(t, 32, func(t *testing.T, world *world) {
 		world.withTenants()
@@ -75,7 +75,7 @@
 	})
 }
 
-// Tenants that use one identifier at the same moment, at one node and at several, each have a job of their own.
+// Guards against losing or mixing jobs that two tenants submit concurrently under one identifier, at one node and at several.
 func TestTenantsWithTheSameIdentifierAtOnce(t *testing.T) {
 	inWorld(t, 34, func(t *testing.T, world *world) {
 		world.withTenants()
@@ -99,7 +99,7 @@
 	})
 }
 
-// Jobs that were accepted before the deployment had tenants are read and ended by any of them.
+// Guards against losing access to jobs that were accepted before the deployment had tenants. Any tenant may use them.
 func TestJobsFromBeforeTenants(t *testing.T) {
 	inWorld(t, 33, func(t *testing.T, world *world) {
 		world.withTenants()
--- a/internal/batchrun/score.go
+++ b/internal/batchrun/score.go
@@ -14,33 +14,33 @@
 )
 
 const (
-	scorePause = 40 * time.Millisecond
-	// scoreReadLimit bounds how much of a scorer's answer is read; only its signature is used.
+	scoreRetryDelay = 40 * time.Millisecond
+	// scoreReadLimit bounds how much of a scorer's response body is read. Only its signature is used.
 	scoreReadLimit = 1 << 20
 	scoreTimeout   = 1500 * time.Millisecond
 )
 
-// score has a whole text scored and finishes the item. It is called at the end of the item's last attempt.
+// score requests the score of a complete text and finishes the item. It is called at the end of the item's last attempt.
 func (runner *Runner) score(done *task) {
-	stamp, given := "", true
+	signature, scored := "", true
 	if done.item.GetScorer() != nil {
-		stamp, given = runner.callScorer(done)
+		signature, scored = runner.callScorer(done)
 	}
 	if done.job.ctx.Err() != nil {
 		runner.keep(done, true)
 		return
 	}
-	if !given {
+	if !scored {
 		runner.terminate(done, reasonScorer)
 		return
 	}
-	done.job.finish(&batchv1.Result{ItemId: done.item.GetId(), Text: done.text, Versions: done.versions, Score: stamp})
+	done.job.finish(&batchv1.Result{ItemId: done.item.GetId(), Text: done.text, Versions: done.versions, Score: signature})
 }
 
-// callScorer returns the scorer's signature, or that it failed as often as its route allows. A call keeps its place among the scoring requests
-// in flight through its retries, so that a burst of failures opens no further connections (3,060 in place of 3,304 on a quiet day of 250
-// nodes); one that is held, which may take seconds, does not.
-func (runner *Runner) callScorer(done *task) (stamp string, given bool) {
+// callScorer returns the scorer's signature, or false if the scorer failed as often as its route allows. A call occupies one of
+// the scoring slots through its retries, so that a burst of failures opens no additional connections. It releases the slot while
+// the request is on hold, which may take seconds.
+func (runner *Runner) callScorer(done *task) (signature string, scored bool) {
 	call := &scoringCall{runner: runner, done: done, scorer: done.item.GetScorer()}
 	for {
 		select {
@@ -48,10 +48,10 @@
 		case <-done.job.ctx.Done():
 			return "", false
 		}
-		stamp, given, held := call.try()
+		signature, scored, held := call.try()
 		<-runner.scoring
 		if !held {
-			return stamp, given
+			return signature, scored
 		}
 		wait.Pause(done.job.ctx, heldPause)
 	}
@@ -66,14 +66,14 @@
 	attempts, failures int
 }
 
-// try asks one replica after the other. Held says that the request is not to be sent now, since replicas have ended under it.
-func (call *scoringCall) try() (stamp string, given, held bool) {
+// try calls one replica after the other. held is true if the request is on hold because replicas crashed while running it.
+func (call *scoringCall) try() (stamp string, scored, held bool) {
 	runner, ctx := call.runner, call.done.job.ctx
 	for ctx.Err() == nil {
 		route, replica := runner.scorerReplica(call.scorer, call.tried)
 		if replica == nil {
 			call.tried = nil
-			wait.Pause(ctx, scorePause)
+			wait.Pause(ctx, scoreRetryDelay)
 			continue
 		}
 		call.attempts++
@@ -95,7 +95,7 @@
 			}
 		}
 		call.tried = append(call.tried, replica.ID)
-		wait.Pause(ctx, scorePause)
+		wait.Pause(ctx, scoreRetryDelay)
 	}
 	return "", false, false
 }
@@ -115,7 +115,8 @@
 	return route, choice.Pick(runner.Catalog.Replicas().Service(service), tried, time.Now())
 }
 
-// scoreOnce returns the status and signature of one scoring request; status 0 with an error when no whole answer came.
+// scoreOnce sends one scoring request and returns the status and the signature. It returns status 0 and an error without a
+// complete response.
 func (runner *Runner) scoreOnce(done *task, scorer *batchv1.Scorer, route *catalog.Route, replica *catalog.Replica) (status int, signature string, err error) {
 	limit := scoreTimeout
 	if route.Timeout > 0 {
--- a/internal/batchrun/service.go
+++ b/internal/batchrun/service.go
@@ -11,10 +11,10 @@
 	"github.com/thistlewalk/thistlewalk/internal/batch"
 )
 
-// Service answers the other nodes. It implements batchv1.Batches.
+// Service serves the calls of other nodes. It implements batchv1.Batches.
 type Service struct{ Runner *Runner }
 
-// Submit accepts a job for a node that could not.
+// Submit accepts a job on behalf of another node.
 func (service Service) Submit(ctx context.Context, request *batchv1.SubmitRequest) (*batchv1.SubmitResponse, error) {
 	runner := service.Runner
 	if runner.isStopping() {
@@ -26,7 +26,7 @@
 	definition := request.GetJob()
 	started := time.Now()
 	for _, partial := range request.GetPartials() {
-		runner.kept.put(partial.GetItemId(), textOf(definition.GetId(), definition.GetTenant(), partial, started))
+		runner.kept.put(partial.GetItemId(), newKeptText(definition.GetId(), definition.GetTenant(), partial, started))
 	}
 	if err := runner.checkTenant(definition); err != nil {
 		return nil, twirp.WrapError(twirp.NewError(twirp.AlreadyExists, "not accepted"), err)
@@ -35,7 +35,7 @@
 	if other := runner.addUnlessKnown(owned); other != nil {
 		owned.cancel()
 		if !batch.MayUse(definition.GetTenant(), other.definition.GetTenant()) {
-			return nil, twirp.WrapError(twirp.NewError(twirp.AlreadyExists, "not accepted"), errForeign)
+			return nil, twirp.WrapError(twirp.NewError(twirp.AlreadyExists, "not accepted"), errOtherTenant)
 		}
 		other.deferral.takeBack()
 		return other.awaitAccepted(ctx)
@@ -45,12 +45,12 @@
 		runner.remove(owned)
 		return nil, twirp.WrapError(twirp.NewError(twirp.Unavailable, "not accepted"), err)
 	}
-	runner.settleAccept(owned, held, started, 1)
+	runner.finishAccept(owned, held, started, 1)
 	return &batchv1.SubmitResponse{}, nil
 }
 
-// addUnlessKnown adds a job that is to be accepted here, or returns the one that is accepted here already or about to be: two
-// acceptances of a job at one node would claim it from each other.
+// addUnlessKnown adds a job, or returns the job with the same identifier that this node has accepted or is accepting. Two
+// concurrent acceptances at one node would claim the job from each other.
 func (runner *Runner) addUnlessKnown(owned *job) (known *job) {
 	runner.mu.Lock()
 	defer runner.mu.Unlock()
@@ -60,7 +60,7 @@
 	return known
 }
 
-// awaitAccepted answers another node once the job is accepted.
+// awaitAccepted responds once the job is accepted.
 func (owned *job) awaitAccepted(ctx context.Context) (*batchv1.SubmitResponse, error) {
 	select {
 	case <-owned.accepted:
@@ -71,21 +71,21 @@
 	return nil, twirp.NewError(twirp.Unavailable, "not accepted")
 }
 
-// Read answers from a job that this node owns.
+// Read returns results of a job that this node owns.
 func (service Service) Read(ctx context.Context, request *batchv1.ReadRequest) (*batchv1.ReadResponse, error) {
-	wait := min(time.Duration(request.GetWaitMs())*time.Millisecond, mostWaiting)
+	wait := min(time.Duration(request.GetWaitMs())*time.Millisecond, maxReadWait)
 	limit := pageLimit
 	if request.GetMaxBytes() > 0 {
 		limit = min(limit, int(request.GetMaxBytes()))
 	}
-	page, ok := service.Runner.readHere(ctx, request.GetJobId(), int(request.GetFrom()), wait, limit)
+	page, ok := service.Runner.readLocal(ctx, request.GetJobId(), int(request.GetFrom()), wait, limit)
 	if !ok && service.Runner.find(request.GetJobId()) == nil {
-		service.Runner.sweeps.leave() // whoever asks holds this node for the owner: the log may say so
+		service.Runner.sweeps.recordUncertainWrite() // the caller regards this node as the owner, which the log may confirm
 	}
 	return &batchv1.ReadResponse{Owned: ok, Total: int64(page.Total), Results: page.Results}, nil
 }
 
-// ReadBody answers from a job that this node owns.
+// ReadBody returns the body of an item of a job that this node owns.
 func (service Service) ReadBody(_ context.Context, request *batchv1.ReadBodyRequest) (*batchv1.ReadBodyResponse, error) {
 	if service.Runner.ended.has(request.GetJobId()) {
 		return &batchv1.ReadBodyResponse{Owned: true}, nil
@@ -113,18 +113,18 @@
 	return &batchv1.EndResponse{Owned: true}, nil
 }
 
-// Keep keeps texts for the owner of a job.
+// Keep stores texts as a backup for the owner of a job.
 func (service Service) Keep(_ context.Context, request *batchv1.KeepRequest) (*batchv1.KeepResponse, error) {
-	service.Runner.kept.keepFor(request.GetJobId(), request.GetTenant(), request.GetPartials())
+	service.Runner.kept.putForJob(request.GetJobId(), request.GetTenant(), request.GetPartials())
 	return &batchv1.KeepResponse{}, nil
 }
 
-// Kept returns what is kept for a job.
+// Kept returns the texts that are stored here for a job.
 func (service Service) Kept(_ context.Context, request *batchv1.KeptRequest) (*batchv1.KeptResponse, error) {
-	return &batchv1.KeptResponse{Partials: service.Runner.kept.partialsOf(request.GetJobId())}, nil
+	return &batchv1.KeptResponse{Partials: service.Runner.kept.forJob(request.GetJobId())}, nil
 }
 
-// TakeOver takes a job from a node that stops, or that the metadata store does not answer.
+// TakeOver takes over a job from a node that is stopping or cannot reach the metadata store.
 func (service Service) TakeOver(_ context.Context, request *batchv1.TakeOverRequest) (*batchv1.TakeOverResponse, error) {
 	if service.Runner.isStopping() {
 		return nil, twirp.NewError(twirp.Unavailable, ErrStopping.Error())
@@ -140,7 +140,7 @@
 	return &batchv1.TakeOverResponse{}, nil
 }
 
-// Served reports whether the metadata store answers this node.
+// Served reports whether this node can reach the metadata store.
 func (service Service) Served(ctx context.Context, _ *batchv1.ServedRequest) (*batchv1.ServedResponse, error) {
 	runner := service.Runner
 	if runner.isStopping() || !runner.Log.Health.Good() {
--- a/internal/batchrun/share.go
+++ b/internal/batchrun/share.go
@@ -8,18 +8,19 @@
 
 const (
 	shareInterval = 120 * time.Millisecond
-	// demandRounds is after how many rounds the demands of open jobs are told again.
+	// demandRounds is the number of rounds after which the demands of open jobs are announced again.
 	demandRounds = 8
 )
 
-// announceDemands tells again what versions the open jobs take.
+// announceDemands announces which model versions the open jobs accept.
 func (runner *Runner) announceDemands() {
-	for _, owned := range runner.open() {
+	for _, owned := range runner.openJobs() {
 		runner.Peers.AnnounceDemand(owned.definition)
 	}
 }
 
-// shareLoads tells the other nodes that run jobs what this one has in flight, while it runs some and once more when it has none left.
+// shareLoads periodically sends this node's requests in flight to the other nodes that run jobs. It sends once more when there
+// are none left, so that no stale counts remain.
 func (runner *Runner) shareLoads(ctx context.Context) {
 	ticker := time.NewTicker(shareInterval)
 	defer ticker.Stop()
@@ -42,7 +43,7 @@
 	}
 }
 
-// enginesInFlight returns this node's requests in flight at replicas that run models.
+// enginesInFlight returns this node's requests in flight at replicas that serve models.
 func (runner *Runner) enginesInFlight() map[string]int {
 	counts := runner.Loads.Own()
 	replicas := runner.Catalog.Replicas()
--- a/internal/batchrun/slack.go
+++ b/internal/batchrun/slack.go
@@ -6,34 +6,33 @@
 )
 
 const (
-	// lengthMemory is how many finished items the relation of hints to events is learned from, about.
-	lengthMemory = 400
-	// growthShare is the least that a text is expected to grow still, as a share of what it has: an item that has outgrown its
-	// caller's estimate is likely to be one of the long ones.
-	growthShare = 0.25
-	// returnedLead is how much earlier the items of a group that a trainer brought back are due: it waits for these, whatever else
-	// is whole.
-	returnedLead = time.Second
+	// lengthWindow is the approximate number of finished items over which the ratio of events to tokens is averaged.
+	lengthWindow = 400
+	// minGrowthShare is the minimum remaining length as a share of the current length. An item that exceeds its caller's estimate is
+	// likely to be one of the long ones.
+	minGrowthShare = 0.25
+	// resubmittedLead is how much earlier the items of a resubmitted group are due, because the trainer waits for them in any case.
+	resubmittedLead = time.Second
 )
 
-// lengthTable learns how many events the callers' estimates of tokens stand for. It is safe for concurrent use.
+// lengthTable learns the ratio of events to the tokens that callers estimate. It is safe for concurrent use.
 type lengthTable struct {
 	mu             sync.Mutex
 	tokens, events float64
 }
 
-// observe takes an item that is whole.
+// observe records a finished item.
 func (table *lengthTable) observe(tokens, events int64) {
 	if tokens <= 0 || events <= 0 {
 		return
 	}
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	table.tokens += (float64(tokens) - table.tokens/lengthMemory)
-	table.events += (float64(events) - table.events/lengthMemory)
+	table.tokens += (float64(tokens) - table.tokens/lengthWindow)
+	table.events += (float64(events) - table.events/lengthWindow)
 }
 
-// expected returns how many events an estimate of tokens stands for; zero when that is not known yet.
+// expected returns the number of events for an estimate of tokens, or zero if the ratio is unknown.
 func (table *lengthTable) expected(tokens int64) float64 {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -43,21 +42,21 @@
 	return float64(tokens) * table.events / table.tokens
 }
 
-// remaining returns how many events an item is expected to make still, of which it has made some; zero when that is not known.
-func (scheduler *scheduler) remaining(running *task, made int64) float64 {
+// remaining returns the expected number of further events of an item after the given number of events, or zero if it is unknown.
+func (scheduler *scheduler) remaining(running *task, events int64) float64 {
 	expected := scheduler.lengths.expected(running.estimate())
 	if expected <= 0 {
 		return 0
 	}
-	return max(expected-float64(made), growthShare*float64(made))
+	return max(expected-float64(events), minGrowthShare*float64(events))
 }
 
-// rank sets the latest time at which an item can begin to be whole when its job is due, at the pace of the fastest replica. Items
-// begin in the order of these times: the long ones of a later job go before the short ones of an earlier one.
+// rank sets the latest start that completes the item by the job's due time at the fastest replica. Items start in this order, so
+// that long items of a later job precede short items of an earlier job.
 func (scheduler *scheduler) rank(waiting *task, now time.Time) {
-	seconds := scheduler.remaining(waiting, waiting.lastEvent) * scheduler.pace.fastest(now)
-	waiting.latest = waiting.job.due.Add(-time.Duration(seconds * float64(time.Second)))
-	if waiting.returned {
-		waiting.latest = waiting.latest.Add(-returnedLead)
+	seconds := scheduler.remaining(waiting, waiting.lastEvent) * scheduler.latencies.fastest(now)
+	waiting.latestStart = waiting.job.due.Add(-time.Duration(seconds * float64(time.Second)))
+	if waiting.resubmitted {
+		waiting.latestStart = waiting.latestStart.Add(-resubmittedLead)
 	}
 }
--- a/internal/batchrun/submit.go
+++ b/internal/batchrun/submit.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	acceptCallLimit = 700 * time.Millisecond
-	acceptPause     = 60 * time.Millisecond
-	// beginAfter is how long an acceptance may take before the items are begun without it.
-	beginAfter = 150 * time.Millisecond
-	// acceptLimit is how long a job is kept that could not be made durable.
-	acceptLimit = 11 * time.Second
-	// relayAfter is how many failed tries this node makes before it asks another to accept the job.
+	acceptCallTimeout = 700 * time.Millisecond
+	acceptRetryDelay  = 60 * time.Millisecond
+	// earlyStartDelay is how long an acceptance may take before the items start without it.
+	earlyStartDelay = 150 * time.Millisecond
+	// acceptTimeout is how long a node retries to accept a job before it drops the job.
+	acceptTimeout = 11 * time.Second
+	// relayAfter is the number of failed attempts after which this node asks another node to accept the job.
 	relayAfter   = 2
 	relayTimeout = 900 * time.Millisecond
-	// relayAgain is how long after a relay that failed another is tried, while the metadata store does not answer this node.
-	relayAgain = 500 * time.Millisecond
-	// preferredLimit is how long the preferred node may take to accept a job.
-	preferredLimit = 250 * time.Millisecond
+	// relayRetryDelay is the delay between two relay attempts while the metadata store is unreachable for this node.
+	relayRetryDelay = 500 * time.Millisecond
+	// preferredTimeout bounds the call that asks the preferred node to accept a job.
+	preferredTimeout = 250 * time.Millisecond
 )
 
-// Submit makes a job durable and runs it, here or at the node that owns it already. It returns once the job is accepted;
-// an error other than ErrStopping leaves open whether the job will run.
+// Submit makes a job durable and runs it, at this node or at the node that already owns it. It returns once the job is accepted.
+// After any error except ErrStopping the job may still run.
 func (runner *Runner) Submit(ctx context.Context, definition *batchv1.Job, route *catalog.Route) error {
 	err := runner.submit(ctx, definition, route)
-	if !errors.Is(err, errForeign) {
+	if !errors.Is(err, errOtherTenant) {
 		return err
 	}
 	scoped := proto.CloneOf(definition)
@@ -44,7 +44,7 @@
 	return runner.submit(ctx, scoped, route)
 }
 
-// submit returns errForeign, and accepts nothing, where another tenant's job has the identifier.
+// submit returns errOtherTenant and accepts nothing if another tenant's job has the identifier.
 func (runner *Runner) submit(ctx context.Context, definition *batchv1.Job, route *catalog.Route) error {
 	if err := runner.checkTenant(definition); err != nil {
 		return err
@@ -53,7 +53,7 @@
 		return nil
 	}
 	if runner.find(definition.GetId()) == nil {
-		if runner.isCutOff() {
+		if runner.isPartitioned() {
 			runner.Logger.Warn("job not taken", "job", definition.GetId(), "reason", "cut off")
 			return ErrUnsure
 		}
@@ -69,14 +69,14 @@
 		return runner.relay(ctx, &batchv1.SubmitRequest{Job: definition})
 	}
 	if !batch.MayUse(definition.GetTenant(), owned.definition.GetTenant()) {
-		return errForeign // another tenant's is being accepted here at this moment
+		return errOtherTenant // this node is accepting another tenant's job with the same identifier
 	}
 	select {
 	case <-owned.accepted:
 		return nil
 	case <-owned.ctx.Done():
 		if owned.foreign.Load() {
-			return errForeign
+			return errOtherTenant
 		}
 		return ErrUnsure
 	case <-ctx.Done():
@@ -84,11 +84,13 @@
 	}
 }
 
-// isCutOff reports whether this node reaches neither the metadata store nor any of the nodes that it watches: what it runs could not
-// be listed, while the caller may reach a node that is not cut off.
-func (runner *Runner) isCutOff() bool { return !runner.Log.Health.Good() && runner.Peers.Isolated() }
+// isPartitioned reports whether this node can reach neither the metadata store nor any node that it monitors. It could not list
+// the results of a job, whereas the caller may reach a node that can.
+func (runner *Runner) isPartitioned() bool {
+	return !runner.Log.Health.Good() && runner.Peers.Isolated()
+}
 
-// knownElsewhere reports whether the node that announced the job confirms that it has accepted it.
+// knownElsewhere reports whether the node that announced the job confirms that it accepted the job.
 func (runner *Runner) knownElsewhere(ctx context.Context, id string) bool {
 	runner.mu.Lock()
 	name := runner.owners[id]
@@ -96,23 +98,23 @@
 	if name == "" || name == runner.Node {
 		return false
 	}
-	return runner.callPeer(ctx, name, peerMargin, func(ctx context.Context, owner batchv1.Batches) (bool, error) {
-		response, err := owner.Read(ctx, &batchv1.ReadRequest{JobId: id, From: beyondResults})
+	return runner.callPeer(ctx, name, peerCallMargin, func(ctx context.Context, owner batchv1.Batches) (bool, error) {
+		response, err := owner.Read(ctx, &batchv1.ReadRequest{JobId: id, From: positionBeyondEnd})
 		return err == nil && response.GetOwned(), err
 	})
 }
 
-// beyondResults is a position that no job has, for reads that only ask whether a job is known.
-const beyondResults = 1 << 30
+// positionBeyondEnd exceeds every job's length. It serves for reads that only check whether a node knows a job.
+const positionBeyondEnd = 1 << 30
 
-// relayToPreferred has the node that runs the model's jobs in this zone accept the job: it has connections to the engines, and
-// knows what it has in flight there. If that takes long, this node accepts the job itself.
+// relayToPreferred asks the node that runs the model's jobs in this zone to accept the job. That node has open connections to
+// the engines and tracks their load. If the call fails or times out, this node accepts the job itself.
 func (runner *Runner) relayToPreferred(ctx context.Context, definition *batchv1.Job) bool {
 	name := runner.Peers.Preferred(definition.GetModel())
 	if name == "" || name == runner.Node || !runner.Log.Health.Good() {
 		return false
 	}
-	accepted := runner.callPeer(ctx, name, preferredLimit, func(ctx context.Context, client batchv1.Batches) (bool, error) {
+	accepted := runner.callPeer(ctx, name, preferredTimeout, func(ctx context.Context, client batchv1.Batches) (bool, error) {
 		_, err := client.Submit(ctx, &batchv1.SubmitRequest{Job: definition})
 		return err == nil, err
 	})
@@ -123,19 +125,19 @@
 	return accepted
 }
 
-// relayToServed has a node that the metadata store answers accept a job that runs here, and reports whether one has.
-func (runner *Runner) relayToServed(ctx context.Context, owned *job) bool {
+// relayToHealthyPeer asks a node that can reach the metadata store to accept a job that runs here, and reports whether it did.
+func (runner *Runner) relayToHealthyPeer(ctx context.Context, owned *job) bool {
 	names := runner.servedPeers(ctx)
-	return len(names) > 0 && runner.relayTo(ctx, names[0], owned.submission())
+	return len(names) > 0 && runner.relayTo(ctx, names[0], owned.submitRequest())
 }
 
-// submission is the request to accept the job elsewhere, with what was made of it here: items would be made anew otherwise, and be late.
-// What running items made since they were last saved is not in it.
-func (owned *job) submission() *batchv1.SubmitRequest {
+// submitRequest returns the request that lets another node accept the job. It carries the texts generated here, so that the
+// other node does not generate them again. Text that running items generated since their last save is not included.
+func (owned *job) submitRequest() *batchv1.SubmitRequest {
 	return &batchv1.SubmitRequest{Job: owned.definition, Partials: append(owned.unlisted(), owned.growingTexts()...)}
 }
 
-// relayTo has a node accept a job, and reports whether it has.
+// relayTo asks a node to accept a job and reports whether it did.
 func (runner *Runner) relayTo(ctx context.Context, name string, request *batchv1.SubmitRequest) bool {
 	accepted := runner.callPeer(ctx, name, relayTimeout, func(ctx context.Context, client batchv1.Batches) (bool, error) {
 		_, err := client.Submit(ctx, request)
@@ -148,7 +150,7 @@
 	return accepted
 }
 
-// relay has another node accept the job. Only when no node was reached has the job surely not been accepted.
+// relay asks other nodes to accept the job. After an error one of them may still have accepted it.
 func (runner *Runner) relay(ctx context.Context, request *batchv1.SubmitRequest) error {
 	for _, name := range runner.Peers.Nearest() {
 		if runner.relayTo(ctx, name, request) {
@@ -161,61 +163,62 @@
 	return ErrUnsure
 }
 
-// accept tries to make a job durable until it is, and begins its items meanwhile when the metadata store takes long: an
-// outage of the store then costs the job no more than the store's answer.
+// accept retries until the job is durable. If that takes longer than earlyStartDelay, the items start meanwhile, so that an
+// outage of the metadata store does not delay them.
 func (runner *Runner) accept(owned *job) {
 	started := time.Now()
 	go runner.beginEarly(owned)
 	ctx, settled := context.WithCancel(owned.ctx)
 	defer settled()
 	go runner.heed(ctx, settled, owned)
-	for tries := 1; owned.ctx.Err() == nil && time.Since(started) < acceptLimit; tries++ {
+	for tries := 1; owned.ctx.Err() == nil && time.Since(started) < acceptTimeout; tries++ {
 		if owned.deferral.done.Load() {
-			runner.settleAccept(owned, nil, started, tries)
+			runner.finishAccept(owned, nil, started, tries)
 			return
 		}
 		if owned.deferral.taken.Load() {
-			wait.Pause(ctx, acceptPause)
+			wait.Pause(ctx, acceptRetryDelay)
 			continue
 		}
 		if !runner.Log.Health.Good() {
-			if runner.relayToServed(ctx, owned) {
-				runner.settleAccept(owned, nil, started, tries)
+			if runner.relayToHealthyPeer(ctx, owned) {
+				runner.finishAccept(owned, nil, started, tries)
 				return
 			}
-			runner.awaitGood(ctx, relayAgain)
+			runner.awaitGood(ctx, relayRetryDelay)
 			continue
 		}
 		held, settled, err := runner.tryAccept(ctx, owned)
 		if settled {
-			runner.settleAccept(owned, held, started, tries)
+			runner.finishAccept(owned, held, started, tries)
 			return
 		}
-		if errors.Is(err, errForeign) {
+		if errors.Is(err, errOtherTenant) {
 			owned.foreign.Store(true)
 			break
 		}
 		if tries == 1 {
 			runner.Logger.Warn("acceptance delayed", "job", owned.id(), "error", err)
 		}
-		if tries >= relayAfter && tries%relayAfter == 0 && errors.Is(err, metadata.ErrUnavailable) && runner.relay(ctx, owned.submission()) == nil {
-			runner.settleAccept(owned, nil, started, tries)
+		if tries >= relayAfter && tries%relayAfter == 0 && errors.Is(err, metadata.ErrUnavailable) && runner.relay(ctx, owned.submitRequest()) == nil {
+			runner.finishAccept(owned, nil, started, tries)
 			return
 		}
-		wait.Pause(ctx, acceptPause)
+		wait.Pause(ctx, acceptRetryDelay)
 	}
 	runner.Logger.Warn("acceptance given up", "job", owned.id(), "took_ms", time.Since(started).Milliseconds(), "foreign", owned.foreign.Load())
 	runner.remove(owned)
 }
 
-// awaitGood waits until the metadata store answers this node, at most for the limit.
+// awaitGood waits up to limit until this node can reach the metadata store.
 func (runner *Runner) awaitGood(ctx context.Context, limit time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	runner.Log.Health.AwaitGood(ctx)
 }
 
-// acceptOnce returns a job that is accepted here or about to be, and begins to accept it if it is not; nil while this node stops.
+// acceptOnce returns the job that this node has accepted or is accepting, and starts the acceptance if there is none. It returns
+// nil while this node is stopping.
 func (runner *Runner) acceptOnce(definition *batchv1.Job, objective time.Duration) *job {
 	runner.mu.Lock()
 	defer runner.mu.Unlock()
@@ -231,7 +234,8 @@
 	return owned
 }
 
-// objectiveOf returns the time in which the results of a job are due, by the route of its host and path; zero if there is none.
+// objectiveOf returns the time within which the results of a job are due, by the route of its host and path, or zero if there is
+// no such route.
 func (runner *Runner) objectiveOf(definition *batchv1.Job) time.Duration {
 	configuration := runner.Catalog.Configuration()
 	if configuration == nil {
@@ -244,13 +248,14 @@
 	return route.JobObjective
 }
 
-// tryAccept makes one try. settled says that the job is durable; held is nil when another node owns it or it has ended.
-func (runner *Runner) tryAccept(ctx context.Context, owned *job) (held *batchlog.Hold, settled bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, acceptCallLimit)
+// tryAccept makes one attempt to accept a job. settled is true if the job is durable; held is then nil if another node owns the
+// job or it has ended.
+func (runner *Runner) tryAccept(ctx context.Context, owned *job) (held *batchlog.Ownership, settled bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, acceptCallTimeout)
 	defer cancel()
 	held, err = runner.Log.Accept(ctx, owned.definition)
 	if err != nil {
-		runner.sweeps.leave()
+		runner.sweeps.recordUncertainWrite()
 		return nil, false, err
 	}
 	if held != nil {
@@ -269,15 +274,15 @@
 		runner.RememberOwner(owned.id(), owner.GetNode())
 		return nil, true, nil
 	}
-	held, err = runner.Log.Claim(ctx, owned.id(), runner.Node, batchlog.AnyLife) // an earlier try was done although its answer was lost
+	held, err = runner.Log.Claim(ctx, owned.id(), runner.Node, batchlog.AnyIncarnation) // an earlier attempt succeeded but its response was lost
 	if err != nil {
-		runner.sweeps.leave()
+		runner.sweeps.recordUncertainWrite()
 	}
 	return held, err == nil, err
 }
 
-// settleAccept lets the job run here if this node owns it.
-func (runner *Runner) settleAccept(owned *job, held *batchlog.Hold, started time.Time, tries int) {
+// finishAccept completes the acceptance and runs the job here if this node owns it.
+func (runner *Runner) finishAccept(owned *job, held *batchlog.Ownership, started time.Time, tries int) {
 	owned.mu.Lock()
 	owned.held = held
 	owned.elsewhere = held == nil
@@ -295,7 +300,7 @@
 	go runner.backUp(owned)
 	runner.Peers.AnnounceJob(owned.definition)
 	runner.Peers.AnnounceDemand(owned.definition)
-	runner.begin(owned)
+	runner.startItems(owned)
 	owned.wakeFlush()
 }
 
@@ -306,8 +311,8 @@
 	}
 }
 
-// begin puts the items of a job in line, once.
-func (runner *Runner) begin(owned *job) {
+// startItems queues the items of a job unless that has been done already.
+func (runner *Runner) startItems(owned *job) {
 	owned.mu.Lock()
 	if owned.begun || owned.ending || owned.ctx.Err() != nil {
 		owned.mu.Unlock()
@@ -316,23 +321,23 @@
 	owned.begun = true
 	owned.started = time.Now()
 	var tasks []*task
-	var whole []*task
+	var complete []*task
 	for _, item := range owned.definition.GetItems() {
 		if owned.progress.Finished(item.GetId()) {
 			continue
 		}
 		created := &task{job: owned, item: item}
 		owned.tasks[item.GetId()] = created
-		if kept := runner.kept.take(owned, item.GetId()); kept != nil && created.useKept(kept) {
-			whole = append(whole, created)
+		if kept := runner.kept.take(owned, item.GetId()); kept != nil && created.resumeFrom(kept) {
+			complete = append(complete, created)
 			continue
 		}
 		tasks = append(tasks, created)
 	}
-	owned.markReturned()
+	owned.markResubmitted()
 	owned.mu.Unlock()
 	runner.scheduler.add(tasks...)
-	for _, done := range whole {
+	for _, done := range complete {
 		owned.runs.Add(1)
 		go func() {
 			defer owned.runs.Done()
@@ -341,17 +346,17 @@
 	}
 }
 
-// markReturned ranks all items of a group first when one of them was brought back. It must be called with mu held.
-func (owned *job) markReturned() {
-	returned := make(map[string]bool)
+// markResubmitted marks all items of each group that has a resubmitted item. It must be called with mu held.
+func (owned *job) markResubmitted() {
+	resubmitted := make(map[string]bool)
 	for _, created := range owned.tasks {
-		if created.returned {
-			returned[created.item.GetGroup()] = true
+		if created.resubmitted {
+			resubmitted[created.item.GetGroup()] = true
 		}
 	}
 	for _, created := range owned.tasks {
-		created.returned = returned[created.item.GetGroup()]
-		if created.returned {
+		created.resubmitted = resubmitted[created.item.GetGroup()]
+		if created.resubmitted {
 			owned.progress.Require(created.item.GetId())
 		}
 	}
--- a/internal/batchrun/suitable.go
+++ b/internal/batchrun/suitable.go
@@ -6,27 +6,27 @@
 	"github.com/thistlewalk/thistlewalk/internal/catalog"
 )
 
-// suitability tells which replicas hold weights that suit items: as they registered, or as they named themselves since. It is safe for
-// concurrent use.
+// suitability determines which replicas have weights that suit an item, from their registration and from the versions that they
+// report in responses. It is safe for concurrent use.
 type suitability struct {
 	runner *Runner
 
 	mu sync.Mutex
-	// observed are the versions that replicas named, by replica and model.
+	// observed holds the versions that replicas reported, by replica and model.
 	observed map[string]map[string]int64
-	// lists are the replicas that suit a placing, as of a set of replicas: found anew for each round they took 2.4 ms with 7,859 replicas.
-	lists map[placing][]*catalog.Replica
+	// lists caches the suitable replicas of each placement for the replicas in set.
+	lists map[placement][]*catalog.Replica
 	set   *catalog.ReplicaSet
 }
 
-// observedReplicas bounds the replicas whose named versions are remembered.
-const observedReplicas = 4096
+// maxObservedReplicas bounds the replicas whose reported versions are remembered.
+const maxObservedReplicas = 4096
 
 func newSuitability(runner *Runner) *suitability {
-	return &suitability{runner: runner, observed: make(map[string]map[string]int64), lists: make(map[placing][]*catalog.Replica)}
+	return &suitability{runner: runner, observed: make(map[string]map[string]int64), lists: make(map[placement][]*catalog.Replica)}
 }
 
-// observe takes the version of a model that a replica itself named.
+// observe records the version of a model that a replica reported.
 func (suitability *suitability) observe(replica, model string, version int64) {
 	if version <= 0 {
 		return
@@ -36,7 +36,7 @@
 	defer suitability.mu.Unlock()
 	held := suitability.observed[replica]
 	if held == nil {
-		if len(suitability.observed) > observedReplicas {
+		if len(suitability.observed) > maxObservedReplicas {
 			clear(suitability.observed)
 		}
 		held = make(map[string]int64)
@@ -48,32 +48,32 @@
 	held[model] = version
 }
 
-// version returns the version of a model that a replica holds as far as is known.
+// version returns the newest known version of a model at a replica.
 func (suitability *suitability) version(replica *catalog.Replica, model string) int64 {
 	return max(replica.Version(model), suitability.observed[replica.ID][model])
 }
 
 // suits must be called with mu held.
-func (suitability *suitability) suits(replica *catalog.Replica, placing placing) bool {
+func (suitability *suitability) suits(replica *catalog.Replica, placing placement) bool {
 	if replica.Draining {
 		return false
 	}
 	return placing.model == "" || suitability.version(replica, placing.model) >= placing.minimum
 }
 
-// suits reports whether a replica's weights suit items of a placing.
-func (scheduler *scheduler) suits(replica *catalog.Replica, placing placing) bool {
+// suits reports whether a replica's weights suit the items of a placement.
+func (scheduler *scheduler) suits(replica *catalog.Replica, placing placement) bool {
 	scheduler.suitable.mu.Lock()
 	defer scheduler.suitable.mu.Unlock()
 	return scheduler.suitable.suits(replica, placing)
 }
 
-// fitting returns the replicas whose weights suit items of a placing. The list must not be changed.
-func (scheduler *scheduler) fitting(placing placing) []*catalog.Replica {
+// suitableReplicas returns the replicas whose weights suit the items of a placement. The list must not be changed.
+func (scheduler *scheduler) suitableReplicas(placing placement) []*catalog.Replica {
 	return scheduler.suitable.list(placing)
 }
 
-func (suitability *suitability) list(placing placing) []*catalog.Replica {
+func (suitability *suitability) list(placing placement) []*catalog.Replica {
 	set := suitability.runner.Catalog.Replicas()
 	suitability.mu.Lock()
 	defer suitability.mu.Unlock()
--- a/internal/batchrun/sweep.go
+++ b/internal/batchrun/sweep.go
@@ -10,78 +10,78 @@
 )
 
 const (
-	// sweepAgain is the time between two looks while a write of this node may have been done without its answer, and sweepFor how long
-	// that lasts: a write may be done some seconds late.
-	sweepAgain = 4 * time.Second
-	sweepFor   = 12 * time.Second
-	// sweepSeldom is the time between looks that nothing asks for: a job that was left in a way that nobody foresaw is found so. A node that has
-	// never had a job, nor may have, makes none: of 835 fronts eight
-	// run jobs, and each of 292 that a silent store kept waiting tried anew each 2.7 s.
-	sweepSeldom = 30 * time.Second
-	sweepRetry  = 240 * time.Millisecond
+	// uncertainSweepInterval is the time between two sweeps within uncertainSweepPeriod after a write with an unknown outcome. Such
+	// a write may still take effect some seconds later.
+	uncertainSweepInterval = 4 * time.Second
+	uncertainSweepPeriod   = 12 * time.Second
+	// regularSweepInterval is the time between two sweeps at other times. A node that has never had a job makes none, which keeps
+	// idle nodes from loading the metadata store.
+	regularSweepInterval = 30 * time.Second
+	sweepRetryDelay      = 240 * time.Millisecond
 )
 
-// sweeps says when this node has to look for jobs that are its own by the log but do not run here.
-type sweeps struct {
-	wanted chan struct{} // one is to be made now
+// sweepSchedule determines when this node looks for jobs that it owns according to the log but does not run.
+type sweepSchedule struct {
+	requests chan struct{} // holds a value while a sweep is requested
 
-	mu   sync.Mutex
-	left time.Time // when a write was last left of which it is not known whether it was done
-	// used says that this node has had a job, or may have.
+	mu          sync.Mutex
+	uncertainAt time.Time // when a write with an unknown outcome was last given up
+	// used is true if this node has had a job or may have had one.
 	used bool
 }
 
-func newSweeps() *sweeps { return &sweeps{wanted: make(chan struct{}, 1)} }
+func newSweepSchedule() *sweepSchedule { return &sweepSchedule{requests: make(chan struct{}, 1)} }
 
-// want asks for a look now.
-func (sweeps *sweeps) want() {
-	sweeps.use()
+// request makes a sweep due immediately.
+func (sweeps *sweepSchedule) request() {
+	sweeps.recordUse()
 	select {
-	case sweeps.wanted <- struct{}{}:
+	case sweeps.requests <- struct{}{}:
 	default:
 	}
 }
 
-// leave notes that a write which makes this node the owner of a job may have been done, although nothing runs by it.
-func (sweeps *sweeps) leave() {
+// recordUncertainWrite records that a write with an unknown outcome may have made this node the owner of a job that it does not
+// run.
+func (sweeps *sweepSchedule) recordUncertainWrite() {
 	sweeps.mu.Lock()
 	defer sweeps.mu.Unlock()
-	sweeps.left, sweeps.used = time.Now(), true
+	sweeps.uncertainAt, sweeps.used = time.Now(), true
 }
 
-// use notes that this node has a job, or may have.
-func (sweeps *sweeps) use() {
+// recordUse records that this node has a job or may have one.
+func (sweeps *sweepSchedule) recordUse() {
 	sweeps.mu.Lock()
 	defer sweeps.mu.Unlock()
 	sweeps.used = true
 }
 
-// interval returns the time between two looks; zero for none.
-func (sweeps *sweeps) interval(now time.Time) time.Duration {
+// interval returns the time between two sweeps, or zero if none are needed.
+func (sweeps *sweepSchedule) interval(now time.Time) time.Duration {
 	sweeps.mu.Lock()
 	defer sweeps.mu.Unlock()
 	if !sweeps.used {
 		return 0
 	}
-	if !sweeps.left.IsZero() && now.Sub(sweeps.left) < sweepFor {
-		return sweepAgain
+	if !sweeps.uncertainAt.IsZero() && now.Sub(sweeps.uncertainAt) < uncertainSweepPeriod {
+		return uncertainSweepInterval
 	}
-	return sweepSeldom
+	return regularSweepInterval
 }
 
-// sweepPoll is how often it is looked whether a look has become due earlier.
-const sweepPoll = time.Second
+// sweepPollInterval is how often the schedule is checked, because the interval may have become shorter.
+const sweepPollInterval = time.Second
 
-// await waits until a look is due, and reports whether it was asked for.
-func (sweeps *sweeps) await(ctx context.Context) (asked bool) {
+// await waits until a sweep is due and reports whether it was requested.
+func (sweeps *sweepSchedule) await(ctx context.Context) (requested bool) {
 	last := time.Now()
-	ticker := time.NewTicker(sweepPoll)
+	ticker := time.NewTicker(sweepPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-sweeps.wanted:
+		case <-sweeps.requests:
 			return true
 		case now := <-ticker.C:
 			if interval := sweeps.interval(now); interval > 0 && now.Sub(last) >= interval {
@@ -91,29 +91,29 @@
 	}
 }
 
-// Sweep has this node look for jobs that an earlier process of it owned.
-func (runner *Runner) Sweep() { runner.sweeps.want() }
+// Sweep requests a search for jobs that an earlier process of this node owned.
+func (runner *Runner) Sweep() { runner.sweeps.request() }
 
-// sweep takes up, whenever that is due, jobs that are this node's by the log but do not run here: those of an earlier process, and those
-// whose acceptance was done although its answer was lost.
+// sweep resumes jobs that this node owns according to the log but does not run. These are jobs of an earlier process and jobs
+// whose acceptance took effect although its response was lost.
 func (runner *Runner) sweep(ctx context.Context) {
 	for {
-		asked := runner.sweeps.await(ctx)
+		requested := runner.sweeps.await(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if err := runner.takeUpOwn(ctx, !asked); err != nil {
-			runner.Logger.Warn("own jobs not listed", "asked", asked, "error", err)
+		if err := runner.claimOwnJobs(ctx, !requested); err != nil {
+			runner.Logger.Warn("own jobs not listed", "asked", requested, "error", err)
 			runner.Log.Health.Doubt()
-			wait.Pause(ctx, sweepRetry)
-			runner.Log.Health.AwaitGood(ctx) // calls that a lost store refuses are paid for all the same
-			runner.sweeps.want()
+			wait.Pause(ctx, sweepRetryDelay)
+			runner.Log.Health.AwaitGood(ctx) // calls to an unreachable store are charged as well
+			runner.sweeps.request()
 		}
 	}
 }
 
-// takeUpOwn takes up this node's jobs that do not run here. A stale list may be some seconds old, and costs less.
-func (runner *Runner) takeUpOwn(ctx context.Context, stale bool) error {
+// claimOwnJobs claims and resumes this node's jobs that do not run here. A stale list may lag by some seconds and costs less.
+func (runner *Runner) claimOwnJobs(ctx context.Context, stale bool) error {
 	ids, err := runner.owned(ctx, runner.Node, stale)
 	if err != nil {
 		return err
@@ -122,7 +122,7 @@
 	for _, id := range ids {
 		if !runner.isStopping() && runner.find(id) == nil && !runner.ended.has(id) {
 			claims.Go(func() {
-				err := runner.takeOver(id, origin{runner.Node, batchlog.AnyLife}, nil)
+				err := runner.takeOver(id, origin{runner.Node, batchlog.AnyIncarnation}, nil)
 				runner.Logger.Info("job taken up", "job", id, "error", err)
 			})
 		}
--- a/internal/batchrun/takeover.go
+++ b/internal/batchrun/takeover.go
@@ -13,19 +13,20 @@
 )
 
 const (
-	takeOverLimit = 8 * time.Second
-	handOverLimit = 1200 * time.Millisecond
+	takeOverTimeout = 8 * time.Second
+	handOverTimeout = 1200 * time.Millisecond
 )
 
-// origin is the process that a job is taken from.
+// origin is the process from which a job is taken over.
 type origin struct {
-	node string
-	life int64
+	node        string
+	incarnation int64
 }
 
-// TakeOverNode takes up every job that a dead process of a node owns. It returns once all are claimed, or with what went wrong: until
-// then the node's record tells others, and its next process, that jobs may be left.
-func (runner *Runner) TakeOverNode(ctx context.Context, node string, life int64) error {
+// TakeOverNode takes over every job that a crashed process of a node owns. It returns once all jobs are claimed, or with the
+// errors. The caller keeps the node's record until it returns without an error, so that other nodes and the next process of the
+// node know that jobs may be left.
+func (runner *Runner) TakeOverNode(ctx context.Context, node string, incarnation int64) error {
 	ids, err := runner.owned(ctx, node, false)
 	if err != nil {
 		return err
@@ -34,55 +35,55 @@
 	var claims sync.WaitGroup
 	for index, id := range ids {
 		claims.Go(func() {
-			outcomes[index] = runner.takeOver(id, origin{node, life}, nil)
-			runner.Logger.Warn("job taken over", "job", id, "from", node, "life", life, "error", outcomes[index])
+			outcomes[index] = runner.takeOver(id, origin{node, incarnation}, nil)
+			runner.Logger.Warn("job taken over", "job", id, "from", node, "life", incarnation, "error", outcomes[index])
 		})
 	}
 	claims.Wait()
 	return errors.Join(outcomes...)
 }
 
-// takeOver makes this node the owner of a job and runs what is left of it.
+// takeOver makes this node the owner of a job and resumes it.
 func (runner *Runner) takeOver(id string, from origin, partials []*batchv1.Partial) error {
 	if known := runner.find(id); known != nil {
 		if known.isAccepted() {
 			return nil
 		}
-		return errClaiming // it was submitted here too: whether this node will be its owner is open
+		return errClaiming // the job was submitted here as well, and its owner is not determined yet
 	}
 	if !runner.beginClaim(id) {
 		return errClaiming
 	}
 	defer runner.endClaim(id)
-	ctx, cancel := context.WithTimeout(runner.ctx, takeOverLimit)
+	ctx, cancel := context.WithTimeout(runner.ctx, takeOverTimeout)
 	defer cancel()
-	held, err := runner.Log.Claim(ctx, id, from.node, from.life)
+	held, err := runner.Log.Claim(ctx, id, from.node, from.incarnation)
 	if errors.Is(err, batchlog.ErrNotOwner) {
-		return nil // it ended, or another node has it
+		return nil // the job ended or has another owner
 	}
 	if err != nil {
-		runner.sweeps.leave()
+		runner.sweeps.recordUncertainWrite()
 		return err
 	}
 	record, err := runner.Log.Resume(ctx, held)
 	if err != nil {
-		runner.sweeps.leave()
+		runner.sweeps.recordUncertainWrite()
 		return err
 	}
 	now := time.Now()
 	for _, partial := range slices.Concat(record.Unfinished, runner.fetchKept(ctx, id), partials) {
-		runner.kept.put(partial.GetItemId(), textOf(id, record.Job.GetTenant(), partial, now))
+		runner.kept.put(partial.GetItemId(), newKeptText(id, record.Job.GetTenant(), partial, now))
 	}
 	runner.Metrics.Job("taken_over")
 	runner.resume(held, record)
 	return nil
 }
 
-// errClaiming says that this node is about to take the job up already.
+// errClaiming means that this node is already claiming or accepting the job.
 var errClaiming = errors.New("the job is being claimed by this node")
 
-// beginClaim reports whether no claim of a job is under way here: of two, the first to be made would be void and the last to be made
-// might be dropped.
+// beginClaim registers a claim of a job and reports whether none was under way. Of two concurrent claims the second would
+// invalidate the first, and its result might be dropped.
 func (runner *Runner) beginClaim(id string) bool {
 	runner.mu.Lock()
 	defer runner.mu.Unlock()
@@ -100,7 +101,7 @@
 }
 
 // resume runs a job that this node has claimed.
-func (runner *Runner) resume(held *batchlog.Hold, record *batchlog.Record) {
+func (runner *Runner) resume(held *batchlog.Ownership, record *batchlog.Record) {
 	objective := runner.objectiveOf(record.Job)
 	owned := newJob(runner.ctx, record.Job, objective)
 	owned.due = owned.due.Add(-min(objective, max(0, time.Since(time.UnixMilli(record.Job.GetSubmittedUnixMs())))))
@@ -123,12 +124,12 @@
 	go runner.backUp(owned)
 	runner.Peers.AnnounceJob(owned.definition)
 	runner.Peers.AnnounceDemand(owned.definition)
-	runner.begin(owned)
+	runner.startItems(owned)
 }
 
-// owned lists a node's jobs, within the time of a read.
+// owned lists the jobs of a node.
 func (runner *Runner) owned(ctx context.Context, node string, stale bool) ([]string, error) {
-	ctx, cancel := context.WithTimeout(ctx, storeReads)
+	ctx, cancel := context.WithTimeout(ctx, storeReadTimeout)
 	defer cancel()
 	return runner.Log.Owned(ctx, node, stale)
 }
@@ -139,13 +140,13 @@
 	return runner.stopping
 }
 
-// Recheck drops the jobs that this node does not own any more. It is called when others may have held the node for dead.
+// Recheck drops the jobs that this node no longer owns. It is called when other nodes may have declared this node failed.
 func (runner *Runner) Recheck(ctx context.Context) {
-	for _, owned := range runner.open() {
+	for _, owned := range runner.openJobs() {
 		if !owned.isAccepted() {
 			continue
 		}
-		callCtx, cancel := context.WithTimeout(ctx, storeReads)
+		callCtx, cancel := context.WithTimeout(ctx, storeReadTimeout)
 		still, err := runner.Log.StillOwner(callCtx, owned.held)
 		cancel()
 		if err == nil && !still {
@@ -155,7 +156,7 @@
 	}
 }
 
-func (runner *Runner) open() []*job {
+func (runner *Runner) openJobs() []*job {
 	runner.mu.Lock()
 	defer runner.mu.Unlock()
 	list := make([]*job, 0, len(runner.jobs))
@@ -165,18 +166,18 @@
 	return list
 }
 
-// HandOver gives all jobs to other nodes, for a planned stop, and reports whether all were taken. Jobs that no node takes stay
-// this node's in the log; others take them over once this node is silent, as long as it is registered.
+// HandOver hands all jobs to other nodes for a planned stop and reports whether all were accepted. This node remains the owner
+// of the others in the log. Other nodes take those over when this node stops sending heartbeats, as long as it is registered.
 func (runner *Runner) HandOver(ctx context.Context) (all bool) {
 	runner.mu.Lock()
 	runner.stopping = true
 	runner.mu.Unlock()
 	all = true
-	for _, owned := range runner.open() {
+	for _, owned := range runner.openJobs() {
 		if !owned.isAccepted() {
 			all = false
 			if !runner.Log.Health.Good() {
-				runner.passOn(ctx, owned)
+				runner.passPartials(ctx, owned)
 			}
 			continue
 		}
@@ -185,9 +186,9 @@
 	return all
 }
 
-// passOn has the node that is left the job next keep what was made of a job that an outage of the metadata store keeps from being accepted:
-// callers submit it again, and it goes on from there.
-func (runner *Runner) passOn(ctx context.Context, owned *job) {
+// passPartials hands the texts of a job that could not be accepted to the node that becomes responsible for it. When a caller
+// submits the job again, that node continues from the texts.
+func (runner *Runner) passPartials(ctx context.Context, owned *job) {
 	owned.leave()
 	owned.cancel()
 	runner.scheduler.drop(owned)
@@ -198,14 +199,14 @@
 	if name == runner.Node {
 		name = runner.Peers.Alternate(owned.definition.GetModel())
 	}
-	kept := len(partials) > 0 && runner.callPeer(ctx, name, handOverLimit, func(ctx context.Context, client batchv1.Batches) (bool, error) {
+	kept := len(partials) > 0 && runner.callPeer(ctx, name, handOverTimeout, func(ctx context.Context, client batchv1.Batches) (bool, error) {
 		_, err := client.Keep(ctx, &batchv1.KeepRequest{JobId: owned.id(), Tenant: owned.definition.GetTenant(), Partials: partials})
 		return err == nil, err
 	})
 	runner.Logger.Info("job passed on", "job", owned.id(), "to", name, "partials", len(partials), "kept", kept)
 }
 
-// handOver gives a job to the first of some nodes that takes it.
+// handOver hands a job to the first of the named nodes that accepts it.
 func (runner *Runner) handOver(ctx context.Context, owned *job, names []string) (taken bool) {
 	owned.leave()
 	owned.cancel()
@@ -218,7 +219,7 @@
 		if client == nil {
 			continue
 		}
-		callCtx, cancel := context.WithTimeout(ctx, handOverLimit)
+		callCtx, cancel := context.WithTimeout(ctx, handOverTimeout)
 		_, err := client.TakeOver(callCtx, request)
 		cancel()
 		runner.Logger.Info("job handed over", "job", owned.id(), "to", name, "partials", len(request.GetPartials()), "error", err)
@@ -231,14 +232,14 @@
 	if !taken {
 		runner.Logger.Warn("job not handed over", "job", owned.id())
 		for _, partial := range request.GetPartials() {
-			runner.kept.put(partial.GetItemId(), textOf(owned.id(), owned.definition.GetTenant(), partial, time.Now()))
+			runner.kept.put(partial.GetItemId(), newKeptText(owned.id(), owned.definition.GetTenant(), partial, time.Now()))
 		}
 	}
 	runner.remove(owned)
 	return taken
 }
 
-// partials are the texts of a job's unfinished items and of those that are not listed, once nothing of the job runs here any more.
+// partials returns the texts of a job's unfinished items and of its unlisted results. No item of the job may be running.
 func (runner *Runner) partials(owned *job) []*batchv1.Partial {
 	list := owned.unlisted()
 	for _, item := range owned.definition.GetItems() {
--- /dev/null
+++ b/internal/batchrun/timing.go
@@ -0,0 +1,58 @@
+package batchrun
+
+import (
+	"bytes"
+	"time"
+)
+
+// jobTiming compares how long a job took at this node with a lower bound.
+type jobTiming struct {
+	// elapsed is the time since the items were queued. enough is the time until as many groups were complete as the trainer waits
+	// for, or zero if that did not happen.
+	elapsed, enough time.Duration
+	// lowerBound is the larger of two times: that of the longest item at the fastest replica, and that of all events spread over all
+	// slots of the service.
+	lowerBound time.Duration
+	// longest is the number of events of the longest listed item, events that of all listed items.
+	longest, events int
+}
+
+// timingOf returns the timing of a job whose items have been cancelled.
+func (runner *Runner) timingOf(owned *job) jobTiming {
+	owned.mu.Lock()
+	defer owned.mu.Unlock()
+	timing := jobTiming{}
+	if !owned.started.IsZero() {
+		timing.elapsed = time.Since(owned.started)
+	}
+	if !owned.enough.IsZero() {
+		timing.enough = owned.enough.Sub(owned.started)
+	}
+	for _, result := range owned.listed {
+		if len(result.GetText()) == 0 {
+			continue
+		}
+		events := bytes.Count(result.GetText(), []byte("\n")) + 1
+		timing.events += events
+		timing.longest = max(timing.longest, events)
+	}
+	perEvent := runner.scheduler.latencies.fastest(time.Now())
+	bound := float64(timing.longest) * perEvent
+	if slots := runner.slotsOf(owned); slots > 0 {
+		bound = max(bound, float64(timing.events)*perEvent/float64(slots))
+	}
+	timing.lowerBound = time.Duration(bound * float64(time.Second))
+	return timing
+}
+
+// slotsOf returns the number of slots of the replicas that serve the job's model.
+func (runner *Runner) slotsOf(owned *job) int {
+	slots := 0
+	replicas := runner.Catalog.Replicas()
+	for replica := range replicas.All().Each() {
+		if replica.Version(owned.definition.GetModel()) > 0 {
+			slots += replica.Slots
+		}
+	}
+	return slots
+}
--- a/internal/batchrun/world_nodes_test.go
+++ b/internal/batchrun/world_nodes_test.go
@@ -11,7 +11,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata"
 )
 
-// logLines are what the nodes log.
+// logLines collects the log output of the nodes.
 type logLines struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -24,7 +24,7 @@
 	return lines.text.Write(line)
 }
 
-// lineOf returns the last line with a message; empty for none.
+// lineOf returns the last log line with a message, or an empty string.
 func (world *world) lineOf(message string) string {
 	world.lines.mu.Lock()
 	defer world.lines.mu.Unlock()
@@ -37,7 +37,7 @@
 	return found
 }
 
-// numberIn returns the number that a line gives for a key.
+// numberIn returns the number that a log line has for a key.
 func numberIn(t *testing.T, line, key string) int {
 	t.Helper()
 	_, rest, found := strings.Cut(line, " "+key+"=")
@@ -51,7 +51,7 @@
 	return number
 }
 
-// nodeStore is the store as one node reaches it.
+// nodeStore is the metadata store as seen by one node.
 type nodeStore struct {
 	metadata.Store
 	world *world
@@ -113,7 +113,7 @@
 	return world.refused[name]
 }
 
-// refuse has the store refuse a node, or serve it again.
+// refuse sets whether the store rejects the calls of a node.
 func (world *world) refuse(name string, refused bool) {
 	world.mu.Lock()
 	defer world.mu.Unlock()
--- a/internal/batchrun/world_test.go
+++ b/internal/batchrun/world_test.go
@@ -23,35 +23,36 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata/memstore"
 )
 
-// noTenant stands for callers of a deployment without tenants.
+// noTenant is the tenant of callers in a deployment without tenants.
 const noTenant = ""
 
-// world is some nodes over one metadata store, in modelled time.
+// world simulates nodes that share one metadata store, under a simulated clock.
 type world struct {
 	store   *memstore.Store
 	engines *engines
 	catalog *catalog.Table
 
-	mu    sync.Mutex
-	nodes map[string]*batchrun.Runner
-	lives int64
-	// preferred is the node that runs all jobs; empty for whichever is asked. It is set before the first job.
+	mu              sync.Mutex
+	nodes           map[string]*batchrun.Runner
+	lastIncarnation int64
+	// preferred is the node that runs all jobs. If it is empty, the node that gets the call runs the job. It is set before the first
+	// job.
 	preferred, alternate string
-	// preferredAt is what nodes take for the preferred one whose view of the fleet differs.
+	// preferredAt overrides preferred at nodes whose view of the membership differs.
 	preferredAt map[string]string
-	stops       map[string]context.CancelFunc
-	isolated    map[string]bool // nodes that hear of no other
-	refused     map[string]bool // nodes that the store refuses
+	stopHealth  map[string]context.CancelFunc
+	isolated    map[string]bool // nodes that receive nothing from their peers
+	refused     map[string]bool // nodes whose calls the store rejects
 	lines       logLines
-	// takeOverDelay is how long the answer to a take-over is on its way, keptDelay that to a question for kept texts.
+	// takeOverDelay delays the responses to TakeOver, keptDelay the calls of Kept.
 	takeOverDelay, keptDelay time.Duration
-	// refusesTakeOver is the node that takes nothing over, as one that begins to stop.
+	// refusesTakeOver is the node that rejects takeovers, as a stopping node does.
 	refusesTakeOver string
-	// silent has nodes announce no jobs.
-	silent bool
+	// noAnnouncements suppresses the announcements of jobs.
+	noAnnouncements bool
 }
 
-// slowClient is a node whose answers come late, or that refuses.
+// slowClient calls a node with delayed responses or rejected takeovers.
 type slowClient struct {
 	batchv1.Batches
 	world *world
@@ -87,54 +88,55 @@
 		{ID: "e1", Service: "engine", Slots: 4, Models: held}, {ID: "e2", Service: "engine", Slots: 4, Models: held}, {ID: "s1", Service: "scorer", Slots: 9},
 	}, 1)
 	return &world{
-		store: memstore.New(), catalog: table, nodes: make(map[string]*batchrun.Runner), stops: make(map[string]context.CancelFunc), isolated: make(map[string]bool), refused: make(map[string]bool),
+		store: memstore.New(), catalog: table, nodes: make(map[string]*batchrun.Runner), stopHealth: make(map[string]context.CancelFunc), isolated: make(map[string]bool), refused: make(map[string]bool),
 		engines: &engines{random: rand.New(rand.NewPCG(seed, 1)), versions: map[string]int64{"e1": 1, "e2": 1}, running: map[string]int{}, starts: map[string]int{}, resumed: map[string]int64{}, gaps: map[string]time.Duration{}},
 	}
 }
 
-// start begins a process of a node.
+// start starts a process of a node.
 func (world *world) start(name string) *batchrun.Runner {
 	world.mu.Lock()
-	world.lives++
+	world.lastIncarnation++
 	store := nodeStore{Store: world.store, world: world, node: name}
 	health := metadata.NewHealth(store, log.New(io.Discard))
 	runner := batchrun.New(batchrun.Options{
-		Node: name, Life: world.lives, Catalog: world.catalog, Loads: backend.NewLoads(), Sender: world.engines, Decoder: lines{},
-		Log: &batchlog.Log{Store: store, Health: health, Node: name, Life: world.lives}, Peers: &worldPeers{world, name}, Logger: log.New(&world.lines),
+		Node: name, Life: world.lastIncarnation, Catalog: world.catalog, Loads: backend.NewLoads(), Sender: world.engines, Decoder: lines{},
+		Log: &batchlog.Log{Store: store, Health: health, Node: name, Life: world.lastIncarnation}, Peers: &worldPeers{world, name}, Logger: log.New(&world.lines),
 		Flush: batch.FlushPolicy{Spacing: 50 * time.Millisecond, Longest: 200 * time.Millisecond},
 	})
 	world.nodes[name] = runner
 	healthCtx, stop := context.WithCancel(context.Background())
-	world.stops[name] = stop
+	world.stopHealth[name] = stop
 	world.mu.Unlock()
 	health.Needed = func() bool { return runner.Busy(time.Now()) }
 	go health.Run(healthCtx)
 	runner.Start()
-	if world.mayHaveLeft(name) {
+	if world.mayOwnJobs(name) {
 		runner.Sweep()
 	}
 	return runner
 }
 
-// mayHaveLeft reports what a node learns when it registers: whether an earlier process of it may have left jobs behind.
-func (world *world) mayHaveLeft(name string) bool {
+// mayOwnJobs reports whether an earlier process of a node may have left jobs behind, as a node finds out when it registers.
+func (world *world) mayOwnJobs(name string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
 	_, found, err := world.store.Get(ctx, batchlog.LeftKey(name))
-	return found || err != nil // a node registers only once the store answers
+	return found || err != nil // a node registers only once the store responds
 }
 
-// forget removes what says that a node may have left jobs: who stops with all jobs handed over, and who takes a dead node over, does so.
-func (world *world) forget(name string) {
+// clearLeftKey removes the key that marks a node as possibly owning jobs. This is done after a complete handover and after a
+// takeover.
+func (world *world) clearLeftKey(name string) {
 	_, _ = world.store.CommitDirectly(metadata.Txn{Deletes: []string{batchlog.LeftKey(name)}})
 }
 
-// kill ends a node's process without notice, and returns its life.
+// kill ends a node's process without notice and returns its incarnation.
 func (world *world) kill(name string) int64 {
 	world.mu.Lock()
 	runner := world.nodes[name]
 	delete(world.nodes, name)
-	if stop := world.stops[name]; stop != nil {
+	if stop := world.stopHealth[name]; stop != nil {
 		stop()
 	}
 	world.mu.Unlock()
@@ -157,7 +159,7 @@
 	}
 }
 
-// worldPeers reaches the other nodes by calls in the process.
+// worldPeers calls the other nodes within the process.
 type worldPeers struct {
 	world *world
 	self  string
@@ -198,7 +200,7 @@
 // Alternate implements batchrun.Peers.
 func (peers *worldPeers) Alternate(string) string { return peers.world.alternate }
 
-// Directory implements batchrun.Peers: one of the three nodes, whether it runs or not.
+// Directory implements batchrun.Peers. It returns one of the three nodes, whether that node runs or not.
 func (peers *worldPeers) Directory(job string) string {
 	return string("abc"[len(job)%2+int(job[len(job)-1])%2])
 }
@@ -210,12 +212,12 @@
 	return peers.world.isolated[peers.self]
 }
 
-// SameZone implements batchrun.Peers: each node has a zone of its own.
+// SameZone implements batchrun.Peers. Each node has a zone of its own.
 func (peers *worldPeers) SameZone(string) bool { return false }
 
 // AnnounceJob implements batchrun.Peers.
 func (peers *worldPeers) AnnounceJob(job *batchv1.Job) {
-	if peers.world.silent {
+	if peers.world.noAnnouncements {
 		return
 	}
 	for _, name := range peers.Nearest() {
@@ -243,7 +245,7 @@
 	return job
 }
 
-// readAll reads a job from the start.
+// readAll reads all listed results of a job.
 func readAll(ctx context.Context, runner *batchrun.Runner, id string) ([]*batchv1.Result, error) {
 	var results []*batchv1.Result
 	for {
@@ -258,13 +260,13 @@
 	}
 }
 
-// checkResults compares results with what engines make of the items.
+// checkResults compares results with the texts and scores that the engines produce for the items.
 func checkResults(t testing.TB, results []*batchv1.Result, minimum int64) {
 	t.Helper()
 	seen := make(map[string]bool)
 	for _, result := range results {
 		if seen[result.GetItemId()] {
-			t.Fatalf("%s stands twice", result.GetItemId())
+			t.Fatalf("%s is listed twice", result.GetItemId())
 		}
 		seen[result.GetItemId()] = true
 		if result.GetTerminated() {
@@ -284,12 +286,12 @@
 	}
 }
 
-// checkPrefix reports a position that holds another result than it did.
+// checkPrefix checks that the results read earlier keep their positions.
 func checkPrefix(t testing.TB, before, after []*batchv1.Result) {
 	t.Helper()
 	for index, result := range before {
 		if index >= len(after) {
-			t.Fatalf("position %d is gone", index)
+			t.Fatalf("position %d is missing", index)
 		}
 		if after[index].GetItemId() != result.GetItemId() || !bytes.Equal(after[index].GetText(), result.GetText()) {
 			t.Fatalf("position %d held %s and holds %s", index, result.GetItemId(), after[index].GetItemId())
