--- a/internal/batchrun/backup.go
+++ b/internal/batchrun/backup.go
@@ -62,18 +62,18 @@
 // queueSave queues the text of a running item to be saved in the log, and for backup, once it has grown enough. Only the
 // goroutine that runs the item calls it.
 func (running *task) queueSave() {
-	if running.lastEvent < max(minBackupEvents, running.saved) {
+	if running.lastEvent < max(minBackupEvents, running.nextSave) {
 		return
 	}
-	running.saved = running.lastEvent + saveStep
+	running.nextSave = running.lastEvent + saveStep
 	partial := &batchv1.Partial{
 		ItemId: running.item.GetId(), Text: bytes.Clone(running.text), LastEvent: running.lastEvent, Versions: slices.Clone(running.versions),
 	}
 	owned := running.job
 	owned.mu.Lock()
 	defer owned.mu.Unlock()
-	if running.lastEvent >= running.backedUp {
-		running.backedUp = int64(backupGrowth * float64(running.lastEvent))
+	if running.lastEvent >= running.nextBackup {
+		running.nextBackup = int64(backupGrowth * float64(running.lastEvent))
 		owned.grown[partial.GetItemId()] = partial
 	}
 	owned.unfinished[partial.GetItemId()] = partial
@@ -189,7 +189,7 @@
 func (runner *Runner) fetchBackups(ctx context.Context, id string) []*batchv1.Partial {
 	ctx, cancel := context.WithTimeout(ctx, backupTimeout)
 	defer cancel()
-	list := runner.kept.partialsOf(id)
+	list := runner.kept.forJob(id)
 	var mu sync.Mutex
 	var calls sync.WaitGroup
 	for _, name := range runner.Peers.Nearest() {
--- a/internal/batchrun/delegation.go
+++ b/internal/batchrun/delegation.go
@@ -114,7 +114,7 @@
 	if owned.delegation.delegated.Load() {
 		wait = takeWaitLimit
 	}
-	reached := runner.callPeer(owned.ctx, name, wait+preferredLimit, func(ctx context.Context, client batchv1.Batches) (bool, error) {
+	reached := runner.callPeer(owned.ctx, name, wait+preferredTimeout, func(ctx context.Context, client batchv1.Batches) (bool, error) {
 		response, err := client.Take(ctx, &batchv1.TakeRequest{Job: owned.definition, WaitMs: wait.Milliseconds()})
 		accepted = response.GetAccepted()
 		return err == nil, err
@@ -135,7 +135,7 @@
 // beginEarly begins the items of a job whose acceptance takes long, unless the job is delegated or this node is isolated:
 // another node may have accepted the job by then, and items that run twice compete for replica slots.
 func (runner *Runner) beginEarly(owned *job) {
-	for wait := beginAfter; ; wait = takeRetryPause {
+	for wait := earlyStartDelay; ; wait = takeRetryPause {
 		timer := time.NewTimer(wait)
 		select {
 		case <-owned.accepted:
@@ -152,7 +152,7 @@
 		if owned.delegation.delegated.Swap(false) {
 			runner.Logger.Warn("job delegation ended", "job", owned.id())
 		}
-		runner.begin(owned)
+		runner.startItems(owned)
 		return
 	}
 }
@@ -164,7 +164,7 @@
 	if runner.ended.has(id) || runner.knownElsewhere(ctx, id) {
 		return &batchv1.TakeResponse{Accepted: true}, nil
 	}
-	if runner.isCutOff() {
+	if runner.isPartitioned() {
 		return nil, twirp.NewError(twirp.Unavailable, errNotServed.Error())
 	}
 	owned := runner.acceptOnce(request.GetJob(), runner.objectiveOf(request.GetJob()))
--- a/internal/batchrun/end.go
+++ b/internal/batchrun/end.go
@@ -69,16 +69,16 @@
 
 // endDurably writes the end of a job whose items are canceled.
 func (runner *Runner) endDurably(owned *job) error {
-	ctx, cancel := context.WithTimeout(runner.ctx, acceptLimit)
+	ctx, cancel := context.WithTimeout(runner.ctx, acceptTimeout)
 	defer cancel()
-	complete, err := runner.Log.EndHeld(ctx, owned.held)
+	complete, err := runner.Log.EndOwned(ctx, owned.held)
 	if complete {
 		runner.cacheEnded(owned)
 	}
 	runner.Metrics.Job("ended")
-	spent := runner.spent(owned)
+	spent := runner.timingOf(owned)
 	runner.Logger.Info("job ended", "job", owned.id(), "listed", len(owned.listed), "items", len(owned.items), "step", owned.definition.GetStep(),
-		"here_ms", spent.here.Milliseconds(), "enough_ms", spent.enough.Milliseconds(), "bound_ms", spent.bound.Milliseconds(),
+		"here_ms", spent.elapsed.Milliseconds(), "enough_ms", spent.enough.Milliseconds(), "bound_ms", spent.lowerBound.Milliseconds(),
 		"longest", spent.longest, "events", spent.events, "error", err)
 	runner.remove(owned)
 	if err != nil {
@@ -121,7 +121,7 @@
 // awaitEnd waits for an end that another caller requested.
 func (runner *Runner) awaitEnd(ctx context.Context, owned *job) error {
 	for runner.find(owned.id()) == owned && ctx.Err() == nil {
-		wait.Pause(ctx, acceptPause)
+		wait.Pause(ctx, acceptRetryDelay)
 	}
 	if runner.ended.has(owned.id()) {
 		return nil
--- a/internal/batchrun/job.go
+++ b/internal/batchrun/job.go
@@ -27,8 +27,8 @@
 	delegation delegation
 
 	mu        sync.Mutex
-	held      *batchlog.Hold // nil until this node owns the job
-	elsewhere bool           // accepted, but another node owns it or it has ended
+	held      *batchlog.Ownership // nil until this node owns the job
+	elsewhere bool                // accepted, but another node owns it or it has ended
 	progress  *batch.Progress
 	tasks     map[string]*task
 	listed    []*batchv1.Result
