--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -67,7 +67,7 @@
 mutate 'refusal not confirmed' internal/delivery/service.go 'if err := served.log.Append(ctx, nil, nil); err != nil {' 'if err := served.log.Failed(); err != nil {' ./internal/delivery
 mutate 'probe that hangs is waited for' internal/metadata/health.go 'if told || health.Good() {' 'if !told || health.Good() {' ./internal/metadata
 mutate 'slow probe left again and again' internal/metadata/health.go 'if told || health.Good() {' 'if health.Good() {' ./internal/metadata
-mutate 'what was made stays behind' internal/batchrun/service.go 'runner.kept.put(partial.GetItemId(), newKeptText(definition.GetId(), definition.GetTenant(), partial, started))' '_ = newKeptText(definition.GetId(), definition.GetTenant(), partial, started)' ./internal/batchrun
+mutate 'what was made stays behind' internal/batchrun/service.go 'runner.kept.put(partial.GetItemId(), textOf(definition.GetId(), partial, started))' '_ = textOf(definition.GetId(), partial, started)' ./internal/batchrun
 mutate 'job not taken back' internal/batchrun/service.go 'other.delegation.reclaim()' '_ = other' ./internal/batchrun
 mutate 'replica that fails is not left alone' internal/batchrun/generate.go 'runner.scheduler.recordFailure(replica.ID, time.Now())' '_ = time.Now' ./internal/batchrun
 mutate 'item goes back to who failed it' internal/batchrun/generate.go 'running.avoid, running.avoidUntil = replica.ID, now.Add(avoidAfterFailure)' '_ = avoidAfterFailure' ./internal/batchrun
