--- a/internal/admission/budget.go
+++ b/internal/admission/budget.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// RetryBudget allows retries as a share of first attempts, so that retries cannot multiply an overload.
+// RetryBudget limits retries to a share of first attempts, so that retries cannot multiply an overload.
 type RetryBudget struct {
 	mu      sync.Mutex
 	share   float64
@@ -10,7 +10,7 @@
 	tokens  float64
 }
 
-// NewRetryBudget returns a full budget. share is retries for each first attempt; maximum is how many can be saved up.
+// NewRetryBudget returns a full budget. Each first attempt adds share retries to it, up to maximum.
 func NewRetryBudget(share, maximum float64) *RetryBudget {
 	return &RetryBudget{share: share, maximum: maximum, tokens: maximum}
 }
@@ -22,7 +22,7 @@
 	budget.tokens = min(budget.maximum, budget.tokens+budget.share)
 }
 
-// Retry takes one retry from the budget; it returns false when the budget is spent.
+// Retry takes one retry from the budget, and returns false if the budget is exhausted.
 func (budget *RetryBudget) Retry() bool {
 	budget.mu.Lock()
 	defer budget.mu.Unlock()
--- a/internal/admission/callers.go
+++ b/internal/admission/callers.go
@@ -9,10 +9,10 @@
 	"github.com/thistlewalk/thistlewalk/internal/result"
 )
 
-// maximumCallers bounds how many callers' rates are remembered.
+// maximumCallers bounds the number of callers with a token bucket. Beyond it all buckets are discarded.
 const maximumCallers = 4096
 
-// CallerLimits holds a token bucket for each caller.
+// CallerLimits limits the request rate of each caller by a token bucket. It is safe for concurrent use.
 type CallerLimits struct {
 	mu        sync.Mutex
 	perSecond rate.Limit
@@ -20,7 +20,8 @@
 	callers   map[string]*rate.Limiter
 }
 
-// NewCallerLimits returns limits of perSecond requests a caller with bursts; zero perSecond sets no limit.
+// NewCallerLimits returns limits of perSecond requests for each caller, with bursts of up to burst. There is no limit if
+// perSecond is zero or less.
 func NewCallerLimits(perSecond float64, burst int) *CallerLimits {
 	limit := rate.Limit(perSecond)
 	if perSecond <= 0 {
@@ -29,7 +30,7 @@
 	return &CallerLimits{perSecond: limit, burst: burst, callers: make(map[string]*rate.Limiter)}
 }
 
-// Admit returns NotRunLimit when the caller is over its rate.
+// Admit returns a NotRunLimit error if the caller exceeds its rate.
 func (limits *CallerLimits) Admit(caller string, now time.Time) error {
 	if limits.perSecond == rate.Inf {
 		return nil
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -1,5 +1,5 @@
-// Package admission bounds the work a node takes: concurrency with a queue ordered by priority, a budget of retries,
-// and a rate for each caller. Refusals are results of the class not run.
+// Package admission limits the work that a node accepts: concurrent requests with a priority queue, a retry budget, and a
+// rate limit for each caller. Refused requests get results of the class "not run".
 package admission
 
 import (
@@ -11,7 +11,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/result"
 )
 
-// Limiter admits up to Concurrency requests and queues up to QueueLength more, the greatest priority first.
+// Limiter runs a bounded number of requests at once and queues a bounded number more, the highest priority first and in
+// order of arrival within a priority. It is safe for concurrent use.
 type Limiter struct {
 	mu          sync.Mutex
 	concurrency int
@@ -19,7 +20,7 @@
 	running     int
 	arrivals    uint64
 	waiting     waiters
-	// meanService is a moving mean of how long a request runs; it tells refused clients when to come back.
+	// meanService is a moving average of how long requests run. The retry delay of refused requests is derived from it.
 	meanService time.Duration
 }
 
@@ -30,7 +31,7 @@
 	admitted chan error // receives nil when admitted, an error when shed
 }
 
-// waiters is a heap with the next to admit first.
+// waiters is a heap with the request to admit next on top.
 type waiters []*waiter
 
 func (queue waiters) Len() int { return len(queue) }
@@ -61,7 +62,7 @@
 	return removed
 }
 
-// NewLimiter returns a limiter. Both numbers are counts of requests; concurrency must be at least 1.
+// NewLimiter returns a limiter for concurrency running and queueLength queued requests. concurrency must be at least 1.
 func NewLimiter(concurrency, queueLength int) *Limiter {
 	return &Limiter{concurrency: concurrency, queueLength: queueLength, meanService: initialService}
 }
@@ -70,11 +71,11 @@
 	initialService = time.Second
 	minimumWait    = 100 * time.Millisecond
 	maximumWait    = 30 * time.Second
-	serviceWeight  = 16 // a new duration counts 1/16 in the mean
+	serviceWeight  = 16 // a new duration has a weight of 1/16 in the average
 )
 
-// Acquire waits for admission. The function returned ends the request and must be called. A full queue refuses the
-// request, or sheds a waiting one of a smaller priority in its place.
+// Acquire waits until the request is admitted. The caller must call the returned function when the request ends. If the
+// queue is full, Acquire refuses the request, or sheds a queued request of lower priority in its place.
 func (limiter *Limiter) Acquire(ctx context.Context, priority int) (func(), error) {
 	limiter.mu.Lock()
 	if limiter.running < limiter.concurrency {
@@ -115,7 +116,8 @@
 	return nil, result.New(result.NotRunDeadline, "the deadline passed in the queue")
 }
 
-// shedBelow refuses the waiting request that would be admitted last if its priority is smaller; must hold mu.
+// shedBelow refuses the queued request that would be admitted last if its priority is lower, and reports whether it did.
+// It must be called with mu held.
 func (limiter *Limiter) shedBelow(priority int) bool {
 	var last *waiter
 	for _, candidate := range limiter.waiting {
@@ -131,7 +133,8 @@
 	return true
 }
 
-// overload returns the refusal with the time the queue needs to empty; must hold mu.
+// overload returns a refusal whose retry delay is the estimated time until the queue is empty. It must be called with mu
+// held.
 func (limiter *Limiter) overload() *result.Error {
 	wait := limiter.meanService * time.Duration(len(limiter.waiting)+1) / time.Duration(limiter.concurrency)
 	wait = min(max(wait, minimumWait), maximumWait)
@@ -155,7 +158,7 @@
 	}
 }
 
-// Occupancy returns how many requests run and wait.
+// Occupancy returns the numbers of running and queued requests.
 func (limiter *Limiter) Occupancy() (running, waiting int) {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
