--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing picks the replica of a rollout. A Filter says which replicas may take it, Scorers grade them, and a
-// Picker takes one. All are pure: they see Candidate values and do no I/O.
+// Package routing selects the replica for a rollout. Filters exclude replicas, Scorers rank the remaining ones and a
+// Picker chooses one. They do no I/O.
 package routing
 
 import (
@@ -12,57 +12,57 @@
 	"github.com/thistlewalk/thistlewalk/internal/placement"
 )
 
-// Wanted describes the rollout to place.
+// Wanted describes the rollout to route.
 type Wanted struct {
 	Arm experiment.Arm
-	// Newest is the policy's target version; replicas that run it are preferred.
+	// Newest is the target version of the policy. Replicas that run it are preferred.
 	Newest uint64
 	Zone   string
-	// PrefixKey is equal for prompts that share a prefix worth caching.
+	// PrefixKey is equal for prompts that share a prefix worth caching; empty for none.
 	PrefixKey string
-	// Preferred is the replica that ran the rollout's last turn; empty for none.
+	// Preferred is the replica that ran the previous turn of the rollout; empty for none.
 	Preferred string
-	// Excluded are replicas that were tried already.
+	// Excluded are the replicas that were already tried.
 	Excluded []string
-	// RoomShare keeps the rollout off replicas whose batch is filled to this share: it would rather wait here, where it can
-	// still go to whichever replica has room first. Zero asks for no room.
+	// RoomShare excludes replicas whose load has reached this share of their capacity. The rollout then waits on this
+	// node, where it can still go to whichever replica has capacity first. Zero disables the limit.
 	RoomShare float64
 }
 
-// Candidate is a replica at the moment of the decision.
+// Candidate is the state of a replica at the time of the decision.
 type Candidate struct {
 	Replica *loads.Replica
 	Digest  *loads.Digest
-	// Version is the active version of the wanted policy.
+	// Version is the active version of the requested policy.
 	Version uint64
-	// Load is the estimate of requests, as a share of capacity.
+	// Load is the estimated number of requests as a share of capacity.
 	Load float64
-	// Affinity tells that the replica is the prefix's home.
+	// Affinity is true if the prefix of the prompt hashes to the replica.
 	Affinity bool
 }
 
-// Filter says whether a replica may take the rollout.
+// Filter decides whether a replica may run the rollout.
 type Filter interface {
 	Keep(wanted *Wanted, replica *loads.Replica, digest *loads.Digest) bool
 }
 
-// Scorer grades a candidate: 0 is worst, 1 is best.
+// Scorer scores a candidate from 0, the worst, to 1, the best.
 type Scorer interface {
 	Score(wanted *Wanted, candidate *Candidate) float64
 }
 
-// Choices are the replicas of a decision. Filters and scorers run only for those that a picker looks at.
+// Choices are the replicas to choose from. Filters and scorers run lazily, only for replicas that the picker examines.
 type Choices struct {
-	router   *Router
-	wanted   *Wanted
-	replicas []*loads.Replica
-	home     *loads.Replica // of the prompt's prefix; nil without one
+	router        *Router
+	wanted        *Wanted
+	replicas      []*loads.Replica
+	prefixReplica *loads.Replica // the replica that the prompt's prefix hashes to; nil without a prefix
 }
 
-// Len returns the number of replicas, those that the filters would not keep included.
+// Len returns the number of replicas, including those that the filters exclude.
 func (choices *Choices) Len() int { return len(choices.replicas) }
 
-// Keep reports whether the filters keep a replica.
+// Keep reports whether all filters accept a replica.
 func (choices *Choices) Keep(index int) bool {
 	replica := choices.replicas[index]
 	digest := replica.Digest()
@@ -74,11 +74,11 @@
 	return true
 }
 
-// Grade returns the weighted sum of the scores of a replica.
-func (choices *Choices) Grade(index int) float64 {
+// Score returns the weighted sum of a replica's scores.
+func (choices *Choices) Score(index int) float64 {
 	replica := choices.replicas[index]
 	digest := replica.Digest()
-	candidate := Candidate{Replica: replica, Digest: digest, Affinity: replica == choices.home}
+	candidate := Candidate{Replica: replica, Digest: digest, Affinity: replica == choices.prefixReplica}
 	if held := digest.HeldVersion(choices.wanted.Arm.Policy); held != nil {
 		candidate.Version = held.GetActive()
 	}
@@ -90,30 +90,30 @@
 	return total
 }
 
-// Picker takes one of the replicas that the filters keep.
+// Picker chooses one of the replicas that the filters accept.
 type Picker interface {
-	// Pick returns the index of the replica, negative when none is kept.
+	// Pick returns the index of the chosen replica; negative if the filters accept none.
 	Pick(choices *Choices) int
 }
 
-// Weighted is a scorer with its weight.
+// Weighted is a scorer with its weight in the total score.
 type Weighted struct {
 	Scorer Scorer
 	Weight float64
 }
 
-// Router puts filters, scorers and a picker together.
+// Router combines filters, scorers and a picker.
 type Router struct {
 	Filters []Filter
 	Scorers []Weighted
 	Picker  Picker
 }
 
-// Route returns the replica to ask; nil when no replica passes the filters.
+// Route returns the replica for a rollout; nil if the filters accept none.
 func (router *Router) Route(wanted *Wanted, replicas []*loads.Replica) *loads.Replica {
 	choices := Choices{router: router, wanted: wanted, replicas: replicas}
 	if wanted.PrefixKey != "" {
-		choices.home = prefixHome(wanted.PrefixKey, replicas)
+		choices.prefixReplica = selectPrefixReplica(wanted.PrefixKey, replicas)
 	}
 	index := router.Picker.Pick(&choices)
 	if index < 0 {
@@ -122,8 +122,8 @@
 	return replicas[index]
 }
 
-// prefixHome returns the replica that is ranked first for a prefix, by rendezvous hashing.
-func prefixHome(prefixKey string, replicas []*loads.Replica) *loads.Replica {
+// selectPrefixReplica returns the replica that ranks first for a prefix by rendezvous hashing.
+func selectPrefixReplica(prefixKey string, replicas []*loads.Replica) *loads.Replica {
 	key := placement.Hash(prefixKey)
 	var best *loads.Replica
 	bestWeight := uint64(0)
@@ -135,7 +135,8 @@
 	return best
 }
 
-// Serviceable keeps replicas that are not leaving or failed, whose digest is fresh and whose breaker is closed.
+// Serviceable accepts replicas that are not leaving, failed, drained or already tried, whose load digest is recent and
+// whose circuit breaker is closed.
 type Serviceable struct {
 	Now     func() time.Time
 	MaxAge  time.Duration
@@ -159,7 +160,7 @@
 	return !filter.Drained(digest.ID)
 }
 
-// HoldsVersion keeps replicas whose active version the arm allows.
+// HoldsVersion accepts replicas whose active version of the policy is allowed by the arm.
 type HoldsVersion struct{}
 
 // Keep implements Filter.
@@ -168,7 +169,7 @@
 	return held != nil && held.GetActive() != 0 && wanted.Arm.Allows(held.GetActive())
 }
 
-// HasRoom keeps replicas whose batch has room, for rollouts that ask for it.
+// HasRoom accepts replicas below the load limit of the rollout, Wanted.RoomShare.
 type HasRoom struct{}
 
 // Keep implements Filter.
@@ -176,13 +177,13 @@
 	return wanted.RoomShare == 0 || float64(replica.Estimate()) < wanted.RoomShare*float64(digest.Capacity)
 }
 
-// LoadScorer prefers replicas with few requests for their capacity.
+// LoadScorer prefers replicas with a low load relative to their capacity.
 type LoadScorer struct{}
 
 // Score implements Scorer.
 func (LoadScorer) Score(_ *Wanted, candidate *Candidate) float64 { return 1 / (1 + candidate.Load) }
 
-// VersionScorer prefers replicas that run the newest version.
+// VersionScorer prefers replicas that run the target version.
 type VersionScorer struct{}
 
 // Score implements Scorer.
@@ -193,7 +194,7 @@
 	return 0
 }
 
-// ZoneScorer prefers replicas of the node's own zone.
+// ZoneScorer prefers replicas in the zone of this node.
 type ZoneScorer struct{}
 
 // Score implements Scorer.
@@ -204,7 +205,8 @@
 	return 0
 }
 
-// AffinityScorer prefers the replica that holds the prompt's prefix in its cache, unless it is full.
+// AffinityScorer prefers the replicas likely to have the prompt in their prefix cache: the one that ran the previous turn
+// and the one that the prefix hashes to. A replica at capacity gets no preference.
 type AffinityScorer struct{}
 
 // Score implements Scorer.
@@ -221,20 +223,21 @@
 	return 0
 }
 
-// TwoChoices grades two random replicas and the preferred ones, and takes the best. Nodes whose digests are equally old
-// do not all pick the same replica.
+// TwoChoices compares two random replicas and the preferred ones, and chooses the one with the highest score. The random
+// choice keeps nodes with equally old digests from all choosing the same replica.
+//
 // Source: Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", IEEE TPDS 12(10), 2001.
 type TwoChoices struct{ Random *rand.Rand }
 
-// maximumDraws bounds the draws for one choice; where few replicas are kept, a scan finds them.
+// maximumDraws bounds the random draws for one choice. If none is accepted, a linear scan finds an accepted replica.
 const maximumDraws = 8
 
 // Pick implements Picker.
 func (picker TwoChoices) Pick(choices *Choices) int {
-	best, bestGrade := -1, 0.0
+	best, bestScore := -1, 0.0
 	consider := func(index int) {
-		if grade := choices.Grade(index); best < 0 || grade > bestGrade {
-			best, bestGrade = index, grade
+		if score := choices.Score(index); best < 0 || score > bestScore {
+			best, bestScore = index, score
 		}
 	}
 	for range 2 {
@@ -242,11 +245,11 @@
 			consider(index)
 		}
 	}
-	if choices.home == nil && choices.wanted.Preferred == "" {
+	if choices.prefixReplica == nil && choices.wanted.Preferred == "" {
 		return best
 	}
 	for index, replica := range choices.replicas {
-		isPreferred := replica == choices.home || choices.wanted.Preferred != "" && replica.Digest().ID == choices.wanted.Preferred
+		isPreferred := replica == choices.prefixReplica || choices.wanted.Preferred != "" && replica.Digest().ID == choices.wanted.Preferred
 		if isPreferred && choices.Keep(index) {
 			consider(index)
 		}
@@ -254,7 +257,7 @@
 	return best
 }
 
-// draw returns a random replica that is kept, negative when there is none.
+// draw returns the index of a random accepted replica; negative if there is none.
 func (picker TwoChoices) draw(choices *Choices) int {
 	if choices.Len() == 0 {
 		return -1
@@ -280,10 +283,10 @@
 	return rand.IntN(limit)
 }
 
-// RoundRobin takes the replicas in turn: a baseline.
+// RoundRobin cycles through the replicas. It serves as a baseline.
 type RoundRobin struct{ next *atomic.Uint64 }
 
-// NewRoundRobin returns a picker that starts with the first replica.
+// NewRoundRobin returns a picker with a counter of its own.
 func NewRoundRobin() RoundRobin { return RoundRobin{next: new(atomic.Uint64)} }
 
 // Pick implements Picker.
@@ -296,7 +299,8 @@
 	return -1
 }
 
-// LeastReported takes the replica with the least reported load, without correction: a baseline.
+// LeastReported chooses the replica with the lowest reported load, not corrected by requests in flight. It serves as a
+// baseline.
 type LeastReported struct{}
 
 // Pick implements Picker.
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -15,7 +15,7 @@
 
 var now = time.Unix(1000, 0)
 
-// fleet returns replicas that run version 2 of policy p, with given loads.
+// fleet returns replicas that run version 2 of policy p, each adjusted by the given function.
 func fleet(count int, adjust func(index int, digest *loads.Digest)) []*loads.Replica {
 	table := loads.NewTable()
 	for index := range count {
@@ -85,8 +85,8 @@
 	}
 }
 
-// Many nodes route by the same digests, seconds old, without knowing of each other's requests. Least reported load sends
-// all to one replica; two choices spread.
+// Many nodes that route by the same outdated digests must not overload one replica. Choosing the least reported load does;
+// two random choices spread the requests.
 func TestNoHerdingOnOldDigests(t *testing.T) {
 	most := func(picker Picker) int {
 		taken := make(map[string]int)
@@ -106,7 +106,7 @@
 	}
 	random := TwoChoices{Random: rand.New(rand.NewPCG(1, 1))}
 	must.Less(t, 12, most(random))
-	must.Eq(t, 204, most(LeastReported{}), must.Sprint("the baseline herds"))
+	must.Eq(t, 204, most(LeastReported{}), must.Sprint("the baseline overloads one replica"))
 }
 
 func TestTheSamePrefixGoesToOneReplicaUntilItIsFull(t *testing.T) {
