--- a/internal/scoring/scoring.go
+++ b/internal/scoring/scoring.go
@@ -1,4 +1,4 @@
-// Package scoring asks the platform's scoring service for the score of a sample.
+// Package scoring is a client of the platform's scoring service.
 package scoring
 
 import (
@@ -12,14 +12,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// HTTP is a delivery.Scorer for the service's HTTP protocol (docs/PLATFORM.md).
+// HTTP implements delivery.Scorer by the HTTP protocol of the scoring service (docs/PLATFORM.md).
 type HTTP struct {
 	base    string
 	client  *http.Client
 	timeout time.Duration
 }
 
-// NewHTTP returns a scorer at base, "http://host:port".
+// NewHTTP returns a scorer for the service at base, which has the form "http://host:port".
 func NewHTTP(base string, client *http.Client, timeout time.Duration) *HTTP {
 	return &HTTP{base: base, client: client, timeout: timeout}
 }
@@ -31,12 +31,12 @@
 	Completion string `json:"completion"`
 }
 
-// Response is the answer.
+// Response is the body of the response.
 type Response struct {
 	Score float64 `json:"score"`
 }
 
-const maximumAnswer = 64 << 10
+const maximumResponseBytes = 64 << 10
 
 // Score implements delivery.Scorer.
 func (scorer *HTTP) Score(ctx context.Context, policy, prompt, completion string) (float64, error) {
@@ -56,9 +56,9 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return 0, errors.Newf("scorer answered %d", response.StatusCode)
+		return 0, errors.Newf("scoring service returned status %d", response.StatusCode)
 	}
 	var answer Response
-	err = json.NewDecoder(io.LimitReader(response.Body, maximumAnswer)).Decode(&answer)
+	err = json.NewDecoder(io.LimitReader(response.Body, maximumResponseBytes)).Decode(&answer)
 	return answer.Score, errors.Wrap(err, "scorer")
 }
