--- a/internal/placement/rank.go
+++ b/internal/placement/rank.go
@@ -1,7 +1,8 @@
-// Package placement ranks live nodes for a key by rendezvous hashing: every node with the same view of the members
-// picks the same node, and a node's death moves only what it held.
-// Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates", IEEE/ACM Transactions on
-// Networking 6(1), 1998.
+// Package placement ranks live nodes for a key by rendezvous hashing: nodes with the same view of the membership choose
+// the same node, and the failure of a node moves only the keys that it owned.
+//
+// Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates", IEEE/ACM Transactions on Networking
+// 6(1), 1998.
 package placement
 
 import (
@@ -11,13 +12,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash returns the hash of a key or an identifier, for Weight.
+// Hash returns the hash of a key or node identifier for Weight.
 func Hash(text string) uint64 { return xxhash.Sum64String(text) }
 
-// Weight returns the rendezvous weight of a node for a key, by their hashes.
+// Weight returns the rendezvous weight of a node for a key, given the hashes of both.
 func Weight(key, node uint64) uint64 { return mix(key ^ mix(node)) }
 
-// mix finishes a hash so that near inputs spread (the finalizer of MurmurHash3, Appleby 2011).
+// mix is the finalizer of MurmurHash3 (Appleby 2011), which spreads similar hashes.
 func mix(value uint64) uint64 {
 	value ^= value >> 33
 	value *= 0xff51afd7ed558ccd
@@ -26,7 +27,7 @@
 	return value ^ value>>33
 }
 
-// Rank returns a sorted copy of the items, best first.
+// Rank returns a copy of the items, sorted by descending weight for the key.
 func Rank[T any](key string, items []T, identify func(T) string) []T {
 	type weighted struct {
 		item   T
@@ -49,7 +50,7 @@
 	return ranked
 }
 
-// Best returns the identifier ranked first, empty without identifiers. It allocates nothing.
+// Best returns the identifier that ranks first for the key; empty if there are none. It does not allocate.
 func Best(key string, identifiers []string) string {
 	best, bestWeight := "", uint64(0)
 	hash := Hash(key)
