--- a/internal/loads/exchange.go
+++ b/internal/loads/exchange.go
@@ -12,16 +12,16 @@
 	"github.com/thistlewalk/thistlewalk/internal/machines"
 )
 
-// Flags of a digest between nodes.
+// Bits of the flags that nodes exchange for a digest.
 const (
 	flagLeaving = 1 << iota
 	flagFailed
 )
 
-// Hash shortens a replica's identifier between nodes.
+// Hash returns the short form of a replica's identifier that nodes exchange.
 func Hash(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
-// Fingerprint shortens what a replica holds.
+// Fingerprint returns the short form of the versions that a replica holds.
 func Fingerprint(held []*controlv1.HeldVersion) uint32 {
 	digest := xxhash.New()
 	var number [8]byte
@@ -35,7 +35,7 @@
 	return uint32(digest.Sum64())
 }
 
-// offset returns how far a sequence is behind the base, as far as the form between nodes can tell.
+// offset returns how far a sequence is behind the base, saturated to 32 bits. A sequence ahead of the base has offset 0.
 func offset(base, sequence uint64) uint32 {
 	if sequence >= base {
 		return 0
@@ -43,18 +43,19 @@
 	return uint32(min(base-sequence, math.MaxUint32))
 }
 
-// fresh reports whether a digest is worth passing on.
-func (digest *Digest) fresh(now time.Time, maximumAge time.Duration) bool {
+// isFresh reports whether a digest is recent enough to be exchanged.
+func (digest *Digest) isFresh(now time.Time, maximumAge time.Duration) bool {
 	return now.Sub(digest.received) <= maximumAge
 }
 
-// Known tells a peer which digests this node has, those older than maximumAge left out. now is the base of the offsets.
+// Known returns a request that lists the digests of this node which are not older than maximumAge. Offsets are relative to
+// now.
 func (table *Table) Known(now time.Time, maximumAge time.Duration) *controlv1.ExchangeRequest {
 	replicas := table.List()
 	request := &controlv1.ExchangeRequest{Base: uint64(now.UnixMilli())}
 	for _, replica := range replicas {
 		digest := replica.Digest()
-		if !digest.fresh(now, maximumAge) {
+		if !digest.isFresh(now, maximumAge) {
 			continue
 		}
 		request.Replicas = append(request.Replicas, Hash(digest.ID))
@@ -66,8 +67,8 @@
 	return request
 }
 
-// Newer returns the digests that are newer than those the peer has, those older than maximumAge left out. A digest whose
-// sequence is ahead of the peer's clock is told by the peer as the base, and sent once more than needed.
+// Newer returns the digests that are newer than those listed by a peer and not older than maximumAge. A digest whose
+// sequence is ahead of the peer's clock is listed at the base, and is therefore sent again although the peer has it.
 func (table *Table) Newer(known *controlv1.ExchangeRequest, now time.Time, maximumAge time.Duration) *controlv1.ExchangeResponse {
 	sequences := make(map[uint32]uint64, len(known.GetReplicas()))
 	for index, hash := range known.GetReplicas() {
@@ -78,20 +79,20 @@
 	var newer []*Digest
 	for _, replica := range table.List() {
 		digest := replica.Digest()
-		if digest.fresh(now, maximumAge) && digest.Sequence > sequences[Hash(digest.ID)] {
+		if digest.isFresh(now, maximumAge) && digest.Sequence > sequences[Hash(digest.ID)] {
 			newer = append(newer, digest)
 		}
 	}
-	return columns(newer, known.GetHoldings())
+	return encodeColumns(newer, known.GetHoldings())
 }
 
-// columns writes digests side by side, with the holdings that the peer does not know.
-func columns(digests []*Digest, knownHoldings []uint32) *controlv1.ExchangeResponse {
+// encodeColumns encodes digests by column, and defines the holdings that the peer does not know.
+func encodeColumns(digests []*Digest, knownHoldings []uint32) *controlv1.ExchangeResponse {
 	response := &controlv1.ExchangeResponse{}
 	for _, digest := range digests {
 		response.Base = max(response.Base, digest.Sequence)
 	}
-	defined := slices.Clone(knownHoldings)
+	sent := slices.Clone(knownHoldings)
 	for _, digest := range digests {
 		response.Replicas = append(response.Replicas, Hash(digest.ID))
 		response.Offsets = append(response.Offsets, offset(response.Base, digest.Sequence))
@@ -100,8 +101,8 @@
 		response.Capacity = append(response.Capacity, uint32(digest.Capacity))
 		response.Flags = append(response.Flags, digest.flags())
 		response.Holdings = append(response.Holdings, digest.holding)
-		if !slices.Contains(defined, digest.holding) {
-			defined = append(defined, digest.holding)
+		if !slices.Contains(sent, digest.holding) {
+			sent = append(sent, digest.holding)
 			response.Definitions = append(response.Definitions, &controlv1.Holding{Fingerprint: digest.holding, Held: digest.Held})
 		}
 	}
@@ -119,20 +120,21 @@
 	return flags
 }
 
-// Merge offers a peer's answer and returns the digests whose flags changed by it. Digests of replicas that are not on the machine
-// list known here, and of holdings that nobody has defined, are passed over: they come again.
+// Merge offers the digests of a peer's response to the table and returns those that changed a replica's flags. It skips
+// digests of replicas that are not in the machine list of this node, and of holdings without a definition; a later
+// exchange brings them again.
 func (table *Table) Merge(response *controlv1.ExchangeResponse, list *machines.List, now time.Time) []*Digest {
 	if !columnsAgree(response) {
 		return nil
 	}
 	for _, definition := range response.GetDefinitions() {
-		table.held.Store(definition.GetFingerprint(), definition.GetHeld())
+		table.holdings.Store(definition.GetFingerprint(), definition.GetHeld())
 	}
 	listed := table.index(list)
 	var changed []*Digest
 	for index, hash := range response.GetReplicas() {
 		machine, onList := listed[hash]
-		stored, defined := table.held.Load(response.GetHoldings()[index])
+		stored, defined := table.holdings.Load(response.GetHoldings()[index])
 		if !onList || !defined {
 			continue
 		}
@@ -152,12 +154,11 @@
 	return changed
 }
 
-// Pushed returns the message that brings digests to peers that may know none of what they hold.
+// Pushed returns a message with digests and the definitions of all their holdings, for peers that may lack them.
 func Pushed(digests []*Digest) *controlv1.ExchangeResponse {
-	return columns(digests, nil)
+	return encodeColumns(digests, nil)
 }
 
-// columnsAgree reports whether all columns have one entry for each replica.
 func columnsAgree(response *controlv1.ExchangeResponse) bool {
 	rows := len(response.GetReplicas())
 	for _, column := range [][]uint32{response.GetOffsets(), response.GetRunning(), response.GetQueued(), response.GetCapacity(), response.GetFlags(), response.GetHoldings()} {
@@ -168,21 +169,21 @@
 	return true
 }
 
-// machineIndex finds the machines of a list by the hash of their identifiers.
+// machineIndex maps hashed identifiers to the machines of a list.
 type machineIndex struct {
 	list   *machines.List
 	byHash map[uint32]machines.Machine
 }
 
-// index returns the machines of a list by hash; the index of the last list is kept.
+// index returns the machines of a list by hashed identifier. The index of the most recent list is cached.
 func (table *Table) index(list *machines.List) map[uint32]machines.Machine {
-	if present := table.machines.Load(); present != nil && present.list == list {
-		return present.byHash
+	if cached := table.machines.Load(); cached != nil && cached.list == list {
+		return cached.byHash
 	}
-	made := &machineIndex{list: list, byHash: make(map[uint32]machines.Machine, len(list.Machines))}
+	built := &machineIndex{list: list, byHash: make(map[uint32]machines.Machine, len(list.Machines))}
 	for _, machine := range list.Machines {
-		made.byHash[Hash(machine.ID)] = machine
+		built.byHash[Hash(machine.ID)] = machine
 	}
-	table.machines.Store(made)
-	return made.byHash
+	table.machines.Store(built)
+	return built.byHash
 }
--- a/internal/loads/table.go
+++ b/internal/loads/table.go
@@ -1,5 +1,5 @@
-// Package loads keeps the lagging load digests of replicas, in shards, each under its own lock, and corrects them by the
-// node's own requests in flight.
+// Package loads stores the load digests of replicas, which lag behind, and corrects them by the requests that this node
+// has in flight. The table is sharded to reduce lock contention.
 package loads
 
 import (
@@ -17,22 +17,23 @@
 
 const shardCount = 16
 
-// Replica is what the node knows of one replica. Digest is replaced whole; the counters are the node's own.
+// Replica is the state of one replica on this node. The digest is replaced atomically; the counters cover only requests of
+// this node.
 type Replica struct {
-	hash     uint64 // of the identifier, for placement
+	hash     uint64 // of the identifier, for rendezvous hashing
 	digest   atomic.Pointer[Digest]
 	inFlight atomic.Int64
-	// Consecutive failures of the node's own requests, and when the replica may be tried again.
+	// Circuit breaker: consecutive failures of this node's requests, and when the replica may be tried again.
 	failures  atomic.Int64
 	openUntil atomic.Int64 // Unix milliseconds
 }
 
-// Digest is one published load.
+// Digest is the load that a replica published.
 type Digest struct {
 	ID       string
 	Address  string
 	Zone     string
-	Sequence uint64 // milliseconds of Unix time at the publisher
+	Sequence uint64 // Unix milliseconds of the publisher's clock
 	Running  int
 	Queued   int
 	Capacity int
@@ -42,11 +43,11 @@
 	// holding is the fingerprint of Held.
 	holding  uint32
 	received time.Time
-	// ownAtReceipt is the node's own requests in flight when the digest came.
-	ownAtReceipt int64
+	// inFlightAtReceipt is the number of this node's requests in flight when the digest was received.
+	inFlightAtReceipt int64
 }
 
-// HeldVersion returns what the replica holds of a policy; nil when nothing.
+// HeldVersion returns the versions of a policy that the replica holds; nil if it holds none.
 func (digest *Digest) HeldVersion(policy string) *controlv1.HeldVersion {
 	for _, held := range digest.Held {
 		if held.GetPolicy() == policy {
@@ -56,50 +57,50 @@
 	return nil
 }
 
-// Received returns when the digest came to this node.
+// Received returns when this node received the digest.
 func (digest *Digest) Received() time.Time { return digest.received }
 
-// Hash returns the hash of the replica's identifier, for placement.
+// Hash returns the hash of the replica's identifier for placement.
 func (replica *Replica) Hash() uint64 { return replica.hash }
 
-// Digest returns the newest digest.
+// Digest returns the most recent digest.
 func (replica *Replica) Digest() *Digest { return replica.digest.Load() }
 
-// Begin counts a request to the replica; the function returned ends it.
+// Begin counts a request to the replica as in flight until the returned function is called.
 func (replica *Replica) Begin() func() {
 	replica.inFlight.Add(1)
 	return func() { replica.inFlight.Add(-1) }
 }
 
-// Estimate returns the replica's requests, running and queued: the digest's, corrected by how the node's own requests in
-// flight have changed since.
+// Estimate returns the estimated number of running and queued requests: the number in the digest, corrected by the change
+// in this node's requests in flight since the digest was received. It is at least the number of the latter.
 func (replica *Replica) Estimate() int {
 	digest := replica.digest.Load()
 	own := replica.inFlight.Load()
-	estimate := int64(digest.Running+digest.Queued) + own - digest.ownAtReceipt
+	estimate := int64(digest.Running+digest.Queued) + own - digest.inFlightAtReceipt
 	return int(max(estimate, own, 0))
 }
 
 // Limits of the circuit breaker of a replica.
 const (
-	breakerFailures = 3
-	breakerPause    = 2 * time.Second
+	breakerThreshold = 3
+	breakerCooldown  = 2 * time.Second
 )
 
-// Failed notes that one of the node's own requests failed at the replica; several in a row open its breaker.
+// Failed records a failed request of this node. After breakerThreshold consecutive failures it opens the circuit breaker.
 func (replica *Replica) Failed(now time.Time) {
-	if replica.failures.Add(1) >= breakerFailures {
-		replica.openUntil.Store(now.Add(breakerPause).UnixMilli())
+	if replica.failures.Add(1) >= breakerThreshold {
+		replica.openUntil.Store(now.Add(breakerCooldown).UnixMilli())
 	}
 }
 
-// Succeeded closes the breaker.
+// Succeeded closes the circuit breaker.
 func (replica *Replica) Succeeded() {
 	replica.failures.Store(0)
 	replica.openUntil.Store(0)
 }
 
-// Open reports whether the breaker keeps requests away.
+// Open reports whether the circuit breaker is open.
 func (replica *Replica) Open(now time.Time) bool { return now.UnixMilli() < replica.openUntil.Load() }
 
 type shard struct {
@@ -107,14 +108,14 @@
 	replicas map[string]*Replica
 }
 
-// Table holds all replicas. It is safe for concurrent use.
+// Table holds the replicas by identifier. It is safe for concurrent use.
 type Table struct {
-	shards   [shardCount]shard
-	version  atomic.Uint64 // grows with each change of the set
-	listed   atomic.Pointer[[]*Replica]
-	listedAt atomic.Uint64
-	machines atomic.Pointer[machineIndex]
-	held     sync.Map // what replicas hold, by fingerprint: []*controlv1.HeldVersion
+	shards        [shardCount]shard
+	version       atomic.Uint64 // incremented with each change of the set of replicas
+	listed        atomic.Pointer[[]*Replica]
+	listedVersion atomic.Uint64
+	machines      atomic.Pointer[machineIndex]
+	holdings      sync.Map // []*controlv1.HeldVersion by fingerprint
 }
 
 // NewTable returns an empty table.
@@ -130,25 +131,24 @@
 	return &table.shards[xxhash.Sum64String(id)%shardCount]
 }
 
-// News is what an offered digest changed.
+// News is the kind of change that a digest made.
 type News int
 
-// The kinds of news.
 const (
-	NewsNone  News = iota // an older digest: nothing changed
-	NewsLoad              // a newer load
-	NewsFlags             // the replica began or ceased to be failed or leaving
+	NewsNone  News = iota // the digest is not newer: nothing changed
+	NewsLoad              // the load changed
+	NewsFlags             // the failed or leaving flag changed, or a new replica has one set
 )
 
-// Offer takes a digest that is newer than the one held, and tells what it changed.
+// Offer stores a digest if it is newer than the current one, and returns what it changed.
 func (table *Table) Offer(digest Digest, now time.Time) News {
 	shard := table.shardOf(digest.ID)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	digest.received = now
 	digest.holding = Fingerprint(digest.Held)
-	if _, known := table.held.Load(digest.holding); !known {
-		table.held.Store(digest.holding, digest.Held)
+	if _, known := table.holdings.Load(digest.holding); !known {
+		table.holdings.Store(digest.holding, digest.Held)
 	}
 	replica, ok := shard.replicas[digest.ID]
 	if !ok {
@@ -161,19 +161,19 @@
 		}
 		return NewsLoad
 	}
-	present := replica.digest.Load()
-	if digest.Sequence <= present.Sequence {
+	current := replica.digest.Load()
+	if digest.Sequence <= current.Sequence {
 		return NewsNone
 	}
-	digest.ownAtReceipt = replica.inFlight.Load()
+	digest.inFlightAtReceipt = replica.inFlight.Load()
 	replica.digest.Store(&digest)
-	if digest.flags() != present.flags() {
+	if digest.flags() != current.flags() {
 		return NewsFlags
 	}
 	return NewsLoad
 }
 
-// Get returns a replica by identifier; nil when it is not known.
+// Get returns a replica by identifier; nil if it is unknown.
 func (table *Table) Get(id string) *Replica {
 	shard := table.shardOf(id)
 	shard.mu.RLock()
@@ -181,26 +181,26 @@
 	return shard.replicas[id]
 }
 
-// maximumHoldings bounds the remembered holdings; those that replicas still have come again with their digests.
+// maximumHoldings bounds the cached holdings. Holdings that are still in use are received again with later digests.
 const maximumHoldings = 1024
 
-// forgetHoldings empties the memory of holdings when it has grown, but for those that are held now.
-func (table *Table) forgetHoldings() {
+// pruneHoldings removes holdings that no current digest has, once more than maximumHoldings are cached.
+func (table *Table) pruneHoldings() {
 	count := 0
-	table.held.Range(func(any, any) bool { count++; return count <= maximumHoldings })
+	table.holdings.Range(func(any, any) bool { count++; return count <= maximumHoldings })
 	if count <= maximumHoldings {
 		return
 	}
-	table.held.Clear()
+	table.holdings.Clear()
 	for _, replica := range table.List() {
 		digest := replica.Digest()
-		table.held.Store(digest.holding, digest.Held)
+		table.holdings.Store(digest.holding, digest.Held)
 	}
 }
 
-// Forget removes replicas whose digest came longer ago than the age given.
+// Forget removes replicas without requests in flight whose digest is older than age.
 func (table *Table) Forget(now time.Time, age time.Duration) {
-	table.forgetHoldings()
+	table.pruneHoldings()
 	for index := range table.shards {
 		shard := &table.shards[index]
 		shard.mu.Lock()
@@ -214,10 +214,10 @@
 	}
 }
 
-// List returns all replicas by identifier. The slice must not be changed.
+// List returns all replicas, ordered by identifier. The caller must not modify the slice.
 func (table *Table) List() []*Replica {
 	version := table.version.Load()
-	if listed := table.listed.Load(); listed != nil && table.listedAt.Load() == version {
+	if listed := table.listed.Load(); listed != nil && table.listedVersion.Load() == version {
 		return *listed
 	}
 	var replicas []*Replica
@@ -231,6 +231,6 @@
 	}
 	slices.SortFunc(replicas, func(a, b *Replica) int { return strings.Compare(a.Digest().ID, b.Digest().ID) })
 	table.listed.Store(&replicas)
-	table.listedAt.Store(version)
+	table.listedVersion.Store(version)
 	return replicas
 }
