--- a/internal/quarantine/archive.go
+++ b/internal/quarantine/archive.go
@@ -16,93 +16,95 @@
 	"github.com/thistlewalk/thistlewalk/internal/wait"
 )
 
-// Prefix is where requests in quarantine lie in the metadata store, by their fingerprints. A process that begins is told of them, and they
-// outlive a restart of all nodes.
+// Prefix is the prefix of the keys of quarantine records in the metadata store; the fingerprint follows it. Records are
+// loaded by each process that starts, and survive a restart of all nodes.
 const Prefix = "quarantine/"
 
 const (
-	// commitLimit bounds one call to the store, and commitPause is the time between two.
-	commitLimit = time.Second
-	commitPause = 200 * time.Millisecond
-	// deputyKeepsAfter is how long the node that ranks first for a request leaves it to the reporter to keep it: a call to a store that is well
-	// takes some milliseconds, and its event is spread within some tens.
-	deputyKeepsAfter = time.Second
-	// recordsMost bounds the requests that are kept.
-	recordsMost = 1024
+	// commitTimeout bounds one call to the store; commitBackoff is the delay before a failed call is repeated.
+	commitTimeout = time.Second
+	commitBackoff = 200 * time.Millisecond
+	// deputyPersistDelay is how long the deputy leaves it to the reporter to store a record. It covers a commit and the
+	// propagation of the record to this node.
+	deputyPersistDelay = time.Second
+	// maxRecords bounds the records in the store.
+	maxRecords = 1024
 )
 
-// Archive keeps requests in quarantine in the metadata store, and takes from there what other nodes keep. It implements Keeper and
-// metadata.Handler. It is safe for concurrent use.
+// Archive stores quarantined requests in the metadata store and loads those that other nodes have stored. It implements
+// Keeper and metadata.Handler. It is safe for concurrent use.
 type Archive struct {
 	Store  metadata.Store
 	Health *metadata.Health
 	Book   *Book
 	Node   string
 	Logger *log.Logger
-	// IsDeputy reports whether this node keeps a request if its reporter does not, which the store may refuse.
+	// IsDeputy reports whether this node stores the record of a request if its reporter does not.
 	IsDeputy func(Fingerprint) bool
 
 	ctx context.Context
 
-	mu     sync.Mutex
-	kept   map[Fingerprint]keptRecord
-	atWork map[Fingerprint]bool
+	mu      sync.Mutex
+	stored  map[Fingerprint]storedRecord
+	writing map[Fingerprint]bool
 }
 
-// keptRecord is what the store has of a request.
-type keptRecord struct {
+// storedRecord is the last known state of a record in the store.
+type storedRecord struct {
 	revision metadata.Revision
 	crashes  int
 }
 
-// NewArchive returns an archive that works until the context ends.
+// NewArchive returns an archive that runs until the context ends.
 func NewArchive(ctx context.Context, store metadata.Store, health *metadata.Health, book *Book, node string, logger *log.Logger) *Archive {
 	return &Archive{
 		Store: store, Health: health, Book: book, Node: node, Logger: logger, IsDeputy: func(Fingerprint) bool { return false },
-		ctx: ctx, kept: make(map[Fingerprint]keptRecord), atWork: make(map[Fingerprint]bool),
+		ctx: ctx, stored: make(map[Fingerprint]storedRecord), writing: make(map[Fingerprint]bool),
 	}
 }
 
-// Keep implements Keeper. It returns at once.
-func (archive *Archive) Keep(fingerprint Fingerprint) {
+// Persist implements Keeper. The reporter stores the record at once, the deputy after deputyPersistDelay, and other nodes
+// do not store it. It does not block.
+func (archive *Archive) Persist(fingerprint Fingerprint) {
 	delay := time.Duration(0)
 	if archive.Book.Suspected(fingerprint).Reporter != archive.Node {
 		if !archive.IsDeputy(fingerprint) {
 			return
 		}
-		delay = deputyKeepsAfter
+		delay = deputyPersistDelay
 	}
-	if archive.begin(fingerprint) {
-		go archive.store(fingerprint, delay)
+	if archive.beginWrite(fingerprint) {
+		go archive.writeRecord(fingerprint, delay)
 	}
 }
 
-// begin reports whether nobody writes a request's record, and has the caller do so.
-func (archive *Archive) begin(fingerprint Fingerprint) bool {
+// beginWrite reports whether no other goroutine writes the record of a request. If so, the caller writes it and calls
+// endWrite.
+func (archive *Archive) beginWrite(fingerprint Fingerprint) bool {
 	archive.mu.Lock()
 	defer archive.mu.Unlock()
-	if archive.atWork[fingerprint] {
+	if archive.writing[fingerprint] {
 		return false
 	}
-	archive.atWork[fingerprint] = true
+	archive.writing[fingerprint] = true
 	return true
 }
 
-func (archive *Archive) end(fingerprint Fingerprint) {
+func (archive *Archive) endWrite(fingerprint Fingerprint) {
 	archive.mu.Lock()
 	defer archive.mu.Unlock()
-	delete(archive.atWork, fingerprint)
+	delete(archive.writing, fingerprint)
 }
 
-// store writes the record of a request until the store has it as the book does. Each write has the revision that was there as its
-// condition: one that is carried out late overwrites nothing.
-func (archive *Archive) store(fingerprint Fingerprint, delay time.Duration) {
-	defer archive.end(fingerprint)
+// writeRecord writes the record of a request until the store is up to date with the book. Each write is conditional on the
+// revision that it replaces, so that a delayed write overwrites nothing newer.
+func (archive *Archive) writeRecord(fingerprint Fingerprint, delay time.Duration) {
+	defer archive.endWrite(fingerprint)
 	wait.Pause(archive.ctx, delay)
 	for archive.ctx.Err() == nil {
 		known := archive.Book.Suspected(fingerprint)
-		kept := archive.record(fingerprint)
-		if known.Crashes < quarantineAt || kept.crashes >= known.Crashes {
+		stored := archive.record(fingerprint)
+		if known.Crashes < quarantineThreshold || stored.crashes >= known.Crashes {
 			return
 		}
 		value, err := proto.Marshal(encodeRecord(known))
@@ -112,107 +114,108 @@
 		}
 		key := Prefix + fingerprint.String()
 		revision, err := archive.commit(metadata.Txn{
-			Conditions: []metadata.Condition{{Key: key, Revision: kept.revision}}, Puts: []metadata.Put{{Key: key, Value: value}},
+			Conditions: []metadata.Condition{{Key: key, Revision: stored.revision}}, Puts: []metadata.Put{{Key: key, Value: value}},
 		}, fingerprint)
 		archive.Logger.Warn("request in quarantine", "fingerprint", fingerprint, "crashes", known.Crashes, "reporter", known.Reporter, "revision", int64(revision), "error", err)
 		if err == nil {
-			archive.setRecord(fingerprint, keptRecord{revision, known.Crashes})
+			archive.setRecord(fingerprint, storedRecord{revision, known.Crashes})
 		}
 	}
 }
 
-func encodeRecord(known Suspicion) *clusterv1.QuarantineRecord {
-	record := &clusterv1.QuarantineRecord{Crashes: int32(known.Crashes), Reporter: known.Reporter, UntilUnixMs: known.Until.UnixMilli()}
-	for _, end := range known.Ends {
-		record.Replicas = append(record.Replicas, end.Replica)
+func encodeRecord(suspicion Suspicion) *clusterv1.QuarantineRecord {
+	record := &clusterv1.QuarantineRecord{Crashes: int32(suspicion.Crashes), Reporter: suspicion.Reporter, UntilUnixMs: suspicion.Until.UnixMilli()}
+	for _, event := range suspicion.Events {
+		record.Replicas = append(record.Replicas, event.Replica)
 	}
 	return record
 }
 
-// Lift implements Keeper. It returns at once.
-func (archive *Archive) Lift(fingerprint Fingerprint) { go archive.remove(fingerprint) }
+// Lift implements Keeper. It does not block.
+func (archive *Archive) Lift(fingerprint Fingerprint) { go archive.deleteRecord(fingerprint) }
 
-// remove removes the record of a request until the store has none, or the request is suspected anew.
-func (archive *Archive) remove(fingerprint Fingerprint) {
+// deleteRecord deletes the record of a request, and retries until the store has none or the request is suspected again.
+func (archive *Archive) deleteRecord(fingerprint Fingerprint) {
 	for archive.ctx.Err() == nil {
-		kept := archive.record(fingerprint)
-		if archive.Book.Suspected(fingerprint).Crashes > 0 || kept.revision == 0 {
+		stored := archive.record(fingerprint)
+		if archive.Book.Suspected(fingerprint).Crashes > 0 || stored.revision == 0 {
 			return
 		}
 		key := Prefix + fingerprint.String()
-		_, err := archive.commit(metadata.Txn{Conditions: []metadata.Condition{{Key: key, Revision: kept.revision}}, Deletes: []string{key}}, fingerprint)
+		_, err := archive.commit(metadata.Txn{Conditions: []metadata.Condition{{Key: key, Revision: stored.revision}}, Deletes: []string{key}}, fingerprint)
 		archive.Logger.Info("quarantine lifted", "fingerprint", fingerprint, "error", err)
 		if err == nil {
-			archive.setRecord(fingerprint, keptRecord{})
+			archive.setRecord(fingerprint, storedRecord{})
 		}
 	}
 }
 
-// commit makes one call to the store. After a conflict, what the store has is known; after another error, it is time to try again.
+// commit makes one call to the store. On a conflict it adopts the stored state; on any other error it waits until the
+// store can be tried again.
 func (archive *Archive) commit(txn metadata.Txn, fingerprint Fingerprint) (metadata.Revision, error) {
-	ctx, cancel := context.WithTimeout(archive.ctx, commitLimit)
+	ctx, cancel := context.WithTimeout(archive.ctx, commitTimeout)
 	revision, err := archive.Store.Commit(ctx, txn)
 	cancel()
 	var conflict *metadata.ConflictError
 	switch {
 	case err == nil:
 	case errors.As(err, &conflict):
-		archive.take(fingerprint, conflict)
+		archive.resolveConflict(fingerprint, conflict)
 	default:
 		archive.Health.Doubt()
-		wait.Pause(archive.ctx, commitPause)
-		archive.Health.AwaitGood(archive.ctx) // calls that a lost store refuses are paid for all the same
+		wait.Pause(archive.ctx, commitBackoff)
+		archive.Health.AwaitGood(archive.ctx) // failed calls to an unavailable store are charged as well
 	}
 	return revision, err
 }
 
-// take takes what the store has in place of what was expected.
-func (archive *Archive) take(fingerprint Fingerprint, conflict *metadata.ConflictError) {
+// resolveConflict replaces the expected state of a record by the state in the store.
+func (archive *Archive) resolveConflict(fingerprint Fingerprint, conflict *metadata.ConflictError) {
 	item, found := conflict.Find(Prefix + fingerprint.String())
 	if !found {
-		archive.setRecord(fingerprint, keptRecord{})
+		archive.setRecord(fingerprint, storedRecord{})
 		return
 	}
-	archive.put(item)
+	archive.applyRecord(item)
 }
 
-func (archive *Archive) record(fingerprint Fingerprint) keptRecord {
+func (archive *Archive) record(fingerprint Fingerprint) storedRecord {
 	archive.mu.Lock()
 	defer archive.mu.Unlock()
-	return archive.kept[fingerprint]
+	return archive.stored[fingerprint]
 }
 
-func (archive *Archive) setRecord(fingerprint Fingerprint, record keptRecord) {
+func (archive *Archive) setRecord(fingerprint Fingerprint, record storedRecord) {
 	archive.mu.Lock()
 	defer archive.mu.Unlock()
 	if record.revision == 0 {
-		delete(archive.kept, fingerprint)
+		delete(archive.stored, fingerprint)
 		return
 	}
-	archive.kept[fingerprint] = record
+	archive.stored[fingerprint] = record
 }
 
-// Reset implements metadata.Handler. A record that this node has just written is newer than a list that was read before.
+// Reset implements metadata.Handler. It keeps records that are newer than the listing.
 func (archive *Archive) Reset(items []metadata.Item, revision metadata.Revision) {
-	stays := make(map[Fingerprint]bool, len(items))
+	listed := make(map[Fingerprint]bool, len(items))
 	for _, item := range items {
 		if fingerprint, err := fingerprintOfKey(item.Key); err == nil {
-			stays[fingerprint] = true
+			listed[fingerprint] = true
 		}
 	}
 	archive.mu.Lock()
-	var gone []Fingerprint
-	for fingerprint, kept := range archive.kept {
-		if !stays[fingerprint] && kept.revision <= revision {
-			gone = append(gone, fingerprint)
+	var deleted []Fingerprint
+	for fingerprint, stored := range archive.stored {
+		if !listed[fingerprint] && stored.revision <= revision {
+			deleted = append(deleted, fingerprint)
 		}
 	}
 	archive.mu.Unlock()
-	for _, fingerprint := range gone {
-		archive.drop(fingerprint)
+	for _, fingerprint := range deleted {
+		archive.dropRecord(fingerprint)
 	}
 	for _, item := range items {
-		archive.put(item)
+		archive.applyRecord(item)
 	}
 }
 
@@ -220,53 +223,54 @@
 func (archive *Archive) Apply(events []metadata.Event, _ metadata.Revision) {
 	for _, event := range events {
 		if !event.Deleted {
-			archive.put(event.Item)
+			archive.applyRecord(event.Item)
 			continue
 		}
 		if fingerprint, err := fingerprintOfKey(event.Key); err == nil && archive.record(fingerprint).revision <= event.Revision {
-			archive.drop(fingerprint)
+			archive.dropRecord(fingerprint)
 		}
 	}
 }
 
-// put takes a record of the store.
-func (archive *Archive) put(item metadata.Item) {
+// applyRecord updates the archive and the book from a record in the store.
+func (archive *Archive) applyRecord(item metadata.Item) {
 	fingerprint, err := fingerprintOfKey(item.Key)
 	record := &clusterv1.QuarantineRecord{}
 	if err == nil {
 		err = proto.Unmarshal(item.Value, record)
 	}
 	if err != nil {
-		archive.Logger.Error("quarantine record not readable", "key", item.Key, "error", err)
+		archive.Logger.Error("quarantine record cannot be decoded", "key", item.Key, "error", err)
 		return
 	}
-	kept := Suspicion{Crashes: int(record.GetCrashes()), Reporter: record.GetReporter(), Until: time.UnixMilli(record.GetUntilUnixMs())}
+	suspicion := Suspicion{Crashes: int(record.GetCrashes()), Reporter: record.GetReporter(), Until: time.UnixMilli(record.GetUntilUnixMs())}
 	for _, replica := range record.GetReplicas() {
-		kept.Ends = append(kept.Ends, End{Replica: replica})
+		suspicion.Events = append(suspicion.Events, End{Replica: replica})
 	}
-	archive.setRecord(fingerprint, keptRecord{item.Revision, kept.Crashes})
-	archive.Book.Restore(fingerprint, kept, time.Now())
-	archive.Logger.Info("quarantine known", "fingerprint", fingerprint, "crashes", kept.Crashes, "reporter", record.GetReporter(), "revision", int64(item.Revision))
+	archive.setRecord(fingerprint, storedRecord{item.Revision, suspicion.Crashes})
+	archive.Book.Restore(fingerprint, suspicion, time.Now())
+	archive.Logger.Info("quarantine loaded", "fingerprint", fingerprint, "crashes", suspicion.Crashes, "reporter", record.GetReporter(), "revision", int64(item.Revision))
 }
 
-// drop takes that the store has no record of a request any more: its time is over, or a replica has answered it.
-func (archive *Archive) drop(fingerprint Fingerprint) {
-	archive.setRecord(fingerprint, keptRecord{})
+// dropRecord clears a request whose record was deleted from the store, because its quarantine expired or a replica has
+// answered it.
+func (archive *Archive) dropRecord(fingerprint Fingerprint) {
+	archive.setRecord(fingerprint, storedRecord{})
 	archive.Book.Clear(fingerprint)
-	archive.Logger.Info("quarantine over", "fingerprint", fingerprint)
+	archive.Logger.Info("quarantine ended", "fingerprint", fingerprint)
 }
 
-// errKey says that a key names no fingerprint.
-var errKey = errors.New("the key names no fingerprint")
+// errInvalidKey is returned for a key without a valid fingerprint.
+var errInvalidKey = errors.New("key contains no valid fingerprint")
 
 func fingerprintOfKey(key string) (Fingerprint, error) {
 	var fingerprint Fingerprint
 	digits := strings.TrimPrefix(key, Prefix)
 	if len(digits) != hex.EncodedLen(len(fingerprint)) {
-		return fingerprint, errKey
+		return fingerprint, errInvalidKey
 	}
 	if _, err := hex.Decode(fingerprint[:], []byte(digits)); err != nil {
-		return fingerprint, errors.Mark(err, errKey)
+		return fingerprint, errors.Mark(err, errInvalidKey)
 	}
 	return fingerprint, nil
 }
--- a/internal/quarantine/archive_test.go
+++ b/internal/quarantine/archive_test.go
@@ -18,7 +18,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/quarantine"
 )
 
-// newArchive returns the archive and the book of a node that follows the store.
+// newArchive returns the archive and the book of a node that watches the store.
 func newArchive(ctx context.Context, store *memstore.Store, node string, deputy bool) (*quarantine.Archive, *quarantine.Book) {
 	logger, book := log.New(io.Discard), quarantine.NewBook(node, time.Now())
 	health := metadata.NewHealth(store, logger)
@@ -30,24 +30,25 @@
 	return archive, book
 }
 
-// suspect notes three ends.
-func suspect(book *quarantine.Book, reporter string) {
+// recordThreeCrashes records three crashes, one second apart.
+func recordThreeCrashes(book *quarantine.Book, reporter string) {
 	for index := range 3 {
 		now := time.Now().Add(time.Duration(index-3) * time.Second)
-		book.Note(fingerprintOf("x"), fmt.Sprint("r", index), reporter, now, now)
+		book.RecordCrash(fingerprintOf("x"), fmt.Sprint("r", index), reporter, now, now)
 	}
 }
 
 func crashesOf(book *quarantine.Book) int { return book.Suspected(fingerprintOf("x")).Crashes }
 
-// A quarantine is kept through an outage of the store and a lost answer, reaches nodes that begin later, and is lifted everywhere.
+// A quarantine must be stored in spite of an outage of the store and a lost response, reach a node that starts later, and
+// be lifted on all nodes.
 func TestQuarantineIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New()
 		store.SetFaults(memstore.Faults{Down: true})
 		archive, book := newArchive(t.Context(), store, "a", false)
-		suspect(book, "a")
-		archive.Keep(fingerprintOf("x"))
+		recordThreeCrashes(book, "a")
+		archive.Persist(fingerprintOf("x"))
 		time.Sleep(3 * time.Second)
 		store.SetFaults(memstore.Faults{LoseAnswers: 1})
 		time.Sleep(3 * time.Second)
@@ -62,14 +63,14 @@
 	})
 }
 
-// If the reporter can't keep a quarantine, the node that ranks first does; others don't.
+// If the reporter does not store a quarantine, the deputy must; no other node does.
 func TestDeputyKeepsQuarantine(t *testing.T) {
 	for _, deputy := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			store := memstore.New()
 			archive, book := newArchive(t.Context(), store, "b", deputy)
-			suspect(book, "a")
-			archive.Keep(fingerprintOf("x"))
+			recordThreeCrashes(book, "a")
+			archive.Persist(fingerprintOf("x"))
 			time.Sleep(2 * time.Second)
 			listing, err := store.List(t.Context(), quarantine.Prefix)
 			must.NoError(t, err)
@@ -78,18 +79,18 @@
 	}
 }
 
-// A write that is done late, after the quarantine was lifted or raised, changes nothing.
+// A write that the store executes late must not overwrite a newer record.
 func TestLateWriteChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New()
 		archive, book := newArchive(t.Context(), store, "a", false)
 		time.Sleep(time.Second)
 		store.SetFaults(memstore.Faults{LoseAnswers: 1, LateBy: 5 * time.Second})
-		suspect(book, "a")
-		archive.Keep(fingerprintOf("x")) // the first write is lost, the second done at once
+		recordThreeCrashes(book, "a")
+		archive.Persist(fingerprintOf("x")) // the first write is executed late, its repetition at once
 		time.Sleep(3 * time.Second)
-		book.Note(fingerprintOf("x"), "r9", "a", time.Now(), time.Now())
-		archive.Keep(fingerprintOf("x"))
+		book.RecordCrash(fingerprintOf("x"), "r9", "a", time.Now(), time.Now())
+		archive.Persist(fingerprintOf("x"))
 		time.Sleep(10 * time.Second)
 		item, found, err := store.Get(t.Context(), quarantine.Prefix+fingerprintOf("x").String())
 		must.NoError(t, err)
@@ -101,7 +102,8 @@
 	})
 }
 
-// What can't be read is passed over; a record that is gone when all are read again lifts the quarantine.
+// Records that cannot be decoded are skipped. A record that is missing from a newer listing lifts the quarantine; stale
+// listings and deletions do not.
 func TestArchiveReadsAgain(t *testing.T) {
 	archive, book := newArchive(t.Context(), memstore.New(), "a", false)
 	value, err := proto.Marshal(&clusterv1.QuarantineRecord{Crashes: 3, Reporter: "b", UntilUnixMs: time.Now().Add(time.Hour).UnixMilli()})
@@ -111,9 +113,9 @@
 	must.Eq(t, 3, crashesOf(book))
 	must.Eq(t, 1, book.Quarantined())
 	archive.Reset(nil, 3)
-	must.Eq(t, 3, crashesOf(book), must.Sprint("a list that is older than the record"))
+	must.Eq(t, 3, crashesOf(book), must.Sprint("the listing is older than the record"))
 	archive.Apply([]metadata.Event{{Item: metadata.Item{Key: good.Key, Revision: 3}, Deleted: true}}, 3)
-	must.Eq(t, 3, crashesOf(book), must.Sprint("a removal that is older than the record"))
+	must.Eq(t, 3, crashesOf(book), must.Sprint("the deletion is older than the record"))
 	archive.Reset(nil, 6)
 	must.Eq(t, 0, crashesOf(book))
 	archive.Apply([]metadata.Event{{Item: good}}, 7)
@@ -122,7 +124,8 @@
 	must.Eq(t, 0, crashesOf(book))
 }
 
-// Records are removed when their time is over, and the oldest of too many; what has changed meanwhile stays.
+// Expired records and the oldest records above the limit are removed, but not records that have changed since they were
+// listed.
 func TestExpiredRecordsAreRemoved(t *testing.T) {
 	store, now := memstore.New(), time.Now()
 	const most = 1024
@@ -136,7 +139,7 @@
 		items = append(items, metadata.Item{Key: key, Value: value, Revision: revision})
 	}
 	expired := quarantine.Expired(items, now)
-	must.SliceLen(t, 4, expired) // two are over; of the one that ends now and those that last, two are too many
+	must.SliceLen(t, 4, expired) // two have expired, and two of the others exceed the limit
 	count, err := quarantine.RemoveExpired(t.Context(), store, items, now)
 	must.NoError(t, err)
 	must.Eq(t, 4, count)
--- a/internal/quarantine/attribution.go
+++ b/internal/quarantine/attribution.go
@@ -5,48 +5,51 @@
 	"time"
 )
 
-// explanation returns the request that the newest end under another is put down to; false if that end counts against the request itself.
+// attribution returns the quarantined request to which the newest crash under a request is attributed; attributed is false
+// if that crash counts against the request itself.
 //
-// A replica that ends breaks off all that it runs. Requests that have rested for the same time come due in one moment, and where few replicas
-// are left they reach the same one: its end says nothing of the less suspected of them, which has had no trial of its own. An end is put down
-// only to a request in quarantine, which is sent no more, so that it does not spoil the next trial too. One trial more is left to a request
-// by this, as in quarantine: one that ends replicas itself gains no more runs by its company than if all nodes knew all of it.
+// A crash interrupts every request that runs on the replica. Requests that are held for the same time become due together
+// and, where few replicas are left, can reach the same one. Its crash is then no evidence against the less suspected
+// request, which has had no trial of its own. A crash is attributed only to a quarantined request, because that request is
+// no longer sent and cannot spoil the next trial as well. Attribution leaves a request one more trial, as quarantine does,
+// so a request that crashes replicas itself gains no more runs than if every node knew of every crash.
 //
 // It must be called with mu held.
-func (book *Book) explanation(fingerprint Fingerprint, known *entry, now time.Time) (culprit Fingerprint, explained bool) {
-	if known.crashes < quarantineAt || known.crashes >= trialsUntil || len(known.ends) == 0 {
+func (book *Book) attribution(fingerprint Fingerprint, entry *entry, now time.Time) (culprit Fingerprint, attributed bool) {
+	if entry.crashes < quarantineThreshold || entry.crashes >= trialLimit || len(entry.events) == 0 {
 		return Fingerprint{}, false
 	}
-	if known.judgedAt != book.changes {
-		known.culprit, known.explained = book.findCulprit(fingerprint, known, now)
-		known.judgedAt = book.changes
+	if entry.computedAt != book.changes {
+		entry.culprit, entry.attributed = book.findCulprit(fingerprint, entry, now)
+		entry.computedAt = book.changes
 	}
-	return known.culprit, known.explained
+	return entry.culprit, entry.attributed
 }
 
-// findCulprit looks through all requests. It must be called with mu held.
-func (book *Book) findCulprit(fingerprint Fingerprint, known *entry, now time.Time) (Fingerprint, bool) {
-	newest := known.ends[len(known.ends)-1].Replica
+// findCulprit searches all suspected requests. It must be called with mu held.
+func (book *Book) findCulprit(fingerprint Fingerprint, entry *entry, now time.Time) (Fingerprint, bool) {
+	newest := entry.events[len(entry.events)-1].Replica
 	for other, suspected := range book.entries {
-		if suspected.quarantined(now) && suspected.remembers(newest) && moreSuspected(other, suspected, fingerprint, known) {
+		if suspected.quarantined(now) && suspected.hasCrash(newest) && moreSuspected(other, suspected, fingerprint, entry) {
 			return other, true
 		}
 	}
 	return Fingerprint{}, false
 }
 
-// moreSuspected is a strict order, by how many replicas ended: of requests that ended the same ones, one is put down to no other. Of equals all
-// nodes take the same.
-func moreSuspected(one Fingerprint, first *entry, other Fingerprint, second *entry) bool {
-	if first.crashes != second.crashes {
-		return first.crashes > second.crashes
+// moreSuspected is a strict order by the number of crashes, so that of requests with the same crashes at most one is
+// exonerated by the other. Ties are broken by fingerprint, so that all nodes choose the same request.
+func moreSuspected(fingerprint Fingerprint, suspect *entry, other Fingerprint, otherSuspect *entry) bool {
+	if suspect.crashes != otherSuspect.crashes {
+		return suspect.crashes > otherSuspect.crashes
 	}
-	return bytes.Compare(one[:], other[:]) < 0
+	return bytes.Compare(fingerprint[:], other[:]) < 0
 }
 
-// putDownTo returns the fingerprint of the request that the newest end is put down to, as logs name it; empty for none.
-func (decision Decision) putDownTo() string {
-	if !decision.Explained {
+// attributedTo returns the fingerprint of the request to which the newest crash is attributed, as it appears in logs;
+// empty for none.
+func (decision Decision) attributedTo() string {
+	if !decision.Attributed {
 		return ""
 	}
 	return decision.Culprit.String()
--- a/internal/quarantine/attribution_test.go
+++ b/internal/quarantine/attribution_test.go
@@ -14,147 +14,133 @@
 	"github.com/thistlewalk/thistlewalk/internal/quarantine"
 )
 
-// Names of two requests that ran at the same replicas.
+// Bodies of two requests that ran on the same replicas.
 const (
 	culprit  = "ends its replica"
 	harmless = "usual"
 )
 
-// TestHarmlessRequestIsHeldForSecondsOnly tells what befalls a request that runs beside one that ends replicas. Both break off when a replica
-// ends, so that both rest after two ends, for as long, and come due in one moment. Where few replicas are left both trials reach the same one,
-// it ends under the one, and the harmless one has three ends: it was in quarantine for an hour at all nodes. The one trial that is left to it
-// there is made by no process that has run for less than ten minutes, which after a roll is every process.
-//
-// The lines of a play that failed (times in seconds; 830f ends replicas, 917f is harmless):
-//
-//	11.670 node-2: suspected request sent         replica=r6 fingerprint=830f crashes=2 trial=true
-//	11.720 node-0: suspected request sent         replica=r6 fingerprint=917f crashes=2 trial=true
-//	11.730 node-2: replica ended under a request  replica=r6 fingerprint=830f crashes=3
-//	11.730 node-0: replica ended under a request  replica=r6 fingerprint=917f crashes=3
-//	11.730 node-0: request in quarantine          fingerprint=917f crashes=3
-//	52.5   error: replicas have ended under the request; it may come again in 59m23.21s
-//
-// Each history failed in some plays only, since goroutines run in no fixed order: whether both trials reach one replica is drawn.
-//
-// An end that two requests share is put down to the one that is suspected more; the other is tried once more by itself.
+// A harmless request must not be quarantined for an hour because it ran beside a request that crashes replicas. Both are
+// held after two crashes and become due together; if both trials reach the same replica, its crash counts against both
+// unless it is attributed to one of them. The outcome depends on scheduling, so each history runs several times.
 func TestHarmlessRequestIsHeldForSecondsOnly(t *testing.T) {
 	for _, failed := range []history{
-		{0, []string{compact, killNode, compact}, endTime / 2, 2, runsForLong},
-		{13778, []string{calm, resetReplica, killAll, endReplica}, time.Second, 3, justBegun},
-		{988418093, []string{loseAnswers, lossyLinks, endReplica, resetReplica}, endTime / 2, 3, justBegun},
+		{0, []string{compact, killNode, compact}, crashDelay / 2, 2, longRunning},
+		{13778, []string{noFault, resetReplica, killAll, crashReplica}, time.Second, 3, justStarted},
+		{988418093, []string{loseResponses, lossyLinks, crashReplica, resetReplica}, crashDelay / 2, 3, justStarted},
 	} {
 		for range 10 {
-			failed.play(t)
+			failed.run(t)
 		}
 	}
 }
 
-// ended has ends of replicas noted, a second after each other.
-func ended(book *quarantine.Book, body, reporter string, now time.Time, replicas ...string) {
+// recordCrashes records crashes, one second apart.
+func recordCrashes(book *quarantine.Book, body, reporter string, now time.Time, replicas ...string) {
 	for index, replica := range replicas {
 		at := now.Add(time.Duration(index-len(replicas)+1) * time.Second)
-		book.Note(fingerprintOf(body), replica, reporter, at, at)
+		book.RecordCrash(fingerprintOf(body), replica, reporter, at, at)
 	}
 }
 
-// A request whose third end is that of a replica at which another was tried that is suspected more has had no trial of its own: it rests as
-// after two ends. One under which a replica ended by itself stays in quarantine, whatever ran beside it before.
+// A request whose third crash is attributed to a more suspected one is held as after two crashes. A request that has
+// crashed a replica by itself stays quarantined, whatever ran beside it before.
 func TestEndUnderTwoRequestsIsPutDownToOne(t *testing.T) {
-	quarantined := quarantine.Decision{Crashes: 3, After: quarantinedFor - heldFor}
+	quarantined := quarantine.Decision{Crashes: 3, RetryAfter: quarantineDuration - holdDuration}
 	trial := quarantine.Decision{Allowed: true, Crashes: 3, Trial: true}
 	for _, check := range []struct {
 		name              string
 		culprit, harmless []string
-		reporter          string // of the harmless request's ends
+		reporter          string // of the harmless request's crashes
 		claim             quarantine.Claim
-		want              quarantine.Decision // on the harmless request, heldFor after the last end
+		want              quarantine.Decision // on the harmless request, holdDuration after the last crash
 	}{
-		{"tried at one replica", []string{"r1", "r2", "r3", "r4"}, []string{"r2", "r3", "r4"}, "node", quarantine.Claim{}, trial},
-		{"beside another cause", []string{"r1", "r2", "r3", "r4"}, []string{"r0", "r2", "r4"}, "node", quarantine.Claim{}, trial},
-		{"the last by itself", []string{"r1", "r2", "r3", "r4"}, []string{"r2", "r3", "r5"}, "node", quarantine.Claim{}, quarantined},
-		{"all by itself", nil, []string{"r1", "r2", "r3"}, "node", quarantine.Claim{}, quarantined},
-		{"beside one that only rests", []string{"r2", "r3"}, []string{"r1", "r2", "r3"}, "node", quarantine.Claim{}, quarantined},
-		{"beside one that is suspected less", []string{"r2", "r3", "r4"}, []string{"r1", "r2", "r3", "r4"}, "node", quarantine.Claim{},
-			quarantine.Decision{Crashes: 4, After: quarantinedFor - heldFor}},
-		{"tried at one replica, another node's to try", []string{"r1", "r2", "r3", "r4"}, []string{"r2", "r3", "r4"}, "other", quarantine.Claim{},
-			quarantine.Decision{Crashes: 3, After: time.Second}},
-		{"had its trial", []string{"r1", "r2", "r3", "r4", "r5"}, []string{"r2", "r3", "r4", "r5"}, "node", quarantine.Claim{},
-			quarantine.Decision{Crashes: 4, After: quarantinedFor - heldFor}},
+		{"tried on the same replica", []string{"r1", "r2", "r3", "r4"}, []string{"r2", "r3", "r4"}, "node", quarantine.Claim{}, trial},
+		{"an earlier crash by itself", []string{"r1", "r2", "r3", "r4"}, []string{"r0", "r2", "r4"}, "node", quarantine.Claim{}, trial},
+		{"the last crash by itself", []string{"r1", "r2", "r3", "r4"}, []string{"r2", "r3", "r5"}, "node", quarantine.Claim{}, quarantined},
+		{"all crashes by itself", nil, []string{"r1", "r2", "r3"}, "node", quarantine.Claim{}, quarantined},
+		{"beside a request that is only held", []string{"r2", "r3"}, []string{"r1", "r2", "r3"}, "node", quarantine.Claim{}, quarantined},
+		{"beside a less suspected request", []string{"r2", "r3", "r4"}, []string{"r1", "r2", "r3", "r4"}, "node", quarantine.Claim{},
+			quarantine.Decision{Crashes: 4, RetryAfter: quarantineDuration - holdDuration}},
+		{"tried on the same replica, other reporter", []string{"r1", "r2", "r3", "r4"}, []string{"r2", "r3", "r4"}, "other", quarantine.Claim{},
+			quarantine.Decision{Crashes: 3, RetryAfter: time.Second}},
+		{"trial already used", []string{"r1", "r2", "r3", "r4", "r5"}, []string{"r2", "r3", "r4", "r5"}, "node", quarantine.Claim{},
+			quarantine.Decision{Crashes: 4, RetryAfter: quarantineDuration - holdDuration}},
 	} {
 		now := time.Now()
 		book := quarantine.NewBook("node", now)
-		ended(book, culprit, "node", now, check.culprit...)
-		ended(book, harmless, check.reporter, now, check.harmless...)
-		decision := book.Admit(fingerprintOf(harmless), check.claim, now.Add(heldFor))
+		recordCrashes(book, culprit, "node", now, check.culprit...)
+		recordCrashes(book, harmless, check.reporter, now, check.harmless...)
+		decision := book.Admit(fingerprintOf(harmless), check.claim, now.Add(holdDuration))
 		must.Eq(t, check.want.Allowed, decision.Allowed, must.Sprint(check.name))
 		must.Eq(t, check.want.Trial, decision.Trial, must.Sprint(check.name))
 		must.Eq(t, check.want.Crashes, decision.Crashes, must.Sprint(check.name))
-		must.Eq(t, check.want.After, decision.After, must.Sprint(check.name))
+		must.Eq(t, check.want.RetryAfter, decision.RetryAfter, must.Sprint(check.name))
 	}
 }
 
-// Of two requests with the same ends one at most is tried, so that a request that ends replicas gains no run by another's company; when that
-// one has ended a replica by itself, the other is.
+// At most one of two requests with the same crashes may be tried, so that a request that crashes replicas gains no further
+// run. The other is tried once the first has crashed a replica by itself.
 func TestOneOfTwoEqualsIsTried(t *testing.T) {
 	now := time.Now()
 	book := quarantine.NewBook("node", now)
-	ended(book, culprit, "node", now, "r1", "r2", "r3")
-	ended(book, harmless, "node", now, "r1", "r2", "r3")
-	due := now.Add(heldFor)
+	recordCrashes(book, culprit, "node", now, "r1", "r2", "r3")
+	recordCrashes(book, harmless, "node", now, "r1", "r2", "r3")
+	due := now.Add(holdDuration)
 	first, second := culprit, harmless
 	if !book.Admit(fingerprintOf(first), quarantine.Claim{}, due).Trial {
 		first, second = second, first
 		must.True(t, book.Admit(fingerprintOf(first), quarantine.Claim{}, due).Trial)
 	}
 	must.False(t, book.Admit(fingerprintOf(second), quarantine.Claim{}, due).Allowed)
-	book.Note(fingerprintOf(first), "r4", "node", due, due)
-	must.False(t, book.Admit(fingerprintOf(first), quarantine.Claim{}, due.Add(heldFor)).Allowed, must.Sprint("it had its trial"))
-	must.True(t, book.Admit(fingerprintOf(second), quarantine.Claim{}, due.Add(heldFor)).Trial)
+	book.RecordCrash(fingerprintOf(first), "r4", "node", due, due)
+	must.False(t, book.Admit(fingerprintOf(first), quarantine.Claim{}, due.Add(holdDuration)).Allowed, must.Sprint("its trial is used"))
+	must.True(t, book.Admit(fingerprintOf(second), quarantine.Claim{}, due.Add(holdDuration)).Trial)
 }
 
-// A record that names no replicas, as another writer may leave one, holds its request.
+// A stored record without replicas, which another writer may leave, must hold its request.
 func TestRecordWithoutReplicas(t *testing.T) {
 	now := time.Now()
 	book := quarantine.NewBook("node", now)
-	book.Restore(fingerprintOf(harmless), quarantine.Suspicion{Crashes: 3, Reporter: "node", Until: now.Add(quarantinedFor)}, now)
-	must.Eq(t, quarantine.Decision{Crashes: 3, After: quarantinedFor}, book.Admit(fingerprintOf(harmless), quarantine.Claim{}, now))
+	book.Restore(fingerprintOf(harmless), quarantine.Suspicion{Crashes: 3, Reporter: "node", Until: now.Add(quarantineDuration)}, now)
+	must.Eq(t, quarantine.Decision{Crashes: 3, RetryAfter: quarantineDuration}, book.Admit(fingerprintOf(harmless), quarantine.Claim{}, now))
 }
 
-// Several harmless requests beside one that ends replicas, few of which there are, so that their trials meet: in the end each is served, and
-// the one that ends replicas reaches few more.
+// Several harmless requests beside one that crashes replicas, on few replicas so that their trials coincide: each must be
+// served in the end, and the one that crashes replicas must reach few more.
 func TestDrawnHistoriesOfCompany(t *testing.T) {
 	rapid.Check(t, func(drawn *rapid.T) {
-		played := history{
+		drawnHistory := history{
 			seed: rapid.Uint64().Draw(drawn, "seed"),
 			faults: rapid.SliceOfN(rapid.SampledFrom([]string{
-				calm, calm, calm, endReplica, resetReplica, leaveReplica, killNode, killAll, loseAnswers, lossyLinks,
+				noFault, noFault, noFault, crashReplica, resetReplica, drainReplica, killNode, killAll, loseResponses, lossyLinks,
 			}), 3, 6).Draw(drawn, "faults"),
-			patience: rapid.SampledFrom([]time.Duration{time.Second, endTime / 2}).Draw(drawn, "patience"),
-			replicas: rapid.IntRange(2, 4).Draw(drawn, "replicas"),
-			ran:      rapid.SampledFrom([]time.Duration{justBegun, runsForLong}).Draw(drawn, "ran"),
+			callerTimeout: rapid.SampledFrom([]time.Duration{time.Second, crashDelay / 2}).Draw(drawn, "caller timeout"),
+			replicas:      rapid.IntRange(2, 4).Draw(drawn, "replicas"),
+			uptime:        rapid.SampledFrom([]time.Duration{justStarted, longRunning}).Draw(drawn, "uptime"),
 		}
-		played.playWith(t, rapid.IntRange(2, 4).Draw(drawn, "harmless requests"))
+		drawnHistory.runWithHarmless(t, rapid.IntRange(2, 4).Draw(drawn, "harmless requests"))
 	})
 }
 
-// playWith plays a history with some harmless requests, and judges it.
-func (history *history) playWith(t *testing.T, harmlessRequests int) {
+// runWithHarmless runs a history with some harmless requests, and checks its outcome.
+func (history *history) runWithHarmless(t *testing.T, harmlessRequests int) {
 	synctest.Test(t, func(t *testing.T) {
 		world := newWorld(history.seed, history.replicas, historyNodes)
-		time.Sleep(history.ran)
+		time.Sleep(history.uptime)
 		stop := make(chan struct{})
-		go world.keepCalling(stop, 130*time.Millisecond, ending, history.patience)
+		go world.keepCalling(stop, 130*time.Millisecond, crashingBody, history.callerTimeout)
 		for number := range harmlessRequests {
 			go world.keepCalling(stop, time.Duration(40+10*number)*time.Millisecond, bodyOf(number), time.Second)
 		}
 		for index, fault := range history.faults {
-			world.suffer(fault, index)
+			world.injectFault(fault, index)
 		}
 		world.store.SetFaults(memstore.Faults{})
-		time.Sleep(settleTime)
+		time.Sleep(recoveryTime)
 		close(stop)
 		time.Sleep(2 * time.Second)
-		late, ends := world.late()
+		late, crashes := world.late()
 		var refused error
 		for _, node := range world.running() {
 			for number := range harmlessRequests {
@@ -163,8 +149,8 @@
 		}
 		world.close()
 		synctest.Wait()
-		time.Sleep(time.Minute) // timers of the world
-		must.LessEq(t, 3, late, must.Sprintf("%+v, %d harmless: %d runs later than %s after the third end, %d ends", history, harmlessRequests, late, contact, ends))
+		time.Sleep(time.Minute) // pending timers
+		must.LessEq(t, 3, late, must.Sprintf("%+v, %d harmless: %d runs later than %s after the third crash, %d crashes", history, harmlessRequests, late, undisturbedTime, crashes))
 		must.NoError(t, refused, must.Sprintf("%+v, %d harmless", history, harmlessRequests))
 	})
 }
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -10,96 +10,100 @@
 )
 
 const (
-	// holdAt is how many replicas must have ended under a request for it to rest, and then to be tried by one node at a time: one may have
-	// ended for another reason. Of three replicas of a service one is left then, which goes on serving others.
-	holdAt = 2
-	// holdFor is how long it rests: longer than a replica takes to be back, which was 3.0 to 3.9 s where it was seen, and shorter than the 5 s
-	// for which an item of a job may be at no replica.
-	holdFor = 4 * time.Second
-	// deputyTriesAfter is when the node that ranks first for a request may try it, and anyoneAfter when any may: the node that saw the last end,
-	// which may sooner, may be gone, and a datagram that cleared the request may be lost.
-	deputyTriesAfter = 2 * holdFor
-	anyoneAfter      = 3 * holdFor
-	// quarantineAt is how many replicas must have ended under a request for it to be sent no more.
-	quarantineAt = 3
-	// trialsUntil is how many replicas must have ended for a request to get no further trial. One is left to a request in quarantine: it may
-	// have run beside three other causes. Of a job's request that is likelier, which runs for seconds, and the job can't be whole without it, so
-	// its trial comes after holdFor; that of others, which the node that ranks first makes, after deputyTrialAfter, and only by a process that
-	// has run for suspicionFor before: one that has not may not know of earlier ends, if all nodes were killed before one was kept.
-	trialsUntil      = quarantineAt + 1
-	deputyTrialAfter = 30 * time.Second
-	// together is the time within which ends of replicas count as one: machines that fail at the same moment do not fail under the requests
-	// that all of them run, which are those that come most often. Under one request, replicas end some time after each has begun.
-	together = 10 * time.Millisecond
-	// quarantineFor is how long a request is sent no more. It is a fault of a replica's software that a newer release mends, which takes hours;
-	// each hour costs some three replicas until then.
-	quarantineFor = time.Hour
-	// suspicionFor is how long the end of a replica counts against a request that is not in quarantine.
-	suspicionFor = 10 * time.Minute
-	// entriesMost bounds the requests that are remembered, at 740 bytes each with eight ends (3 MB in all, measured on a full book). Ends of
-	// replicas are few: some 16 requests are at each.
-	entriesMost = 4096
-	// endsMost bounds the ends that are remembered of a request, so that one which several nodes tell of counts once.
-	endsMost = 8
+	// holdThreshold is the number of crashes from which a request is held and then tried by one node at a time. A single
+	// crash may have another cause. With three replicas of a service, one remains to serve other requests.
+	holdThreshold = 2
+	// holdDuration is how long a request is held after a crash: longer than a replica takes to restart, and shorter than
+	// the 5 s that an item of a batch job may be without a replica.
+	holdDuration = 4 * time.Second
+	// deputyTrialDelay and anyNodeTrialDelay are the times after the last crash from which the deputy, which is the node
+	// that ranks first for the request, and then any node may try a request. The reporter of the last crash may try it
+	// sooner, but that node may be gone, and a datagram that cleared the request may be lost.
+	deputyTrialDelay  = 2 * holdDuration
+	anyNodeTrialDelay = 3 * holdDuration
+	// quarantineThreshold is the number of crashes from which a request is quarantined.
+	quarantineThreshold = 3
+	// trialLimit is the number of crashes from which a request gets no further trial. A quarantined request gets one,
+	// since each crash may have had another cause. That is likelier for the request of a batch job, which runs for seconds
+	// and without which the job cannot complete, so its trial follows after holdDuration. Other requests are tried by the
+	// deputy after quarantineTrialDelay, and only if its process had been running for suspicionDuration before the first
+	// crash: a younger process may have missed earlier crashes if all nodes were killed before the quarantine was stored.
+	trialLimit           = quarantineThreshold + 1
+	quarantineTrialDelay = 30 * time.Second
+	// simultaneousWindow is the time within which crashes under one request count as one. Machines that fail together
+	// interrupt the requests that all of them run, which are the most frequent ones; a request that crashes replicas does
+	// so some time after each of its runs began.
+	simultaneousWindow = 10 * time.Millisecond
+	// quarantineDuration is how long a quarantined request is not sent. The fault lies in the software of the replicas and
+	// is fixed by a release hours later; until then each quarantine that expires costs about three replicas.
+	quarantineDuration = time.Hour
+	// suspicionDuration is how long a crash counts against a request that is not quarantined.
+	suspicionDuration = 10 * time.Minute
+	// maxEntries bounds the number of suspected requests.
+	maxEntries = 4096
+	// maxEvents bounds the crashes that are kept for a request. They are kept so that a crash reported by several nodes
+	// counts once.
+	maxEvents = 8
 )
 
-// Decision says whether a request may be sent to a replica now.
+// Decision is the result of admitting a request.
 type Decision struct {
 	Allowed bool
-	// Crashes is how many replicas have ended under the request.
+	// Crashes is the number of crashes that count against the request.
 	Crashes int
-	// Trial says that the request may be tried this once.
+	// Trial is true if the request is allowed as a trial run.
 	Trial bool
-	// After is when a request that is not allowed may come again.
-	After time.Duration
-	// Explained says that the newest end is put down to another request, which is Culprit.
-	Explained bool
-	Culprit   Fingerprint
+	// RetryAfter is how long to wait before sending a request that is not allowed now.
+	RetryAfter time.Duration
+	// Attributed is true if the newest crash is attributed to another request, Culprit.
+	Attributed bool
+	Culprit    Fingerprint
 }
 
-// End is the end of a replica under a request.
+// End is the crash of a replica while it ran a request.
 type End struct {
 	Replica string
-	// Broke is when the request broke off.
+	// Broke is when the request was interrupted.
 	Broke time.Time
 }
 
-// Book is what a node knows of requests under which replicas ended. It is safe for concurrent use; times are passed in. They may come from a
-// clock that stands still while the machine is suspended: a request rests longer then, which breaks no promise.
+// Book holds the requests that this node suspects of crashing replicas. It is safe for concurrent use. Callers pass in the
+// current time; a clock that stops while the machine is suspended only lengthens a hold.
 type Book struct {
-	node  string
-	begun time.Time
-	size  atomic.Int64
+	node    string
+	started time.Time
+	size    atomic.Int64
 
 	mu      sync.Mutex
 	entries map[Fingerprint]*entry
-	heads   map[head]int // of the entries, with how many have each
-	changes uint64       // how often an entry was added, changed or removed
+	heads   map[head]int // heads of the entries, with the number of entries that share each
+	changes uint64       // counts additions, changes and removals of entries
 }
 
-// entry is what is known of one request.
+// entry is the state of one suspected request.
 type entry struct {
-	first    time.Time // when this node learned of the first end
-	ends     []End     // as far as they are remembered
-	crashes  int       // as they count
-	reporter string    // who saw the last end
-	last     time.Time // when this node learned of it
-	tried    time.Time // when the request was tried last after a rest
-	until    time.Time // the end of the quarantine; zero outside
+	firstSeen time.Time // when this node learned of the first crash
+	events    []End     // the most recent crashes, at most maxEvents
+	crashes   int       // the number that counts; simultaneous crashes count once
+	reporter  string    // the node that reported the last crash
+	lastSeen  time.Time // when this node learned of the last crash that counts
+	lastTrial time.Time // when this node last tried the request
+	until     time.Time // the end of the quarantine; zero outside
 
-	// What the newest end is put down to, as found after judgedAt changes of the book.
-	culprit   Fingerprint
-	explained bool
-	judgedAt  uint64
+	// Cached result of attribution, valid while the book's changes equals computedAt.
+	culprit    Fingerprint
+	attributed bool
+	computedAt uint64
 }
 
-// NewBook returns an empty book of a node whose process begins now.
+// NewBook returns an empty book for a node whose process starts now.
 func NewBook(node string, now time.Time) *Book {
-	return &Book{node: node, begun: now, entries: make(map[Fingerprint]*entry), heads: make(map[head]int)}
+	return &Book{node: node, started: now, entries: make(map[Fingerprint]*entry), heads: make(map[head]int)}
 }
 
-// MayKnow reports whether a request may be suspected, without reading its body; with nothing suspected, without a lock.
-func (book *Book) MayKnow(service string, request *backend.Request) bool {
+// MayBeSuspected reports whether a request may be suspected, without reading its body. It takes no lock if no request is
+// suspected.
+func (book *Book) MayBeSuspected(service string, request *backend.Request) bool {
 	if book.size.Load() == 0 {
 		return false
 	}
@@ -109,83 +113,85 @@
 	return book.heads[wanted] > 0
 }
 
-// Note takes that a replica ended under a request, as a node reports, and returns how many ends count; fresh is false for an end that is
-// known. Broke is when the request broke off, which may be seconds before the end was known for one.
-func (book *Book) Note(fingerprint Fingerprint, replica, reporter string, broke, now time.Time) (crashes int, fresh bool) {
+// RecordCrash records the crash of a replica under a request, as seen by the reporter, and returns how many crashes count;
+// fresh is false if the crash was already recorded. Broke is when the request was interrupted, which may be seconds before
+// the crash was detected.
+func (book *Book) RecordCrash(fingerprint Fingerprint, replica, reporter string, broke, now time.Time) (crashes int, fresh bool) {
 	book.mu.Lock()
 	defer book.mu.Unlock()
-	known := book.entry(fingerprint, now)
-	if known.remembers(replica) {
+	known := book.getOrCreate(fingerprint, now)
+	if known.hasCrash(replica) {
 		return known.crashes, false
 	}
-	counted := slices.ContainsFunc(known.ends, func(other End) bool { return broke.Sub(other.Broke).Abs() < together })
-	known.remember(End{replica, broke})
-	if counted {
+	simultaneous := slices.ContainsFunc(known.events, func(other End) bool { return broke.Sub(other.Broke).Abs() < simultaneousWindow })
+	known.addEvent(End{replica, broke})
+	if simultaneous {
 		return known.crashes, true
 	}
-	known.raise(known.crashes+1, reporter, now, now.Add(quarantineFor))
+	known.setCrashes(known.crashes+1, reporter, now, now.Add(quarantineDuration))
 	return known.crashes, true
 }
 
-// Suspicion is what a node knows of a request under which replicas ended.
+// Suspicion is a copy of what a node has recorded about a suspected request.
 type Suspicion struct {
-	// Crashes is how many ends count; Ends are those that are remembered.
+	// Crashes is the number of crashes that count; Events are the most recent crashes.
 	Crashes int
-	Ends    []End
-	// Reporter is the node that saw the last end.
+	Events  []End
+	// Reporter is the node that reported the last crash.
 	Reporter string
-	// Until is the end of the quarantine, zero for a request that is in none.
+	// Until is the end of the quarantine; zero if the request is not quarantined.
 	Until time.Time
 }
 
-// Restore takes what another node knew of a request in quarantine.
-func (book *Book) Restore(fingerprint Fingerprint, kept Suspicion, now time.Time) {
+// Restore merges the stored record of a quarantined request.
+func (book *Book) Restore(fingerprint Fingerprint, stored Suspicion, now time.Time) {
 	book.mu.Lock()
 	defer book.mu.Unlock()
-	known := book.entry(fingerprint, now)
-	for _, end := range kept.Ends {
-		if !known.remembers(end.Replica) {
-			known.remember(end)
+	known := book.getOrCreate(fingerprint, now)
+	for _, event := range stored.Events {
+		if !known.hasCrash(event.Replica) {
+			known.addEvent(event)
 		}
 	}
-	if kept.Crashes > known.crashes {
-		known.raise(kept.Crashes, kept.Reporter, now, kept.Until)
+	if stored.Crashes > known.crashes {
+		known.setCrashes(stored.Crashes, stored.Reporter, now, stored.Until)
 	}
-	known.until = kept.Until
+	known.until = stored.Until
 }
 
-// remembers reports whether the end of a replica is known.
-func (known *entry) remembers(replica string) bool {
-	return slices.ContainsFunc(known.ends, func(end End) bool { return end.Replica == replica })
+// hasCrash reports whether the crash of a replica is recorded.
+func (entry *entry) hasCrash(replica string) bool {
+	return slices.ContainsFunc(entry.events, func(event End) bool { return event.Replica == replica })
 }
 
-// remember takes the end of a replica; the oldest is forgotten.
-func (known *entry) remember(end End) {
-	if len(known.ends) == endsMost {
-		known.ends = slices.Delete(known.ends, 0, 1)
+// addEvent records a crash, and drops the oldest if there are too many.
+func (entry *entry) addEvent(event End) {
+	if len(entry.events) == maxEvents {
+		entry.events = slices.Delete(entry.events, 0, 1)
 	}
-	known.ends = append(known.ends, end)
+	entry.events = append(entry.events, event)
 }
 
-// raise takes that more replicas have ended.
-func (known *entry) raise(crashes int, reporter string, now, until time.Time) {
-	known.crashes, known.reporter, known.last = crashes, reporter, now
-	if crashes >= quarantineAt {
-		known.until = until
+// setCrashes sets the number of crashes, and quarantines the request once it reaches quarantineThreshold.
+func (entry *entry) setCrashes(crashes int, reporter string, now, until time.Time) {
+	entry.crashes, entry.reporter, entry.lastSeen = crashes, reporter, now
+	if crashes >= quarantineThreshold {
+		entry.until = until
 	}
 }
 
-// entry returns what is known of a request, for a change. It must be called with mu held.
-func (book *Book) entry(fingerprint Fingerprint, now time.Time) *entry {
+// getOrCreate returns the entry of a request for modification, in place of one that has expired. It must be called with mu
+// held.
+func (book *Book) getOrCreate(fingerprint Fingerprint, now time.Time) *entry {
 	book.changes++
 	known := book.entries[fingerprint]
-	if known != nil && known.over(now) {
+	if known != nil && known.expired(now) {
 		book.remove(fingerprint)
 		known = nil
 	}
 	if known == nil {
-		book.makeRoom(now)
-		known = &entry{first: now}
+		book.evict(now)
+		known = &entry{firstSeen: now}
 		book.entries[fingerprint] = known
 		book.heads[fingerprint.head()]++
 		book.size.Store(int64(len(book.entries)))
@@ -206,38 +212,39 @@
 	book.size.Store(int64(len(book.entries)))
 }
 
-// makeRoom forgets what is over, and the request that was suspected the longest ago if too many are left. It must be called with mu held.
-func (book *Book) makeRoom(now time.Time) {
+// evict removes expired entries and, if the book is still full, the entry whose last crash is the oldest. It must be
+// called with mu held.
+func (book *Book) evict(now time.Time) {
 	var oldest Fingerprint
 	var oldestAt time.Time
 	for fingerprint, known := range book.entries {
-		if known.over(now) {
+		if known.expired(now) {
 			book.remove(fingerprint)
 			continue
 		}
-		if oldestAt.IsZero() || known.last.Before(oldestAt) {
-			oldest, oldestAt = fingerprint, known.last
+		if oldestAt.IsZero() || known.lastSeen.Before(oldestAt) {
+			oldest, oldestAt = fingerprint, known.lastSeen
 		}
 	}
-	if len(book.entries) >= entriesMost {
+	if len(book.entries) >= maxEntries {
 		book.remove(oldest)
 	}
 }
 
-// over reports whether nothing of the entry counts any more.
-func (known *entry) over(now time.Time) bool {
-	if known.until.IsZero() {
-		return now.Sub(known.last) > suspicionFor
+// expired reports whether the entry no longer counts.
+func (entry *entry) expired(now time.Time) bool {
+	if entry.until.IsZero() {
+		return now.Sub(entry.lastSeen) > suspicionDuration
 	}
-	return now.After(known.until)
+	return now.After(entry.until)
 }
 
-// quarantined reports whether a request is in quarantine.
-func (known *entry) quarantined(now time.Time) bool {
-	return known.crashes >= quarantineAt && !known.over(now)
+func (entry *entry) quarantined(now time.Time) bool {
+	return entry.crashes >= quarantineThreshold && !entry.expired(now)
 }
 
-// Clear forgets a request, which a replica has answered or whose quarantine was lifted, and reports whether it was suspected.
+// Clear removes a request that a replica has answered or whose quarantine was lifted, and reports whether the request was
+// suspected.
 func (book *Book) Clear(fingerprint Fingerprint) bool {
 	book.mu.Lock()
 	defer book.mu.Unlock()
@@ -246,7 +253,7 @@
 	return known
 }
 
-// Suspected returns what is known of a request; the zero value of one that is not suspected.
+// Suspected returns the suspicion of a request; the zero value if it is not suspected.
 func (book *Book) Suspected(fingerprint Fingerprint) Suspicion {
 	book.mu.Lock()
 	defer book.mu.Unlock()
@@ -254,10 +261,10 @@
 	if known == nil {
 		return Suspicion{}
 	}
-	return Suspicion{Crashes: known.crashes, Ends: slices.Clone(known.ends), Reporter: known.reporter, Until: known.until}
+	return Suspicion{Crashes: known.crashes, Events: slices.Clone(known.events), Reporter: known.reporter, Until: known.until}
 }
 
-// Quarantined returns how many requests are in quarantine.
+// Quarantined returns the number of quarantined requests.
 func (book *Book) Quarantined() int {
 	book.mu.Lock()
 	defer book.mu.Unlock()
@@ -270,58 +277,59 @@
 	return count
 }
 
-// Claim is what a node has to do with a request that it wants to send.
+// Claim describes the right of this node to try a suspected request.
 type Claim struct {
-	// Exclusive says that no other node sends the request, so that a trial of it is the only one.
+	// Exclusive is true if no other node sends the request, so that a trial by this node is the only one.
 	Exclusive bool
-	// Deputy says that the node ranks first for the request.
+	// Deputy is true if this node ranks first for the request.
 	Deputy bool
 }
 
-// Admit decides whether a request may be sent to a replica now; one that it allows is about to be sent.
+// Admit decides whether a request may be sent to a replica now. The caller must send a request that is allowed: a trial is
+// granted once.
 func (book *Book) Admit(fingerprint Fingerprint, claim Claim, now time.Time) Decision {
 	book.mu.Lock()
 	defer book.mu.Unlock()
 	known := book.entries[fingerprint]
-	if known == nil || known.over(now) {
+	if known == nil || known.expired(now) {
 		return Decision{Allowed: true}
 	}
 	decision := Decision{Crashes: known.crashes}
-	decision.Culprit, decision.Explained = book.explanation(fingerprint, known, now)
+	decision.Culprit, decision.Attributed = book.attribution(fingerprint, known, now)
 	switch {
-	case known.crashes < holdAt:
+	case known.crashes < holdThreshold:
 		decision.Allowed = true
-	case book.mayBeTried(known, claim, decision.Explained, now):
-		known.tried = now
+	case book.trialAllowed(known, claim, decision.Attributed, now):
+		known.lastTrial = now
 		decision.Allowed, decision.Trial = true, true
-	case known.crashes < quarantineAt, decision.Explained:
-		decision.After = max(holdFor-now.Sub(known.last), holdLeast)
+	case known.crashes < quarantineThreshold, decision.Attributed:
+		decision.RetryAfter = max(holdDuration-now.Sub(known.lastSeen), minRetryDelay)
 	default:
-		decision.After = known.until.Sub(now)
+		decision.RetryAfter = known.until.Sub(now)
 	}
 	return decision
 }
 
-// holdLeast is when a request may come again that another node tries.
-const holdLeast = time.Second
+// minRetryDelay bounds RetryAfter from below for a request whose hold is over but which another node has to try.
+const minRetryDelay = time.Second
 
-// mayBeTried reports whether this node may send a request that rests: by itself if no other node does, and not again before the end of the
-// replica would be known.
-func (book *Book) mayBeTried(known *entry, claim Claim, explained bool, now time.Time) bool {
-	rested := now.Sub(known.last)
-	if rested < holdFor || now.Sub(known.tried) < holdFor {
+// trialAllowed reports whether this node may try a held request now. Trials by one node are at least holdDuration apart,
+// so that a crash in one is detected before the next.
+func (book *Book) trialAllowed(entry *entry, claim Claim, attributed bool, now time.Time) bool {
+	sinceLastCrash := now.Sub(entry.lastSeen)
+	if sinceLastCrash < holdDuration || now.Sub(entry.lastTrial) < holdDuration {
 		return false
 	}
-	isOwn := claim.Exclusive || known.reporter == book.node
-	deputyTries := claim.Deputy && rested >= deputyTriesAfter
+	mayTryFirst := claim.Exclusive || entry.reporter == book.node
+	deputyMayTry := claim.Deputy && sinceLastCrash >= deputyTrialDelay
 	switch {
-	case known.crashes < quarantineAt:
-		return isOwn || deputyTries || rested >= anyoneAfter
-	case explained: // all nodes at a time would be more runs than one trial
-		return isOwn || deputyTries
-	case known.crashes < trialsUntil:
-		mayKnowAll := known.first.Sub(book.begun) >= suspicionFor
-		return claim.Exclusive || (claim.Deputy && mayKnowAll && rested >= deputyTrialAfter)
+	case entry.crashes < quarantineThreshold:
+		return mayTryFirst || deputyMayTry || sinceLastCrash >= anyNodeTrialDelay
+	case attributed: // trials by all nodes at once would exceed the one that is allowed
+		return mayTryFirst || deputyMayTry
+	case entry.crashes < trialLimit:
+		observedLongEnough := entry.firstSeen.Sub(book.started) >= suspicionDuration
+		return claim.Exclusive || (claim.Deputy && observedLongEnough && sinceLastCrash >= quarantineTrialDelay)
 	default:
 		return false
 	}
--- a/internal/quarantine/expiry.go
+++ b/internal/quarantine/expiry.go
@@ -12,19 +12,21 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata"
 )
 
-// removalsAtOnce bounds the records that one transaction removes; the platform's store takes 32 entries.
-const removalsAtOnce = 16
+// maxRemovalsPerTxn bounds the records removed in one transaction. The metadata store accepts 32 entries in a transaction,
+// and each removal is a condition and a delete.
+const maxRemovalsPerTxn = 16
 
-// dated is a record of the store with the end of its quarantine.
-type dated struct {
+// datedRecord is a stored record with the end of its quarantine.
+type datedRecord struct {
 	item  metadata.Item
 	until time.Time
 }
 
-// Expired returns the records whose quarantine is over, and the oldest of those beyond the bound. One that can't be read is over.
+// Expired returns the records whose quarantine has expired and, if more than maxRecords are left, those that expire first.
+// A record that cannot be decoded has expired.
 func Expired(items []metadata.Item, now time.Time) []metadata.Item {
 	var expired []metadata.Item
-	var lasting []dated
+	var active []datedRecord
 	for _, item := range items {
 		record := &clusterv1.QuarantineRecord{}
 		until := time.Time{}
@@ -35,19 +37,22 @@
 			expired = append(expired, item)
 			continue
 		}
-		lasting = append(lasting, dated{item, until})
+		active = append(active, datedRecord{item, until})
 	}
-	slices.SortFunc(lasting, func(a, b dated) int { return cmp.Or(a.until.Compare(b.until), cmp.Compare(a.item.Key, b.item.Key)) })
-	for _, oldest := range lasting[:max(0, len(lasting)-recordsMost)] {
+	slices.SortFunc(active, func(a, b datedRecord) int {
+		return cmp.Or(a.until.Compare(b.until), cmp.Compare(a.item.Key, b.item.Key))
+	})
+	for _, oldest := range active[:max(0, len(active)-maxRecords)] {
 		expired = append(expired, oldest.item)
 	}
 	return expired
 }
 
-// RemoveExpired removes some of the records whose quarantine is over, unless they have changed since, and returns how many.
+// RemoveExpired removes up to maxRemovalsPerTxn expired records in one transaction, which fails if one of them has changed
+// since it was listed. It returns how many records the transaction covers.
 func RemoveExpired(ctx context.Context, store metadata.Store, items []metadata.Item, now time.Time) (int, error) {
 	expired := Expired(items, now)
-	expired = expired[:min(len(expired), removalsAtOnce)]
+	expired = expired[:min(len(expired), maxRemovalsPerTxn)]
 	if len(expired) == 0 {
 		return 0, nil
 	}
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,5 +1,5 @@
-// Package quarantine keeps requests from replicas that end whenever they run them. A request that comes again has a new identifier each
-// time, so requests are told apart by what a replica is asked to do.
+// Package quarantine withholds requests that crash the replicas that run them. Retries of a request have new identifiers,
+// so requests are identified by a fingerprint of their content.
 package quarantine
 
 import (
@@ -14,26 +14,29 @@
 )
 
 const (
-	// headBytes is the part of a fingerprint that is found without reading the body: bodies are read only of requests whose head is suspected.
+	// headBytes is the size of the part that is computed without the body. Bodies are hashed only for requests whose head
+	// is suspected.
 	headBytes = 8
-	// digestBytes is how much of a digest of the whole request is kept: with 128 bits nobody can make one that is taken for another caller's.
+	// digestBytes is the size of the truncated digest of the whole request. At 128 bits a caller cannot construct a
+	// request with the fingerprint of another caller's.
 	digestBytes = 16
 )
 
-// head is the beginning of a fingerprint. Requests that differ in their bodies alone may share it.
+// head is the first part of a fingerprint. Requests that differ only in their bodies can share a head.
 type head [headBytes]byte
 
-// Fingerprint identifies what a service is asked to do and for whom. Requests with the same fingerprint differ in nothing that a replica
-// acts upon but their identifiers and deadlines.
+// Fingerprint identifies the content of a request, its tenant and the service that it is sent to. Requests with the same
+// fingerprint differ only in fields that do not affect a replica, such as identifiers and deadlines.
 type Fingerprint [headBytes + digestBytes]byte
 
-// String returns the fingerprint as logs and keys name it.
+// String returns the fingerprint in hexadecimal, as in logs and keys.
 func (fingerprint Fingerprint) String() string { return hex.EncodeToString(fingerprint[:]) }
 
 func (fingerprint Fingerprint) head() head { return head(fingerprint[:headBytes]) }
 
-// FingerprintOf returns the fingerprint of a request to a service. It reads the whole body. The service belongs to it: a request that ends
-// the replicas of one may be sound at another, which a route shares its requests with.
+// FingerprintOf returns the fingerprint of a request to a service. It reads the whole body. The service is part of the
+// fingerprint because a request that crashes the replicas of one service may be harmless at another that shares a route
+// with it.
 func FingerprintOf(service string, request *backend.Request) Fingerprint {
 	digest := sha256.New()
 	writeParts(digest, service, request)
@@ -45,14 +48,14 @@
 	return fingerprint
 }
 
-// headOf returns the beginning of a request's fingerprint.
 func headOf(service string, request *backend.Request) head {
 	digest := xxhash.New()
 	writeParts(digest, service, request)
 	return head(digest.Sum(nil))
 }
 
-// writeParts writes all of a request but its body, each part behind its length: the end of one is not taken for the beginning of the next.
+// writeParts writes everything of a request but the content of its body. Each part is prefixed with its length, so that
+// different splits into parts do not collide.
 func writeParts(digest hash.Hash, service string, request *backend.Request) {
 	for _, part := range [...]string{service, request.Tenant, request.Method, request.Host, request.Target} {
 		writeLength(digest, len(part))
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -10,7 +10,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/quarantine"
 )
 
-// Two tries of one request have one fingerprint; whatever a replica would act upon makes another.
+// Retries of a request must have the same fingerprint, and a change of any field that affects a replica must give another.
 func TestFingerprint(t *testing.T) {
 	made := func(change func(*backend.Request)) quarantine.Fingerprint {
 		request := &backend.Request{ID: "q1", Method: http.MethodPost, Host: "a.example", Target: "/book/1?a=b", Body: []byte("body"), Tenant: "harbour"}
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -14,27 +14,27 @@
 	"github.com/thistlewalk/thistlewalk/internal/telemetry"
 )
 
-// Prober finds out whether a replica's process is gone.
+// Prober detects whether the process of a replica is gone.
 type Prober interface {
-	// Refuses reports whether connections to the replica's address are refused, so that nobody listens there.
+	// Refuses reports whether connections to the replica's address are refused, which means that no process listens there.
 	Refuses(ctx context.Context, replica *catalog.Replica) bool
 }
 
-// Teller tells all other nodes what this one has seen.
+// Teller broadcasts notices of this node to all other nodes.
 type Teller interface {
 	Tell(Notice)
 }
 
-// Keeper keeps requests in quarantine where they outlive this process.
+// Keeper stores quarantined requests durably.
 type Keeper interface {
-	// Keep has a request kept as the book has it; Lift has it forgotten.
-	Keep(Fingerprint)
+	// Persist stores the record of a request as it is in the book; Lift deletes it.
+	Persist(Fingerprint)
 	Lift(Fingerprint)
 }
 
-// Guard sends requests to replicas, and keeps those from them under which replicas end. Every path on which this node sends a request, an
-// item or a scoring call goes through it, so that none can go round it: retries, hedges, and runs that are moved or resumed are sends as the
-// first one is. It implements backend.Sender.
+// Guard sends requests to replicas and withholds those that crash them. It implements backend.Sender. Every request, batch
+// job item and scoring call that this node sends passes through the guard, including retries, hedges and runs that are
+// moved or resumed.
 type Guard struct {
 	Sender  backend.Sender
 	Prober  Prober
@@ -43,20 +43,21 @@
 	// Teller and Keeper may be nil.
 	Teller Teller
 	Keeper Keeper
-	// IsDeputy reports whether this node ranks first for a request, of those that run.
+	// IsDeputy reports whether this node ranks first for a request among the running nodes.
 	IsDeputy func(Fingerprint) bool
 	Node     string
 	Logger   *log.Logger
 	Metrics  *telemetry.Metrics
 
-	probes     probes
+	probes     probeCache
 	unanswered unanswered
 	outbox     outbox
 }
 
-// Run looks until the context ends which replicas are gone that left requests unanswered, and tells others of those that ended.
+// Run broadcasts the crashes that this node detects. On each change of the list of replicas it records a crash for each
+// unanswered request whose replica is no longer registered. It returns when the context ends.
 func (guard *Guard) Run(ctx context.Context) {
-	go guard.tell(ctx)
+	go guard.runBroadcast(ctx)
 	for {
 		changed := guard.Catalog.Changed()
 		guard.checkUnanswered(time.Now())
@@ -68,21 +69,21 @@
 	}
 }
 
-// Send implements backend.Sender. A request that is not to be sent gets a *HeldError.
+// Send implements backend.Sender. It returns a *backend.HeldError for a request that is withheld.
 func (guard *Guard) Send(ctx context.Context, replica *catalog.Replica, request *backend.Request) (*backend.Answer, error) {
 	if err := guard.admit(replica, request); err != nil {
 		return nil, err
 	}
 	runCtx, release := ctx, func() {}
 	if !request.Exclusive {
-		runCtx, release = lingering(ctx)
+		runCtx, release = withLinger(ctx)
 	}
 	answer, err := guard.Sender.Send(runCtx, replica, request)
 	switch {
 	case errors.Is(err, backend.ErrRefused):
-		guard.refused(replica)
+		guard.connectionRefused(replica)
 	case err != nil && !errors.Is(err, backend.ErrNotSent):
-		guard.brokeOff(runCtx, replica, request)
+		guard.answerLost(runCtx, replica, request)
 	}
 	if err != nil {
 		release()
@@ -90,22 +91,23 @@
 	}
 	answer.Body = &watchedBody{
 		ReadCloser: answer.Body, ctx: runCtx, release: release, guard: guard, replica: replica, request: request, status: answer.Status,
-		over: answer.NotExecuted,
+		done: answer.NotExecuted,
 	}
 	return answer, nil
 }
 
-// lingerFor is how long after its beginning a request goes on whose caller leaves before: a replica that ends by a request does so sooner, and whether
-// one does is not known otherwise until its entry goes. It is less than the half second in which work for such callers has to end.
-const lingerFor = 200 * time.Millisecond
+// lingerDuration is how long after its start a request keeps running if its caller leaves. A request that crashes a
+// replica does so sooner, and without the connection the crash would not be detected until the replica's registration
+// expires. It is less than the 500 ms within which work for such callers has to end.
+const lingerDuration = 200 * time.Millisecond
 
-// lingering returns a context for a request, which ends when the caller's does but not before the request has gone on for lingerFor, unless
-// another replica has answered it. Release must be called at the end of the request.
-func lingering(ctx context.Context) (run context.Context, release func()) {
+// withLinger returns a context for a request that ends with the caller's, but not before lingerDuration after the start
+// unless another replica has answered the request. Release must be called when the request ends.
+func withLinger(ctx context.Context) (run context.Context, release func()) {
 	begun := time.Now()
 	run, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() {
-		left := lingerFor - time.Since(begun)
+		left := lingerDuration - time.Since(begun)
 		if left <= 0 || errors.Is(context.Cause(ctx), backend.ErrUnneeded) {
 			cancel()
 			return
@@ -118,9 +120,9 @@
 	}
 }
 
-// admit returns why a request is not to be sent now; nil for one that is.
+// admit returns an error if a request must not be sent now.
 func (guard *Guard) admit(replica *catalog.Replica, request *backend.Request) error {
-	if !guard.Book.MayKnow(replica.Service, request) {
+	if !guard.Book.MayBeSuspected(replica.Service, request) {
 		return nil
 	}
 	fingerprint := FingerprintOf(replica.Service, request)
@@ -129,90 +131,93 @@
 	case !decision.Allowed:
 		guard.Metrics.RequestHeld()
 		guard.Logger.Info("request held", "request", request.ID, "service", replica.Service, "fingerprint", fingerprint, "crashes", decision.Crashes,
-			"retry_after_ms", decision.After.Milliseconds(), "put_down_to", decision.putDownTo())
-		return errors.Mark(&backend.HeldError{After: decision.After}, backend.ErrNotSent)
+			"retry_after_ms", decision.RetryAfter.Milliseconds(), "put_down_to", decision.attributedTo())
+		return errors.Mark(&backend.HeldError{After: decision.RetryAfter}, backend.ErrNotSent)
 	case decision.Crashes > 0:
 		guard.Logger.Info("suspected request sent", "request", request.ID, "service", replica.Service, "replica", replica.ID, "fingerprint", fingerprint,
-			"crashes", decision.Crashes, "trial", decision.Trial, "put_down_to", decision.putDownTo())
+			"crashes", decision.Crashes, "trial", decision.Trial, "put_down_to", decision.attributedTo())
 	}
 	return nil
 }
 
-// brokeOff notes a request that was sent and whose answer did not come, or not to its end. If the replica refuses connections, it ended. If
-// not, or if this node itself cut the request off, the list of replicas tells later. The end of a replica that is leaving is planned: it
-// says so, or its entry goes before it does, while that of one which ends by itself stays for some heartbeats.
-func (guard *Guard) brokeOff(ctx context.Context, replica *catalog.Replica, request *backend.Request) {
-	if !guard.serves(replica.ID) {
+// answerLost records that a request was sent but its answer was not received in full. The replica crashed if it refuses
+// connections. Otherwise, or if this node itself cancelled the request, a crash is detected when the replica is no longer
+// registered. The exit of a draining replica is planned: the replica announces it or is deregistered before it exits,
+// whereas the registration of a crashed replica lasts for several more heartbeats.
+func (guard *Guard) answerLost(ctx context.Context, replica *catalog.Replica, request *backend.Request) {
+	if !guard.isServing(replica.ID) {
 		return
 	}
 	fingerprint := FingerprintOf(replica.Service, request)
-	left := unansweredRequest{fingerprint: fingerprint, request: request.ID, service: replica.Service, replica: replica.ID, at: time.Now()}
-	again := guard.unanswered.add(left)
+	lost := unansweredRequest{fingerprint: fingerprint, request: request.ID, service: replica.Service, replica: replica.ID, at: time.Now()}
+	again := guard.unanswered.add(lost)
 	switch {
 	case ctx.Err() != nil:
 	case again || guard.Book.Suspected(fingerprint).Crashes > 0:
-		guard.probeOf(ctx, fingerprint)
+		guard.probeReplicas(ctx, fingerprint)
 	default:
-		time.AfterFunc(probeAfter, func() { guard.probeOf(context.Background(), fingerprint) })
+		time.AfterFunc(probeDelay, func() { guard.probeReplicas(context.Background(), fingerprint) })
 	}
 }
 
-// probeOf finds out whether the replicas ended that left a request unanswered, unless another has answered it meanwhile.
-func (guard *Guard) probeOf(ctx context.Context, fingerprint Fingerprint) {
+// probeReplicas checks whether the replicas that left a request unanswered have crashed. It checks none if another replica
+// has answered the request meanwhile.
+func (guard *Guard) probeReplicas(ctx context.Context, fingerprint Fingerprint) {
 	for _, id := range guard.unanswered.replicasOf(fingerprint) {
 		replica := guard.Catalog.Replicas().Find(id)
 		if replica != nil && guard.probes.refuses(ctx, guard.Prober, replica) {
-			guard.refused(replica)
+			guard.connectionRefused(replica)
 		}
 	}
 }
 
-// refused takes that nobody listens at a replica's address: it ended under the requests that it left unanswered just before.
-func (guard *Guard) refused(replica *catalog.Replica) {
-	if !guard.serves(replica.ID) {
+// connectionRefused records that no process listens at a replica's address: the replica crashed under the requests that it
+// has recently left unanswered.
+func (guard *Guard) connectionRefused(replica *catalog.Replica) {
+	if !guard.isServing(replica.ID) {
 		return
 	}
-	for _, left := range guard.unanswered.takeOf(replica.ID, time.Now()) {
-		guard.crashed(left, evidenceRefused)
+	for _, lost := range guard.unanswered.takeReplica(replica.ID, time.Now()) {
+		guard.recordCrash(lost, evidenceRefused)
 	}
 }
 
-// serves reports whether a replica is registered and not about to leave.
-func (guard *Guard) serves(replica string) bool {
+// isServing reports whether a replica is registered and not draining.
+func (guard *Guard) isServing(replica string) bool {
 	registered := guard.Catalog.Replicas().Find(replica)
 	return registered != nil && !registered.Draining
 }
 
-// Evidence that a replica has ended, as logs name it.
+// Values of the log key evidence.
 const (
 	evidenceRefused      = "connection refused"
-	evidenceUnregistered = "registered no more"
+	evidenceUnregistered = "no longer registered"
 )
 
-// crashed takes that a replica ended under a request, as this node saw.
-func (guard *Guard) crashed(seen unansweredRequest, evidence string) {
-	crashes, fresh := guard.Book.Note(seen.fingerprint, seen.replica, guard.Node, seen.at, time.Now())
+// recordCrash records a crash that this node has detected.
+func (guard *Guard) recordCrash(lost unansweredRequest, evidence string) {
+	crashes, fresh := guard.Book.RecordCrash(lost.fingerprint, lost.replica, guard.Node, lost.at, time.Now())
 	if !fresh {
 		return
 	}
 	guard.Metrics.ReplicaEnded()
 	guard.Metrics.Quarantined(guard.Book.Quarantined())
-	guard.Logger.Warn("replica ended under a request", "request", seen.request, "service", seen.service, "replica", seen.replica,
-		"fingerprint", seen.fingerprint, "crashes", crashes, "evidence", evidence, "after_ms", time.Since(seen.at).Milliseconds())
-	guard.outbox.crashed(seen.fingerprint, guard.Book.Suspected(seen.fingerprint).Ends)
-	guard.keep(seen.fingerprint, crashes)
+	guard.Logger.Warn("replica crashed while running a request", "request", lost.request, "service", lost.service, "replica", lost.replica,
+		"fingerprint", lost.fingerprint, "crashes", crashes, "evidence", evidence, "after_ms", time.Since(lost.at).Milliseconds())
+	guard.outbox.addCrashes(lost.fingerprint, guard.Book.Suspected(lost.fingerprint).Events)
+	guard.persistIfQuarantined(lost.fingerprint, crashes)
 }
 
-// keep has a request kept once it is in quarantine.
-func (guard *Guard) keep(fingerprint Fingerprint, crashes int) {
-	if crashes >= quarantineAt && guard.Keeper != nil {
-		guard.Keeper.Keep(fingerprint)
+// persistIfQuarantined stores the record of a request once it is quarantined.
+func (guard *Guard) persistIfQuarantined(fingerprint Fingerprint, crashes int) {
+	if crashes >= quarantineThreshold && guard.Keeper != nil {
+		guard.Keeper.Persist(fingerprint)
 	}
 }
 
-// answered takes that a replica has answered a request whole: it does not end under it.
-func (guard *Guard) answered(replica *catalog.Replica, request *backend.Request, status int) {
-	if status >= http.StatusInternalServerError || !(guard.unanswered.mayHave(replica.Service, request) || guard.Book.MayKnow(replica.Service, request)) {
+// answerCompleted clears a request that a replica has answered in full, unless the replica reported a failure of its own.
+func (guard *Guard) answerCompleted(replica *catalog.Replica, request *backend.Request, status int) {
+	if status >= http.StatusInternalServerError || !(guard.unanswered.mayContain(replica.Service, request) || guard.Book.MayBeSuspected(replica.Service, request)) {
 		return
 	}
 	fingerprint := FingerprintOf(replica.Service, request)
@@ -225,41 +230,41 @@
 	guard.Metrics.Quarantined(guard.Book.Quarantined())
 	guard.Logger.Info("suspicion cleared", "request", request.ID, "service", replica.Service, "replica", replica.ID, "fingerprint", fingerprint,
 		"crashes", crashes, "status", status)
-	guard.outbox.cleared(fingerprint)
-	guard.lift(fingerprint, crashes)
+	guard.outbox.addCleared(fingerprint)
+	guard.liftIfQuarantined(fingerprint, crashes)
 }
 
-// lift has a request forgotten that was kept.
-func (guard *Guard) lift(fingerprint Fingerprint, crashes int) {
-	if crashes >= quarantineAt && guard.Keeper != nil {
+// liftIfQuarantined deletes the record of a request that was quarantined.
+func (guard *Guard) liftIfQuarantined(fingerprint Fingerprint, crashes int) {
+	if crashes >= quarantineThreshold && guard.Keeper != nil {
 		guard.Keeper.Lift(fingerprint)
 	}
 }
 
-// Heard takes what another node has seen.
-func (guard *Guard) Heard(told Notice) {
-	for _, crash := range told.Crashes {
-		crashes, fresh := guard.Book.Note(crash.Fingerprint, crash.Replica, told.Reporter, crash.Broke, time.Now())
+// Heard handles a notice from another node.
+func (guard *Guard) Heard(notice Notice) {
+	for _, crash := range notice.Crashes {
+		crashes, fresh := guard.Book.RecordCrash(crash.Fingerprint, crash.Replica, notice.Reporter, crash.Broke, time.Now())
 		if !fresh {
 			continue
 		}
-		guard.Logger.Info("replica ended under a request elsewhere", "reporter", told.Reporter, "replica", crash.Replica, "fingerprint", crash.Fingerprint, "crashes", crashes)
-		guard.keep(crash.Fingerprint, crashes)
+		guard.Logger.Info("replica crash reported by another node", "reporter", notice.Reporter, "replica", crash.Replica, "fingerprint", crash.Fingerprint, "crashes", crashes)
+		guard.persistIfQuarantined(crash.Fingerprint, crashes)
 	}
-	for _, fingerprint := range told.Cleared {
+	for _, fingerprint := range notice.Cleared {
 		known := guard.Book.Suspected(fingerprint)
 		if !guard.Book.Clear(fingerprint) {
 			continue
 		}
-		guard.Logger.Info("suspicion cleared elsewhere", "reporter", told.Reporter, "fingerprint", fingerprint, "crashes", known.Crashes)
-		if known.Reporter == guard.Node { // who may have kept it since
-			guard.lift(fingerprint, known.Crashes)
+		guard.Logger.Info("suspicion cleared by another node", "reporter", notice.Reporter, "fingerprint", fingerprint, "crashes", known.Crashes)
+		if known.Reporter == guard.Node { // this node may have stored the record meanwhile
+			guard.liftIfQuarantined(fingerprint, known.Crashes)
 		}
 	}
 	guard.Metrics.Quarantined(guard.Book.Quarantined())
 }
 
-// watchedBody notices whether an answer comes to its end.
+// watchedBody detects whether an answer is read to its end.
 type watchedBody struct {
 	io.ReadCloser
 	ctx     context.Context
@@ -268,8 +273,8 @@
 	replica *catalog.Replica
 	request *backend.Request
 	status  int
-	// over says that the end of the answer was noted, or tells nothing.
-	over bool
+	// done is true if the end of the answer was handled or carries no evidence.
+	done bool
 }
 
 // Close implements io.Closer.
@@ -281,14 +286,14 @@
 // Read implements io.Reader.
 func (body *watchedBody) Read(buffer []byte) (int, error) {
 	count, err := body.ReadCloser.Read(buffer)
-	if err == nil || body.over {
+	if err == nil || body.done {
 		return count, err
 	}
-	body.over = true
+	body.done = true
 	if errors.Is(err, io.EOF) {
-		body.guard.answered(body.replica, body.request, body.status)
+		body.guard.answerCompleted(body.replica, body.request, body.status)
 		return count, err
 	}
-	body.guard.brokeOff(body.ctx, body.replica, body.request)
+	body.guard.answerLost(body.ctx, body.replica, body.request)
 	return count, err
 }
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -20,33 +20,33 @@
 	"github.com/thistlewalk/thistlewalk/internal/quarantine"
 )
 
-// scripted is a network with one answer to each request, and a fixed answer to whether connections are refused.
-type scripted struct {
+// stubNetwork gives the same answer to each request and to each probe.
+type stubNetwork struct {
 	answer  *backend.Answer
 	err     error
 	refuses bool
-	// hangs has requests last until their contexts end.
+	// hangs blocks each request until its context ends.
 	hangs  bool
 	probes atomic.Int64
 }
 
 // Send implements backend.Sender.
-func (script *scripted) Send(ctx context.Context, _ *catalog.Replica, _ *backend.Request) (*backend.Answer, error) {
-	if script.hangs {
+func (network *stubNetwork) Send(ctx context.Context, _ *catalog.Replica, _ *backend.Request) (*backend.Answer, error) {
+	if network.hangs {
 		<-ctx.Done()
 	}
-	return script.answer, script.err
+	return network.answer, network.err
 }
 
 // Refuses implements quarantine.Prober.
-func (script *scripted) Refuses(context.Context, *catalog.Replica) bool {
-	script.probes.Add(1)
+func (network *stubNetwork) Refuses(context.Context, *catalog.Replica) bool {
+	network.probes.Add(1)
 	time.Sleep(time.Millisecond)
-	return script.refuses
+	return network.refuses
 }
 
 var (
-	errBroken  = errors.Mark(errors.New("end of the connection"), backend.ErrBroken)
+	errBroken  = errors.Mark(errors.New("connection closed"), backend.ErrBroken)
 	errRefused = errors.Mark(backend.ErrRefused, backend.ErrNotSent)
 )
 
@@ -54,28 +54,27 @@
 	return &backend.Answer{Status: status, Body: io.NopCloser(body)}
 }
 
-// fixture is one guard over a script.
+// fixture is a guard over a stub network.
 type fixture struct {
-	script *scripted
-	guard  *quarantine.Guard
-	table  *catalog.Table
-	last   int64
+	network *stubNetwork
+	guard   *quarantine.Guard
+	table   *catalog.Table
+	last    int64
 }
 
-var asked = catalog.Replica{ID: "r1", Service: service}
+var target = catalog.Replica{ID: "r1", Service: service}
 
 func newFixture(t *testing.T) *fixture {
-	script, table := &scripted{}, catalog.NewTable()
-	fixture := &fixture{script: script, table: table, guard: &quarantine.Guard{
-		Sender: script, Prober: script, Book: quarantine.NewBook("node", time.Now()), Catalog: table, Node: "node", Logger: log.New(io.Discard),
+	network, table := &stubNetwork{}, catalog.NewTable()
+	fixture := &fixture{network: network, table: table, guard: &quarantine.Guard{
+		Sender: network, Prober: network, Book: quarantine.NewBook("node", time.Now()), Catalog: table, Node: "node", Logger: log.New(io.Discard),
 		IsDeputy: func(quarantine.Fingerprint) bool { return false },
 	}}
-	fixture.register(asked)
+	fixture.register(target)
 	go fixture.guard.Run(t.Context())
 	return fixture
 }
 
-// register replaces the list of replicas.
 func (fixture *fixture) register(list ...catalog.Replica) {
 	fixture.last++
 	fixture.table.SetReplicas(list, fixture.last)
@@ -84,9 +83,9 @@
 
 var requested = &backend.Request{ID: "q1", Method: http.MethodPost, Target: "/book/1", Body: []byte("x")}
 
-// send sends a request and reads the answer.
+// send sends a request and reads its answer.
 func (fixture *fixture) send(ctx context.Context) error {
-	answer, err := fixture.guard.Send(ctx, &asked, requested)
+	answer, err := fixture.guard.Send(ctx, &target, requested)
 	if err != nil {
 		return err
 	}
@@ -98,137 +97,138 @@
 	return fixture.guard.Book.Suspected(quarantine.FingerprintOf(service, requested)).Crashes
 }
 
-// What counts as the end of a replica under a request, and what does not.
+// Only evidence of a crash may count against a request: not planned exits, answers cut short by a live replica, or
+// requests that were never sent.
 func TestEvidence(t *testing.T) {
-	left := func(after time.Duration) context.Context {
+	leavingAfter := func(after time.Duration) context.Context {
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(after, cancel)
 		return ctx
 	}
-	leaving := asked
+	leaving := target
 	leaving.Draining = true
 	for _, check := range []struct {
 		name    string
-		play    func(*testing.T, *fixture)
+		run     func(*testing.T, *fixture)
 		crashes int
 	}{
-		{"broken off, and nobody listens", func(t *testing.T, fixture *fixture) {
-			fixture.script.err, fixture.script.refuses = errBroken, true
+		{"interrupted, connections refused", func(t *testing.T, fixture *fixture) {
+			fixture.network.err, fixture.network.refuses = errBroken, true
 			_ = fixture.send(t.Context())
 		}, 1},
-		{"told of twice", func(t *testing.T, fixture *fixture) {
-			fixture.script.err, fixture.script.refuses = errBroken, true
+		{"interrupted twice by the same replica", func(t *testing.T, fixture *fixture) {
+			fixture.network.err, fixture.network.refuses = errBroken, true
 			_ = fixture.send(t.Context())
 			_ = fixture.send(t.Context())
 		}, 1},
-		{"broken off, and somebody listens", func(t *testing.T, fixture *fixture) {
-			fixture.script.err = errBroken
+		{"interrupted, connections accepted", func(t *testing.T, fixture *fixture) {
+			fixture.network.err = errBroken
 			_ = fixture.send(t.Context())
 		}, 0},
-		{"broken off, and gone from the list soon after", func(t *testing.T, fixture *fixture) {
-			fixture.script.err = errBroken
+		{"interrupted, deregistered soon after", func(t *testing.T, fixture *fixture) {
+			fixture.network.err = errBroken
 			_ = fixture.send(t.Context())
 			time.Sleep(4 * time.Second)
 			fixture.register()
 		}, 1},
-		{"broken off, and gone from the list long after", func(t *testing.T, fixture *fixture) {
-			fixture.script.err = errBroken
+		{"interrupted, deregistered long after", func(t *testing.T, fixture *fixture) {
+			fixture.network.err = errBroken
 			_ = fixture.send(t.Context())
 			time.Sleep(10 * time.Second)
 			fixture.register()
 		}, 0},
-		{"broken off, said to leave, and gone", func(t *testing.T, fixture *fixture) {
-			fixture.script.err = errBroken
+		{"interrupted, then drained and deregistered", func(t *testing.T, fixture *fixture) {
+			fixture.network.err = errBroken
 			_ = fixture.send(t.Context())
 			fixture.register(leaving)
 			fixture.register()
 		}, 0},
-		{"broken off by a replica that leaves", func(t *testing.T, fixture *fixture) {
-			fixture.script.err, fixture.script.refuses = errBroken, true
+		{"interrupted by a draining replica", func(t *testing.T, fixture *fixture) {
+			fixture.network.err, fixture.network.refuses = errBroken, true
 			fixture.register(leaving)
 			_ = fixture.send(t.Context())
 		}, 0},
-		{"broken off by a replica whose entry is gone", func(t *testing.T, fixture *fixture) {
-			fixture.script.err, fixture.script.refuses = errBroken, true
+		{"interrupted by a deregistered replica", func(t *testing.T, fixture *fixture) {
+			fixture.network.err, fixture.network.refuses = errBroken, true
 			fixture.register()
 			_ = fixture.send(t.Context())
 		}, 0},
-		{"broken off, and answered elsewhere soon after", func(t *testing.T, fixture *fixture) {
-			fixture.script.err, fixture.script.refuses = errBroken, true
+		{"interrupted, then answered", func(t *testing.T, fixture *fixture) {
+			fixture.network.err, fixture.network.refuses = errBroken, true
 			_ = fixture.send(t.Context())
-			fixture.script.answer, fixture.script.err = answerOf(http.StatusOK, strings.NewReader("whole")), nil
+			fixture.network.answer, fixture.network.err = answerOf(http.StatusOK, strings.NewReader("whole")), nil
 			_ = fixture.send(t.Context())
 		}, 0},
 		{"not sent", func(t *testing.T, fixture *fixture) {
-			fixture.script.err, fixture.script.refuses = errRefused, true
+			fixture.network.err, fixture.network.refuses = errRefused, true
 			_ = fixture.send(t.Context())
 		}, 0},
-		{"the caller left, and another request is refused", func(t *testing.T, fixture *fixture) {
-			fixture.script.err, fixture.script.refuses = errBroken, true
-			fixture.script.hangs = true
-			_ = fixture.send(left(time.Second))
-			fixture.script.err, fixture.script.hangs = errRefused, false
+		{"caller left, another request is refused", func(t *testing.T, fixture *fixture) {
+			fixture.network.err, fixture.network.refuses = errBroken, true
+			fixture.network.hangs = true
+			_ = fixture.send(leavingAfter(time.Second))
+			fixture.network.err, fixture.network.hangs = errRefused, false
 			_ = fixture.send(t.Context())
 		}, 1},
-		{"the caller left, and nothing else is known", func(t *testing.T, fixture *fixture) {
-			fixture.script.err, fixture.script.refuses, fixture.script.hangs = errBroken, true, true
-			_ = fixture.send(left(time.Second))
+		{"caller left, no other evidence", func(t *testing.T, fixture *fixture) {
+			fixture.network.err, fixture.network.refuses, fixture.network.hangs = errBroken, true, true
+			_ = fixture.send(leavingAfter(time.Second))
 		}, 0},
-		{"the caller left just before the replica ended", func(t *testing.T, fixture *fixture) {
-			fixture.script.err, fixture.script.refuses = errBroken, true
-			_ = fixture.send(left(0))
+		{"caller left just before the crash", func(t *testing.T, fixture *fixture) {
+			fixture.network.err, fixture.network.refuses = errBroken, true
+			_ = fixture.send(leavingAfter(0))
 		}, 1},
-		{"an answer that breaks off", func(t *testing.T, fixture *fixture) {
-			fixture.script.answer, fixture.script.refuses = answerOf(http.StatusOK, io.MultiReader(strings.NewReader("ev"), iotest.ErrReader(io.ErrUnexpectedEOF))), true
+		{"truncated answer", func(t *testing.T, fixture *fixture) {
+			fixture.network.answer, fixture.network.refuses = answerOf(http.StatusOK, io.MultiReader(strings.NewReader("ev"), iotest.ErrReader(io.ErrUnexpectedEOF))), true
 			_ = fixture.send(t.Context())
 		}, 1},
-		{"an answer that comes to its end", func(t *testing.T, fixture *fixture) {
-			fixture.script.answer, fixture.script.refuses = answerOf(http.StatusOK, strings.NewReader("whole")), true
+		{"complete answer", func(t *testing.T, fixture *fixture) {
+			fixture.network.answer, fixture.network.refuses = answerOf(http.StatusOK, strings.NewReader("whole")), true
 			_ = fixture.send(t.Context())
 		}, 0},
 	} {
 		t.Run(check.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				fixture := newFixture(t)
-				check.play(t, fixture)
-				time.Sleep(time.Second) // a request that broke off is not looked at before another replica could have answered it
+				check.run(t, fixture)
+				time.Sleep(time.Second) // longer than the delay before the first probe
 				must.Eq(t, check.crashes, fixture.crashes())
 			})
 		})
 	}
 }
 
-// A request whose caller has left goes on until it would have ended its replica, and not half a second longer; one that another replica has
-// answered ends at once, as does one of a job.
+// A request whose caller has left must run long enough to detect a crash, but not beyond. It ends at once if another
+// replica has answered it or if it belongs to a batch job.
 func TestRequestsLinger(t *testing.T) {
 	for _, check := range []struct {
-		name      string
-		left      time.Duration
-		cause     error
-		exclusive bool
-		ended     time.Duration
+		name        string
+		leavesAfter time.Duration
+		cause       error
+		exclusive   bool
+		duration    time.Duration
 	}{
-		{"a caller that leaves soon", 30 * time.Millisecond, nil, false, 200 * time.Millisecond},
-		{"a caller that leaves later", 400 * time.Millisecond, nil, false, 400 * time.Millisecond},
+		{"caller leaves early", 30 * time.Millisecond, nil, false, 200 * time.Millisecond},
+		{"caller leaves late", 400 * time.Millisecond, nil, false, 400 * time.Millisecond},
 		{"answered by another replica", 30 * time.Millisecond, backend.ErrUnneeded, false, 30 * time.Millisecond},
-		{"of a job", 30 * time.Millisecond, nil, true, 30 * time.Millisecond},
+		{"batch request", 30 * time.Millisecond, nil, true, 30 * time.Millisecond},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			fixture := newFixture(t)
-			fixture.script.hangs, fixture.script.err = true, errBroken
+			fixture.network.hangs, fixture.network.err = true, errBroken
 			ctx, cancel := context.WithCancelCause(t.Context())
 			begun := time.Now()
-			time.AfterFunc(check.left, func() { cancel(check.cause) })
+			time.AfterFunc(check.leavesAfter, func() { cancel(check.cause) })
 			request := *requested
 			request.Exclusive = check.exclusive
-			_, err := fixture.guard.Send(ctx, &asked, &request)
+			_, err := fixture.guard.Send(ctx, &target, &request)
 			must.ErrorContains(t, err, "connection")
-			must.Eq(t, check.ended, time.Since(begun), must.Sprint(check.name))
+			must.Eq(t, check.duration, time.Since(begun), must.Sprint(check.name))
 		})
 	}
 }
 
-// What clears a request, and what does not.
+// Only a complete answer that is not a failure of the replica may clear a request.
 func TestAnswersClear(t *testing.T) {
 	refusal := answerOf(http.StatusServiceUnavailable, strings.NewReader(""))
 	refusal.NotExecuted = true
@@ -238,23 +238,23 @@
 		cleared bool
 	}{
 		{"an answer", answerOf(http.StatusOK, strings.NewReader("whole")), true},
-		{"a failure of the caller's", answerOf(http.StatusNotFound, strings.NewReader("")), true},
-		{"a failure of the replica", answerOf(http.StatusInternalServerError, strings.NewReader("")), false},
-		{"a refusal", refusal, false},
-		{"an answer that breaks off", answerOf(http.StatusOK, iotest.ErrReader(io.ErrUnexpectedEOF)), false},
+		{"client error", answerOf(http.StatusNotFound, strings.NewReader("")), true},
+		{"server error", answerOf(http.StatusInternalServerError, strings.NewReader("")), false},
+		{"not executed", refusal, false},
+		{"truncated answer", answerOf(http.StatusOK, iotest.ErrReader(io.ErrUnexpectedEOF)), false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			fixture := newFixture(t)
 			fingerprint := quarantine.FingerprintOf(service, requested)
-			fixture.guard.Book.Note(fingerprint, "r0", "other", time.Now(), time.Now())
-			fixture.script.answer = check.answer
+			fixture.guard.Book.RecordCrash(fingerprint, "r0", "other", time.Now(), time.Now())
+			fixture.network.answer = check.answer
 			_ = fixture.send(t.Context())
 			must.Eq(t, check.cleared, fixture.crashes() == 0, must.Sprint(check.name))
 		})
 	}
 }
 
-// A request that is held counts as not sent, and says when it may come again. Requests of other bodies are sent.
+// A held request counts as not sent and carries a retry delay. Requests with other bodies must still be sent.
 func TestHeldRequestIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t)
@@ -264,56 +264,57 @@
 				Fingerprint: fingerprint, End: quarantine.End{Replica: replica, Broke: time.Now().Add(time.Duration(index) * time.Second)},
 			}}})
 		}
-		fixture.script.answer = answerOf(http.StatusOK, strings.NewReader("whole"))
+		fixture.network.answer = answerOf(http.StatusOK, strings.NewReader("whole"))
 		err := fixture.send(t.Context())
 		must.True(t, errors.Is(err, backend.ErrNotSent))
 		must.True(t, backend.IsHeld(err))
 		var held *backend.HeldError
 		must.True(t, errors.As(err, &held))
-		must.Eq(t, heldFor, held.After)
+		must.Eq(t, holdDuration, held.After)
 		other := *requested
 		other.Body = []byte("y")
-		_, err = fixture.guard.Send(t.Context(), &asked, &other)
+		_, err = fixture.guard.Send(t.Context(), &target, &other)
 		must.NoError(t, err)
 		fixture.guard.Heard(quarantine.Notice{Reporter: "other", Cleared: []quarantine.Fingerprint{fingerprint}})
 		must.NoError(t, fixture.send(t.Context()))
 	})
 }
 
-// A replica that breaks many requests off at a time is asked once.
+// A replica that interrupts many requests at once must be probed only once.
 func TestReplicaIsProbedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t)
-		fixture.script.err = errBroken
+		fixture.network.err = errBroken
 		for range 20 {
 			go fixture.send(t.Context())
 		}
 		synctest.Wait()
-		must.Eq(t, 0, fixture.script.probes.Load(), must.Sprint("before another replica could have answered"))
+		must.Eq(t, 0, fixture.network.probes.Load(), must.Sprint("no probe before another replica could have answered"))
 		time.Sleep(time.Second)
-		must.Eq(t, 1, fixture.script.probes.Load())
+		must.Eq(t, 1, fixture.network.probes.Load())
 	})
 }
 
-// A request that a second replica breaks off has both asked at once; one that another replica answers has none asked.
+// If a second replica interrupts a request, both must be probed at once. If another replica answers the request, none may
+// be probed.
 func TestProbesFollowDoubt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t)
-		fixture.register(asked, catalog.Replica{ID: "r2", Service: service})
-		fixture.script.err, fixture.script.refuses = errBroken, true
+		fixture.register(target, catalog.Replica{ID: "r2", Service: service})
+		fixture.network.err, fixture.network.refuses = errBroken, true
 		_ = fixture.send(t.Context())
 		time.Sleep(60 * time.Millisecond)
 		_, _ = fixture.guard.Send(t.Context(), &catalog.Replica{ID: "r2", Service: service}, requested)
-		must.Eq(t, 2, fixture.script.probes.Load())
+		must.Eq(t, 2, fixture.network.probes.Load())
 		must.Eq(t, 2, fixture.crashes())
 	})
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t)
-		fixture.script.err = errBroken
+		fixture.network.err = errBroken
 		_ = fixture.send(t.Context())
-		fixture.script.answer, fixture.script.err = answerOf(http.StatusOK, strings.NewReader("whole")), nil
+		fixture.network.answer, fixture.network.err = answerOf(http.StatusOK, strings.NewReader("whole")), nil
 		must.NoError(t, fixture.send(t.Context()))
 		time.Sleep(time.Second)
-		must.Eq(t, 0, fixture.script.probes.Load())
+		must.Eq(t, 0, fixture.network.probes.Load())
 	})
 }
--- a/internal/quarantine/history_test.go
+++ b/internal/quarantine/history_test.go
@@ -12,115 +12,116 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata/memstore"
 )
 
-// Faults that a history draws from.
+// Faults of a history.
 const (
-	calm         = "calm"
-	endReplica   = "a replica ends"
-	endAll       = "all replicas end at one moment"
-	resetReplica = "a replica breaks its requests off"
-	leaveReplica = "a replica leaves"
-	killNode     = "a node is killed"
-	killAll      = "all nodes are killed"
-	storeDown    = "the store is down"
-	loseAnswers  = "the store loses answers"
-	compact      = "the store forgets its history"
-	lossyLinks   = "datagrams are lost"
+	noFault       = "no fault"
+	crashReplica  = "a replica crashes"
+	crashAll      = "all replicas crash at once"
+	resetReplica  = "a replica interrupts its requests"
+	drainReplica  = "a replica is drained"
+	killNode      = "a node is killed"
+	killAll       = "all nodes are killed"
+	storeDown     = "the store is down"
+	loseResponses = "the store loses responses"
+	compact       = "the store compacts its history"
+	lossyLinks    = "datagrams are lost"
 )
 
 const (
 	historyNodes = 4
-	// settleTime is how long after the last fault a request that is sound must be served again: that after which it is tried once more, and
-	// what replicas take to be back.
-	settleTime = 40 * time.Second
+	// recoveryTime is how long after the last fault a harmless request must be served again. It covers the delay before
+	// its next trial and the restart of replicas.
+	recoveryTime = 40 * time.Second
 )
 
-// How long nodes have run when a history begins: just as long as it takes to be held to the bound, or long enough to know of all ends.
+// Uptimes of nodes at the start of a history: just long enough for the bound on late runs to apply to them, or long enough
+// for them to know of all earlier crashes.
 const (
-	justBegun   = contact + time.Second
-	runsForLong = 11 * time.Minute
+	justStarted = undisturbedTime + time.Second
+	longRunning = 11 * time.Minute
 )
 
-// history is what a run of the world is made of: faults one after the other, with the patience of those who ask for what ends replicas.
+// history describes a simulation run: a sequence of faults, and the timeout of the callers whose request crashes replicas.
 type history struct {
-	seed     uint64
-	faults   []string
-	patience time.Duration
-	replicas int
-	// ran is how long the nodes have run before.
-	ran time.Duration
+	seed          uint64
+	faults        []string
+	callerTimeout time.Duration
+	replicas      int
+	// uptime is how long the nodes have been running before the first fault.
+	uptime time.Duration
 }
 
-// Whatever fails beside it, a request under which replicas end reaches few more once three have ended, and no other request is refused
-// because of it in the end.
+// Under any sequence of faults, a request that crashes replicas must reach few more after three crashes, and no other
+// request may stay refused because of it.
 func TestDrawnHistoriesOfEndingReplicas(t *testing.T) {
 	rapid.Check(t, func(drawn *rapid.T) {
-		played := history{
+		drawnHistory := history{
 			seed: rapid.Uint64().Draw(drawn, "seed"),
 			faults: rapid.SliceOfN(rapid.SampledFrom([]string{
-				calm, calm, endReplica, endAll, resetReplica, leaveReplica, killNode, killAll, storeDown, loseAnswers, compact, lossyLinks,
+				noFault, noFault, crashReplica, crashAll, resetReplica, drainReplica, killNode, killAll, storeDown, loseResponses, compact, lossyLinks,
 			}), 3, 12).Draw(drawn, "faults"),
-			patience: rapid.SampledFrom([]time.Duration{time.Second, endTime / 2}).Draw(drawn, "patience"),
-			replicas: rapid.IntRange(2, 9).Draw(drawn, "replicas"),
-			ran:      rapid.SampledFrom([]time.Duration{justBegun, runsForLong}).Draw(drawn, "ran"),
+			callerTimeout: rapid.SampledFrom([]time.Duration{time.Second, crashDelay / 2}).Draw(drawn, "caller timeout"),
+			replicas:      rapid.IntRange(2, 9).Draw(drawn, "replicas"),
+			uptime:        rapid.SampledFrom([]time.Duration{justStarted, longRunning}).Draw(drawn, "uptime"),
 		}
-		played.play(t)
+		drawnHistory.run(t)
 	})
 }
 
-// play plays a history and judges it.
-func (history *history) play(t *testing.T) {
+// run simulates a history and checks its outcome.
+func (history *history) run(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		world := newWorld(history.seed, history.replicas, historyNodes)
-		time.Sleep(history.ran)
+		time.Sleep(history.uptime)
 		stop := make(chan struct{})
-		go world.keepCalling(stop, 130*time.Millisecond, ending, history.patience)
+		go world.keepCalling(stop, 130*time.Millisecond, crashingBody, history.callerTimeout)
 		go world.keepCalling(stop, 40*time.Millisecond, "usual", time.Second)
 		for index, fault := range history.faults {
-			world.suffer(fault, index)
+			world.injectFault(fault, index)
 		}
 		world.store.SetFaults(memstore.Faults{})
-		time.Sleep(settleTime)
+		time.Sleep(recoveryTime)
 		close(stop)
 		time.Sleep(2 * time.Second)
-		late, ends := world.late()
-		must.LessEq(t, 3, late, must.Sprintf("%+v: %d runs later than %s after the third end, %d ends", history, late, contact, ends))
+		late, crashes := world.late()
+		must.LessEq(t, 3, late, must.Sprintf("%+v: %d runs later than %s after the third crash, %d crashes", history, late, undisturbedTime, crashes))
 		for _, node := range world.running() {
-			must.NoError(t, node.call("usual", time.Second), must.Sprintf("%+v: what others ask for", history))
-			must.NoError(t, node.call(fmt.Sprint("new at ", node.name), time.Second), must.Sprintf("%+v: something new", history))
+			must.NoError(t, node.call("usual", time.Second), must.Sprintf("%+v: harmless request", history))
+			must.NoError(t, node.call(fmt.Sprint("new at ", node.name), time.Second), must.Sprintf("%+v: new request", history))
 		}
 		world.close()
 		synctest.Wait()
-		time.Sleep(time.Minute) // timers of the world
+		time.Sleep(time.Minute) // pending timers
 	})
 }
 
-// keepCalling makes the same call at one node after the other.
-func (world *world) keepCalling(stop <-chan struct{}, pace time.Duration, body string, patience time.Duration) {
+// keepCalling sends a request at a fixed interval, to each node in turn.
+func (world *world) keepCalling(stop <-chan struct{}, interval time.Duration, body string, timeout time.Duration) {
 	for call := 0; ; call++ {
 		select {
 		case <-stop:
 			return
-		case <-time.After(pace):
+		case <-time.After(interval):
 		}
 		if nodes := world.running(); len(nodes) > 0 {
-			go nodes[call%len(nodes)].call(body, patience)
+			go nodes[call%len(nodes)].call(body, timeout)
 		}
 	}
 }
 
-// suffer has a fault happen, and waits a little.
-func (world *world) suffer(fault string, index int) {
+// injectFault causes a fault, and waits for a short time.
+func (world *world) injectFault(fault string, index int) {
 	switch fault {
-	case endReplica:
-		world.end(world.anyReplica())
-	case endAll:
+	case crashReplica:
+		world.crash(world.anyReplica())
+	case crashAll:
 		for replica := range world.table.Replicas().All().Each() {
-			world.end(replica.ID)
+			world.crash(replica.ID)
 		}
 	case resetReplica:
 		world.reset(world.anyReplica())
-	case leaveReplica:
-		world.leave(world.anyReplica())
+	case drainReplica:
+		world.drain(world.anyReplica())
 	case killNode:
 		world.kill(index % historyNodes)
 	case killAll:
@@ -132,7 +133,7 @@
 		world.store.SetFaults(memstore.Faults{Down: true})
 		time.Sleep(2 * time.Second)
 		world.store.SetFaults(memstore.Faults{})
-	case loseAnswers:
+	case loseResponses:
 		world.disturb(0)
 		world.store.SetFaults(memstore.Faults{LoseAnswers: 2, LateBy: time.Second})
 	case compact:
@@ -152,25 +153,26 @@
 	world.lossy = lossy
 }
 
-// Histories that failed once.
+// Histories that have failed before must pass.
 func TestFailedHistories(t *testing.T) {
 	for _, failed := range []history{
-		// Ends that callers do not wait for were known seconds later, when entries went, and all nodes tried a request again that had rested.
-		{60, []string{loseAnswers, endReplica, killNode, leaveReplica, killNode, calm, compact, calm, leaveReplica, calm, killAll, endAll}, endTime / 2, 2, justBegun},
-		{60, []string{loseAnswers, killNode, calm}, endTime / 2, 4, justBegun},
-		{5, []string{endReplica, storeDown, killNode, killNode, killAll, endAll}, endTime / 2, 4, justBegun},
-		// What others asked for rested at nodes that did not hear that it was answered.
-		{1792, []string{killNode, calm, killNode, calm, resetReplica, compact}, endTime / 2, 3, justBegun},
-		{4672, []string{compact, calm, leaveReplica, killNode, calm, killNode}, endTime / 2, 3, justBegun},
-		// Runs of callers that left were known of too late, by the requests of others that were refused.
-		{1233, []string{compact, killAll, endAll}, endTime / 2, 9, justBegun},
-		// Nodes that had missed a datagram counted by themselves.
-		{61234885, []string{lossyLinks, resetReplica, endAll, compact, calm, calm, calm, endReplica}, endTime / 2, 4, justBegun},
-		// It was in quarantine for an hour.
-		{231574170836, []string{lossyLinks, resetReplica, killNode, resetReplica}, time.Second, 4, runsForLong},
-		// All nodes were killed before a quarantine was kept, and the trial in the next one was one run too many.
-		{29097845, []string{loseAnswers, killAll, storeDown, killNode, endAll}, time.Second, 8, justBegun},
+		// Crashes whose callers had left were detected only when registrations expired, and all nodes tried a held request
+		// again.
+		{60, []string{loseResponses, crashReplica, killNode, drainReplica, killNode, noFault, compact, noFault, drainReplica, noFault, killAll, crashAll}, crashDelay / 2, 2, justStarted},
+		{60, []string{loseResponses, killNode, noFault}, crashDelay / 2, 4, justStarted},
+		{5, []string{crashReplica, storeDown, killNode, killNode, killAll, crashAll}, crashDelay / 2, 4, justStarted},
+		// Harmless requests stayed held on nodes that missed the notice that they had been answered.
+		{1792, []string{killNode, noFault, killNode, noFault, resetReplica, compact}, crashDelay / 2, 3, justStarted},
+		{4672, []string{compact, noFault, drainReplica, killNode, noFault, killNode}, crashDelay / 2, 3, justStarted},
+		// Crashes whose callers had left were detected too late, by refused connections of other requests.
+		{1233, []string{compact, killAll, crashAll}, crashDelay / 2, 9, justStarted},
+		// Nodes that had missed a datagram counted only their own crashes.
+		{61234885, []string{lossyLinks, resetReplica, crashAll, compact, noFault, noFault, noFault, crashReplica}, crashDelay / 2, 4, justStarted},
+		// The harmless request was quarantined for an hour.
+		{231574170836, []string{lossyLinks, resetReplica, killNode, resetReplica}, time.Second, 4, longRunning},
+		// All nodes were killed before a quarantine was stored, and the trial in the next quarantine was one run too many.
+		{29097845, []string{loseResponses, killAll, storeDown, killNode, crashAll}, time.Second, 8, justStarted},
 	} {
-		failed.play(t)
+		failed.run(t)
 	}
 }
--- a/internal/quarantine/outbox.go
+++ b/internal/quarantine/outbox.go
@@ -10,54 +10,56 @@
 )
 
 const (
-	// gatherFor is how long what is to be told waits for more: a replica that ends breaks off some 16 requests at one time.
-	gatherFor = 5 * time.Millisecond
-	// againAfter is when it is told once more, since a datagram may be lost.
-	againAfter = 250 * time.Millisecond
-	// NoticeMost bounds the crashes and the cleared requests in one notice, which has to fit into a datagram of 2,048 bytes: 100 bytes are
-	// left for each crash with the name of its replica, 28 for each cleared request.
+	// batchDelay is how long a notice waits to be batched with others: a crash interrupts all requests of a replica at
+	// once.
+	batchDelay = 5 * time.Millisecond
+	// resendDelay is when a notice is sent a second time, since a datagram may be lost.
+	resendDelay = 250 * time.Millisecond
+	// NoticeMost bounds the crashes, and the cleared requests, in one notice, which must fit into a datagram of 2,048
+	// bytes: 100 bytes are left for each crash with the identifier of its replica, and 28 for each cleared request.
 	NoticeMost = 12
 )
 
-// Crash says that a replica ended under a request.
+// Crash is the crash of a replica under a request.
 type Crash struct {
 	Fingerprint Fingerprint
 	End
 }
 
-// Notice is what a node tells the others: the ends of replicas that it saw, and the requests that it has seen answered since.
+// Notice is what a node broadcasts: the crashes that it has detected, and the requests that were answered after a
+// suspicion.
 type Notice struct {
 	Reporter string
 	Crashes  []Crash
 	Cleared  []Fingerprint
 }
 
-// outbox gathers what is to be told. The zero value is empty; it is safe for concurrent use.
+// outbox queues crashes and cleared requests to be broadcast. The zero value is empty; it is safe for concurrent use.
 type outbox struct {
 	mu      sync.Mutex
-	waiting Notice
+	pending Notice
 	wake    chan struct{}
 }
 
-// crashed has all ends under a request told that this node knows of: others may have missed the earlier ones.
-func (outbox *outbox) crashed(fingerprint Fingerprint, ends []End) {
+// addCrashes queues all recorded crashes under a request, since other nodes may have missed the earlier ones.
+func (outbox *outbox) addCrashes(fingerprint Fingerprint, events []End) {
 	outbox.mu.Lock()
-	for _, end := range ends {
-		outbox.waiting.Crashes = append(outbox.waiting.Crashes, Crash{fingerprint, end})
+	for _, event := range events {
+		outbox.pending.Crashes = append(outbox.pending.Crashes, Crash{fingerprint, event})
 	}
 	outbox.mu.Unlock()
-	outbox.nudge()
+	outbox.notify()
 }
 
-func (outbox *outbox) cleared(fingerprint Fingerprint) {
+func (outbox *outbox) addCleared(fingerprint Fingerprint) {
 	outbox.mu.Lock()
-	outbox.waiting.Cleared = append(outbox.waiting.Cleared, fingerprint)
+	outbox.pending.Cleared = append(outbox.pending.Cleared, fingerprint)
 	outbox.mu.Unlock()
-	outbox.nudge()
+	outbox.notify()
 }
 
-// woken returns the channel that holds a notice while something waits.
-func (outbox *outbox) woken() chan struct{} {
+// ready returns a channel that holds a value while something is queued.
+func (outbox *outbox) ready() chan struct{} {
 	outbox.mu.Lock()
 	defer outbox.mu.Unlock()
 	if outbox.wake == nil {
@@ -66,52 +68,52 @@
 	return outbox.wake
 }
 
-func (outbox *outbox) nudge() {
+func (outbox *outbox) notify() {
 	select {
-	case outbox.woken() <- struct{}{}:
+	case outbox.ready() <- struct{}{}:
 	default:
 	}
 }
 
-// next removes and returns what one datagram takes of what waits.
-func (outbox *outbox) next() (told Notice, more bool) {
+// next removes and returns as much as one datagram holds.
+func (outbox *outbox) next() (notice Notice, more bool) {
 	outbox.mu.Lock()
 	defer outbox.mu.Unlock()
-	crashes := min(NoticeMost, len(outbox.waiting.Crashes))
-	cleared := min(NoticeMost, len(outbox.waiting.Cleared))
-	told = Notice{Crashes: outbox.waiting.Crashes[:crashes:crashes], Cleared: outbox.waiting.Cleared[:cleared:cleared]}
-	outbox.waiting.Crashes, outbox.waiting.Cleared = outbox.waiting.Crashes[crashes:], outbox.waiting.Cleared[cleared:]
-	return told, len(outbox.waiting.Crashes)+len(outbox.waiting.Cleared) > 0
+	crashes := min(NoticeMost, len(outbox.pending.Crashes))
+	cleared := min(NoticeMost, len(outbox.pending.Cleared))
+	notice = Notice{Crashes: outbox.pending.Crashes[:crashes:crashes], Cleared: outbox.pending.Cleared[:cleared:cleared]}
+	outbox.pending.Crashes, outbox.pending.Cleared = outbox.pending.Crashes[crashes:], outbox.pending.Cleared[cleared:]
+	return notice, len(outbox.pending.Crashes)+len(outbox.pending.Cleared) > 0
 }
 
-// tell tells other nodes until the context ends.
-func (guard *Guard) tell(ctx context.Context) {
+// runBroadcast broadcasts queued notices until the context ends.
+func (guard *Guard) runBroadcast(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-guard.outbox.woken():
+		case <-guard.outbox.ready():
 		}
-		wait.Pause(ctx, gatherFor)
+		wait.Pause(ctx, batchDelay)
 		for more := true; more; {
-			var told Notice
-			told, more = guard.outbox.next()
-			guard.tellTwice(told)
+			var notice Notice
+			notice, more = guard.outbox.next()
+			guard.broadcastTwice(notice)
 		}
 	}
 }
 
-// tellTwice tells other nodes now and a little later, then without what was cleared in between.
-func (guard *Guard) tellTwice(told Notice) {
+// broadcastTwice broadcasts a notice now and, without crashes under requests cleared meanwhile, again after resendDelay.
+func (guard *Guard) broadcastTwice(notice Notice) {
 	if guard.Teller == nil {
 		return
 	}
-	told.Reporter = guard.Node
-	guard.Teller.Tell(told)
-	time.AfterFunc(againAfter, func() {
-		told.Crashes = slices.DeleteFunc(slices.Clone(told.Crashes), func(crash Crash) bool {
+	notice.Reporter = guard.Node
+	guard.Teller.Tell(notice)
+	time.AfterFunc(resendDelay, func() {
+		notice.Crashes = slices.DeleteFunc(slices.Clone(notice.Crashes), func(crash Crash) bool {
 			return guard.Book.Suspected(crash.Fingerprint).Crashes == 0
 		})
-		guard.Teller.Tell(told)
+		guard.Teller.Tell(notice)
 	})
 }
--- a/internal/quarantine/probes.go
+++ b/internal/quarantine/probes.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	// probeLimit bounds the question whether anybody listens at a replica's address still: an answer takes one way there and back.
-	probeLimit = 50 * time.Millisecond
-	// probeAfter is how long a request that broke off for the first time may be answered by another replica before the first is probed. Most are:
-	// probing at each break would make connections for nothing where replicas break answers off without ending.
-	probeAfter = 200 * time.Millisecond
-	// probeLife is how long an answer holds: a replica that ends breaks off some 16 requests at one time, and where it did not end, each
-	// question would cost it a connection.
-	probeLife = 100 * time.Millisecond
-	// probesMost bounds the answers that are remembered.
-	probesMost = 256
+	// probeTimeout bounds one probe, which takes one network round trip.
+	probeTimeout = 50 * time.Millisecond
+	// probeDelay is how long another replica has to answer a request that was interrupted once before the first replica is
+	// probed. Most interrupted requests are answered by then, so that replicas which interrupt answers without crashing
+	// are not probed needlessly.
+	probeDelay = 200 * time.Millisecond
+	// probeCacheTTL is how long the result of a probe is reused. A crash interrupts many requests at once, and each probe
+	// costs a live replica a connection.
+	probeCacheTTL = 100 * time.Millisecond
+	// maxProbeAnswers bounds the cached results.
+	maxProbeAnswers = 256
 )
 
-// probes are the newest answers to whether replicas refuse connections. The zero value has none; it is safe for concurrent use.
-type probes struct {
+// probeCache holds the most recent probe results. The zero value is empty; it is safe for concurrent use.
+type probeCache struct {
 	flight singleflight.Group
 
 	mu      sync.Mutex
@@ -36,14 +37,14 @@
 	at      time.Time
 }
 
-// refuses reports whether a replica refuses connections, as it did just now or does when asked. One question is asked at a time, whose
-// answer does not depend on the request that asks first.
-func (probes *probes) refuses(ctx context.Context, prober Prober, replica *catalog.Replica) bool {
+// refuses reports whether a replica refuses connections, from the cache or by a probe. Concurrent calls for a replica
+// share one probe, which does not end with the context of the call that started it.
+func (probes *probeCache) refuses(ctx context.Context, prober Prober, replica *catalog.Replica) bool {
 	if known, ok := probes.recent(replica.ID, time.Now()); ok {
 		return known
 	}
 	answer, _, _ := probes.flight.Do(replica.ID, func() (any, error) {
-		probeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeLimit)
+		probeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 		defer cancel()
 		refused := prober.Refuses(probeCtx, replica)
 		probes.remember(replica.ID, refused, time.Now())
@@ -52,17 +53,17 @@
 	return answer.(bool)
 }
 
-func (probes *probes) recent(replica string, now time.Time) (refused, known bool) {
+func (probes *probeCache) recent(replica string, now time.Time) (refused, known bool) {
 	probes.mu.Lock()
 	defer probes.mu.Unlock()
 	answer, known := probes.answers[replica]
-	return answer.refused, known && now.Sub(answer.at) <= probeLife
+	return answer.refused, known && now.Sub(answer.at) <= probeCacheTTL
 }
 
-func (probes *probes) remember(replica string, refused bool, now time.Time) {
+func (probes *probeCache) remember(replica string, refused bool, now time.Time) {
 	probes.mu.Lock()
 	defer probes.mu.Unlock()
-	if probes.answers == nil || len(probes.answers) >= probesMost {
+	if probes.answers == nil || len(probes.answers) >= maxProbeAnswers {
 		probes.answers = make(map[string]probeAnswer)
 	}
 	probes.answers[replica] = probeAnswer{refused, now}
--- a/internal/quarantine/unanswered.go
+++ b/internal/quarantine/unanswered.go
@@ -10,42 +10,43 @@
 )
 
 const (
-	// unansweredFor is how long a request that got no answer is remembered: an entry of a replica goes after three heartbeats of silence,
-	// 3.6 s on the deployments measured, or when its successor registers.
-	unansweredFor = 6 * time.Second
-	// unansweredMost bounds them; the oldest are forgotten.
-	unansweredMost = 512
+	// unansweredRetention is how long an unanswered request is kept. It is longer than the registration of a crashed
+	// replica lasts, which ends after three missed heartbeats or when the restarted replica registers.
+	unansweredRetention = 6 * time.Second
+	// maxUnanswered bounds the unanswered requests; the oldest is dropped first.
+	maxUnanswered = 512
 )
 
-// unansweredRequest is a request that was sent to a replica and not answered whole.
+// unansweredRequest is a request that was sent to a replica and not answered in full.
 type unansweredRequest struct {
 	fingerprint               Fingerprint
 	request, service, replica string
 	at                        time.Time
 }
 
-// unanswered are the requests of which it is open whether their replicas ended. The zero value is empty; it is safe for concurrent use.
+// unanswered holds the requests for which it is not yet known whether the replica crashed. The zero value is empty; it is
+// safe for concurrent use.
 type unanswered struct {
 	mu   sync.Mutex
 	list []unansweredRequest
 }
 
-// add reports whether another replica left the same request unanswered just before.
-func (unanswered *unanswered) add(left unansweredRequest) (again bool) {
+// add records a request, and reports whether another replica has recently left the same request unanswered.
+func (unanswered *unanswered) add(added unansweredRequest) (again bool) {
 	unanswered.mu.Lock()
 	defer unanswered.mu.Unlock()
 	again = slices.ContainsFunc(unanswered.list, func(other unansweredRequest) bool {
-		return other.fingerprint == left.fingerprint && other.replica != left.replica && left.at.Sub(other.at) <= unansweredFor
+		return other.fingerprint == added.fingerprint && other.replica != added.replica && added.at.Sub(other.at) <= unansweredRetention
 	})
-	if len(unanswered.list) == unansweredMost {
+	if len(unanswered.list) == maxUnanswered {
 		unanswered.list = slices.Delete(unanswered.list, 0, 1)
 	}
-	unanswered.list = append(unanswered.list, left)
+	unanswered.list = append(unanswered.list, added)
 	return again
 }
 
-// mayHave reports whether a request may be among them, without reading its body.
-func (unanswered *unanswered) mayHave(service string, request *backend.Request) bool {
+// mayContain reports whether a request may be recorded, without reading its body.
+func (unanswered *unanswered) mayContain(service string, request *backend.Request) bool {
 	unanswered.mu.Lock()
 	defer unanswered.mu.Unlock()
 	if len(unanswered.list) == 0 {
@@ -68,20 +69,21 @@
 	return replicas
 }
 
-// drop forgets a request, which another replica has answered.
+// drop removes a request that another replica has answered.
 func (unanswered *unanswered) drop(fingerprint Fingerprint) {
 	unanswered.mu.Lock()
 	defer unanswered.mu.Unlock()
 	unanswered.list = slices.DeleteFunc(unanswered.list, func(left unansweredRequest) bool { return left.fingerprint == fingerprint })
 }
 
-// take removes and returns the requests whose replicas are gone, and forgets those that are too old or whose replicas are leaving.
-func (unanswered *unanswered) take(replicas *catalog.ReplicaSet, now time.Time) []unansweredRequest {
+// takeUnregistered removes and returns the requests whose replicas are no longer registered. It also drops requests that
+// are too old or whose replicas are draining.
+func (unanswered *unanswered) takeUnregistered(replicas *catalog.ReplicaSet, now time.Time) []unansweredRequest {
 	unanswered.mu.Lock()
 	defer unanswered.mu.Unlock()
 	var gone []unansweredRequest
 	unanswered.list = slices.DeleteFunc(unanswered.list, func(left unansweredRequest) bool {
-		if now.Sub(left.at) > unansweredFor {
+		if now.Sub(left.at) > unansweredRetention {
 			return true
 		}
 		registered := replicas.Find(left.replica)
@@ -93,13 +95,13 @@
 	return gone
 }
 
-// takeOf removes and returns the requests that a replica left unanswered.
-func (unanswered *unanswered) takeOf(replica string, now time.Time) []unansweredRequest {
+// takeReplica removes the requests that a replica left unanswered and returns those that are recent enough.
+func (unanswered *unanswered) takeReplica(replica string, now time.Time) []unansweredRequest {
 	unanswered.mu.Lock()
 	defer unanswered.mu.Unlock()
 	var taken []unansweredRequest
 	unanswered.list = slices.DeleteFunc(unanswered.list, func(left unansweredRequest) bool {
-		if left.replica == replica && now.Sub(left.at) <= unansweredFor {
+		if left.replica == replica && now.Sub(left.at) <= unansweredRetention {
 			taken = append(taken, left)
 		}
 		return left.replica == replica
@@ -107,9 +109,9 @@
 	return taken
 }
 
-// checkUnanswered finds out which replicas that left requests unanswered are registered no more.
+// checkUnanswered records a crash for each unanswered request whose replica is no longer registered.
 func (guard *Guard) checkUnanswered(now time.Time) {
-	for _, left := range guard.unanswered.take(guard.Catalog.Replicas(), now) {
-		guard.crashed(left, evidenceUnregistered)
+	for _, lost := range guard.unanswered.takeUnregistered(guard.Catalog.Replicas(), now) {
+		guard.recordCrash(lost, evidenceUnregistered)
 	}
 }
--- a/internal/quarantine/world_test.go
+++ b/internal/quarantine/world_test.go
@@ -21,21 +21,24 @@
 )
 
 const (
-	// service is what all replicas of the world run.
+	// service is the service of all replicas.
 	service = "app"
-	// ending is the body under which replicas end, endTime after they began; others take workTime.
-	ending   = "ends its replica"
-	endTime  = 60 * time.Millisecond
-	workTime = 20 * time.Millisecond
-	// backAfter is when a replica that ended is back, lapseAfter when its entry goes.
-	backAfter, lapseAfter = 3300 * time.Millisecond, 3600 * time.Millisecond
-	// delay is how long a datagram or a change of the list of replicas is on its way.
+	// crashingBody is the body of the request that crashes a replica crashDelay after its run begins. Other requests take
+	// workTime.
+	crashingBody = "ends its replica"
+	crashDelay   = 60 * time.Millisecond
+	workTime     = 20 * time.Millisecond
+	// restartDelay and deregisterDelay are how long after a crash a new replica starts and the old registration expires.
+	restartDelay, deregisterDelay = 3300 * time.Millisecond, 3600 * time.Millisecond
+	// delay is the latency of a datagram or of a change of the list of replicas.
 	delay = 2 * time.Millisecond
-	// contact is how long a node must have been undisturbed for the bound to hold for it.
-	contact = 3 * time.Second
+	// undisturbedTime is how long a node must have run without faults of its links or the store for the bound on late runs
+	// to apply to it.
+	undisturbedTime = 3 * time.Second
 )
 
-// world is some nodes and replicas over one metadata store, in modelled time. It judges by what the replicas see.
+// world simulates nodes and replicas over one metadata store, in simulated time. Its checks use only what the replicas
+// see.
 type world struct {
 	table *catalog.Table
 	store *memstore.Store
@@ -43,24 +46,25 @@
 	mu       sync.Mutex
 	random   *rand.Rand
 	revision int64
-	replicas map[string]*replica // that run or are registered
+	replicas map[string]*replica // running or registered
 	nodes    []*node
-	made     int // replicas so far
+	created  int // the number of replicas created
 	lossy    bool
-	// disturbed is until when nothing is held against any node.
+	// disturbed is the time until which runs of no node count as late.
 	disturbed time.Time
-	// runs are the times at which replicas began a run under which they end, by nodes that are held to the bound; ends are those of all ends
-	// under such runs.
-	runs, ends []time.Time
+	// runs are the start times of runs that crash a replica, by nodes to which the bound on late runs applies; crashes are
+	// the times of all such crashes.
+	runs, crashes []time.Time
 }
 
-// replica is one incarnation. Ended is closed when it ends, reset when it breaks all requests off.
+// replica is one incarnation of a replica. The channel exited is closed when it exits, and reset when it interrupts all
+// requests.
 type replica struct {
-	id    string
-	ended chan struct{}
-	reset chan struct{}
-	gone  bool
-	// draining says that it has said that it leaves.
+	id     string
+	exited chan struct{}
+	reset  chan struct{}
+	gone   bool
+	// draining is true once the replica has announced its exit.
 	draining bool
 }
 
@@ -86,7 +90,7 @@
 	return world
 }
 
-// start begins a process of a node, in place of the one before.
+// start starts a new process of a node.
 func (world *world) start(index int) {
 	name := fmt.Sprint("node-", index)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -94,7 +98,7 @@
 	book := quarantine.NewBook(name, time.Now())
 	health := metadata.NewHealth(world.store, logger)
 	archive := quarantine.NewArchive(ctx, world.store, health, book, name, logger)
-	archive.IsDeputy = func(fingerprint quarantine.Fingerprint) bool { return world.isFirst(fingerprint, name) }
+	archive.IsDeputy = func(fingerprint quarantine.Fingerprint) bool { return world.isDeputy(fingerprint, name) }
 	started := &node{world: world, name: name, started: time.Now(), ctx: ctx, cancel: cancel}
 	started.guard = &quarantine.Guard{Sender: started, Prober: world, Book: book, Catalog: world.table, Teller: started, Keeper: archive, IsDeputy: archive.IsDeputy, Node: name, Logger: logger}
 	follower := &metadata.Follower{Store: world.store, Prefix: quarantine.Prefix, Handler: archive, Logger: logger, Health: health}
@@ -106,13 +110,13 @@
 	world.nodes[index] = started
 }
 
-// isFirst reports whether a node ranks first for a request, of those that run.
-func (world *world) isFirst(fingerprint quarantine.Fingerprint, name string) bool {
+// isDeputy reports whether a node ranks first for a request among the running nodes.
+func (world *world) isDeputy(fingerprint quarantine.Fingerprint, name string) bool {
 	running := world.running()
 	return len(running) > 0 && running[int(fingerprint[0])%len(running)].name == name
 }
 
-// kill ends a process of a node; another begins a little later.
+// kill ends the process of a node; a new one starts 500 ms later.
 func (world *world) kill(index int) {
 	world.mu.Lock()
 	killed := world.nodes[index]
@@ -131,7 +135,6 @@
 	}
 }
 
-// running returns the nodes that run.
 func (world *world) running() []*node {
 	world.mu.Lock()
 	defer world.mu.Unlock()
@@ -144,11 +147,11 @@
 	return list
 }
 
-// disturb has nothing held against nodes until some time after now.
+// disturb exempts the runs of all nodes from the bound until undisturbedTime after the given duration.
 func (world *world) disturb(duration time.Duration) {
 	world.mu.Lock()
 	defer world.mu.Unlock()
-	if until := time.Now().Add(duration + contact); until.After(world.disturbed) {
+	if until := time.Now().Add(duration + undisturbedTime); until.After(world.disturbed) {
 		world.disturbed = until
 	}
 }
@@ -167,34 +170,35 @@
 func (world *world) addReplica() {
 	world.mu.Lock()
 	defer world.mu.Unlock()
-	world.made++
-	id := fmt.Sprint("r", world.made)
-	world.replicas[id] = &replica{id: id, ended: make(chan struct{}), reset: make(chan struct{})}
+	world.created++
+	id := fmt.Sprint("r", world.created)
+	world.replicas[id] = &replica{id: id, exited: make(chan struct{}), reset: make(chan struct{})}
 	world.register()
 }
 
-// end ends a replica, which is back after some seconds; its entry goes later.
-func (world *world) end(id string) {
+// crash ends the process of a replica. A new replica starts after restartDelay, and the registration expires after
+// deregisterDelay.
+func (world *world) crash(id string) {
 	world.mu.Lock()
 	defer world.mu.Unlock()
-	ended := world.replicas[id]
-	if ended == nil || ended.gone {
+	crashed := world.replicas[id]
+	if crashed == nil || crashed.gone {
 		return
 	}
-	ended.gone = true
-	close(ended.ended)
-	time.AfterFunc(backAfter, world.addReplica)
-	time.AfterFunc(lapseAfter, func() { world.forget(id) })
+	crashed.gone = true
+	close(crashed.exited)
+	time.AfterFunc(restartDelay, world.addReplica)
+	time.AfterFunc(deregisterDelay, func() { world.deregister(id) })
 }
 
-func (world *world) forget(id string) {
+func (world *world) deregister(id string) {
 	world.mu.Lock()
 	defer world.mu.Unlock()
 	delete(world.replicas, id)
 	world.register()
 }
 
-// reset has a replica break off all that it runs.
+// reset makes a replica interrupt all its requests.
 func (world *world) reset(id string) {
 	world.mu.Lock()
 	defer world.mu.Unlock()
@@ -204,8 +208,8 @@
 	}
 }
 
-// leave has a replica end as planned; its successor is there before.
-func (world *world) leave(id string) {
+// drain registers a successor of a replica, marks the replica as draining and ends its process a second later.
+func (world *world) drain(id string) {
 	world.addReplica()
 	world.mu.Lock()
 	defer world.mu.Unlock()
@@ -220,7 +224,7 @@
 		defer world.mu.Unlock()
 		if !leaving.gone {
 			leaving.gone = true
-			close(leaving.ended)
+			close(leaving.exited)
 		}
 		delete(world.replicas, id)
 		world.register()
@@ -228,25 +232,25 @@
 }
 
 // Refuses implements quarantine.Prober.
-func (world *world) Refuses(_ context.Context, asked *catalog.Replica) bool {
+func (world *world) Refuses(_ context.Context, target *catalog.Replica) bool {
 	world.mu.Lock()
 	defer world.mu.Unlock()
-	known := world.replicas[asked.ID]
+	known := world.replicas[target.ID]
 	return known == nil || known.gone
 }
 
 // Tell implements quarantine.Teller.
-func (node *node) Tell(told quarantine.Notice) {
+func (node *node) Tell(notice quarantine.Notice) {
 	for _, other := range node.world.running() {
-		if other.name == node.name || node.world.loses() {
+		if other.name == node.name || node.world.dropsDatagram() {
 			continue
 		}
-		time.AfterFunc(delay, func() { other.guard.Heard(told) })
+		time.AfterFunc(delay, func() { other.guard.Heard(notice) })
 	}
 }
 
-// loses draws whether a datagram is lost.
-func (world *world) loses() bool {
+// dropsDatagram decides at random whether a datagram is lost.
+func (world *world) dropsDatagram() bool {
 	world.mu.Lock()
 	defer world.mu.Unlock()
 	share := 0.02
@@ -256,81 +260,80 @@
 	return world.random.Float64() < share
 }
 
-// Send implements backend.Sender: it is the network and the replica.
-func (node *node) Send(ctx context.Context, asked *catalog.Replica, request *backend.Request) (*backend.Answer, error) {
+// Send implements backend.Sender. It simulates the network and the replica.
+func (node *node) Send(ctx context.Context, target *catalog.Replica, request *backend.Request) (*backend.Answer, error) {
 	world := node.world
 	world.mu.Lock()
-	known := world.replicas[asked.ID]
+	known := world.replicas[target.ID]
 	if known == nil || known.gone {
 		world.mu.Unlock()
 		return nil, errors.Mark(backend.ErrRefused, backend.ErrNotSent)
 	}
-	ended, reset := known.ended, known.reset
-	ends := string(request.Body) == ending
-	if ends {
-		world.begin(node, known.id)
+	exited, reset := known.exited, known.reset
+	crashes := string(request.Body) == crashingBody
+	if crashes {
+		world.recordRun(node, known.id)
 	}
 	world.mu.Unlock()
 	work := workTime
-	if ends {
+	if crashes {
 		work = time.Hour
 	}
 	select {
 	case <-ctx.Done():
-	case <-ended:
+	case <-exited:
 	case <-reset:
 	case <-time.After(work):
 		return &backend.Answer{Status: http.StatusOK, Body: io.NopCloser(strings.NewReader("whole"))}, nil
 	}
-	return nil, errors.Mark(errors.New("broken off"), backend.ErrBroken)
+	return nil, errors.Mark(errors.New("connection reset"), backend.ErrBroken)
 }
 
-// begin notes a run under which a replica will end. It must be called with mu held.
-func (world *world) begin(node *node, id string) {
+// recordRun records a run that will crash its replica. It must be called with mu held.
+func (world *world) recordRun(node *node, id string) {
 	now := time.Now()
-	if now.After(world.disturbed) && now.Sub(node.started) > contact {
+	if now.After(world.disturbed) && now.Sub(node.started) > undisturbedTime {
 		world.runs = append(world.runs, now)
 	}
-	time.AfterFunc(endTime, func() {
+	time.AfterFunc(crashDelay, func() {
 		world.mu.Lock()
-		world.ends = append(world.ends, time.Now())
+		world.crashes = append(world.crashes, time.Now())
 		world.mu.Unlock()
-		world.end(id)
+		world.crash(id)
 	})
 }
 
-// late returns how many runs nodes that were undisturbed began later than contact after the third end.
-func (world *world) late() (late, ends int) {
+// late returns how many recorded runs began later than undisturbedTime after the third crash, and the number of crashes.
+func (world *world) late() (late, crashes int) {
 	world.mu.Lock()
 	defer world.mu.Unlock()
-	if len(world.ends) < 3 {
-		return 0, len(world.ends)
+	if len(world.crashes) < 3 {
+		return 0, len(world.crashes)
 	}
 	for _, run := range world.runs {
-		if run.Sub(world.ends[2]) > contact {
+		if run.Sub(world.crashes[2]) > undisturbedTime {
 			late++
 		}
 	}
-	return late, len(world.ends)
+	return late, len(world.crashes)
 }
 
-// errNoReplica says that there was no replica to ask.
 var errNoReplica = errors.New("no replica")
 
-// call makes a call as a node does: two attempts at different replicas, as long as the caller is patient.
-func (node *node) call(body string, patience time.Duration) error {
-	ctx, cancel := context.WithTimeout(node.ctx, patience)
+// call sends a request as a node does, with up to two attempts at different replicas within the timeout.
+func (node *node) call(body string, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(node.ctx, timeout)
 	defer cancel()
 	err := errNoReplica
 	tried := ""
 	for range 2 {
-		asked := node.world.pick(tried)
-		if asked == nil || ctx.Err() != nil {
+		target := node.world.pick(tried)
+		if target == nil || ctx.Err() != nil {
 			return err
 		}
-		tried = asked.ID
+		tried = target.ID
 		var answer *backend.Answer
-		answer, err = node.guard.Send(ctx, asked, &backend.Request{ID: "q", Method: http.MethodPost, Target: "/book/1", Body: []byte(body)})
+		answer, err = node.guard.Send(ctx, target, &backend.Request{ID: "q", Method: http.MethodPost, Target: "/book/1", Body: []byte(body)})
 		if err == nil {
 			_, err = io.Copy(io.Discard, answer.Body)
 		}
@@ -341,13 +344,13 @@
 	return err
 }
 
-// pick draws a replica that is registered; nil for none.
-func (world *world) pick(but string) *catalog.Replica {
+// pick returns a random registered replica other than the excluded one; nil if there is none.
+func (world *world) pick(excluded string) *catalog.Replica {
 	world.mu.Lock()
 	defer world.mu.Unlock()
 	var list []*catalog.Replica
 	for registered := range world.table.Replicas().Service(service).Each() {
-		if registered.ID != but && !registered.Draining {
+		if registered.ID != excluded && !registered.Draining {
 			list = append(list, registered)
 		}
 	}
@@ -357,7 +360,7 @@
 	return list[world.random.IntN(len(list))]
 }
 
-// anyReplica draws a replica that runs; empty for none.
+// anyReplica returns the identifier of a random registered replica; empty if there is none.
 func (world *world) anyReplica() string {
 	if picked := world.pick(""); picked != nil {
 		return picked.ID
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -71,8 +71,8 @@
 mutate 'job not taken back' internal/batchrun/service.go 'other.deferral.takeBack()' '_ = other' ./internal/batchrun
 mutate 'replica that fails is not left alone' internal/batchrun/generate.go 'runner.scheduler.failed(replica.ID, time.Now())' '_ = time.Now' ./internal/batchrun
 mutate 'item goes back to who failed it' internal/batchrun/generate.go 'running.avoid, running.avoidUntil = replica.ID, now.Add(avoidFailed)' '_ = avoidFailed' ./internal/batchrun
-mutate 'nodes tell nobody of ends' internal/quarantine/outbox.go 'if guard.Teller == nil {' 'if guard.Teller == nil || told.Reporter == "" {' ./internal/quarantine
-mutate 'quarantine not kept' internal/quarantine/archive.go 'if known.Crashes < quarantineAt || kept.crashes >= known.Crashes {' 'if known.Crashes > 0 || kept.crashes >= known.Crashes {' ./internal/quarantine
+mutate 'nodes tell nobody of ends' internal/quarantine/outbox.go 'if guard.Teller == nil {' 'if guard.Teller == nil || notice.Reporter == "" {' ./internal/quarantine
+mutate 'quarantine not kept' internal/quarantine/archive.go 'if known.Crashes < quarantineThreshold || stored.crashes >= known.Crashes {' 'if known.Crashes > 0 || stored.crashes >= known.Crashes {' ./internal/quarantine
 mutate 'quarantine not published' internal/role/topics.go '		{Mirror: topics.quarantine},
 ' '' ./cmd/thistlewalk-rollout -run EndsReplicas
 mutate 'an answer clears nothing' internal/quarantine/guard.go 'if !guard.Book.Clear(fingerprint) {
@@ -82,13 +82,13 @@
 		return
 	}
 	guard.Metrics' ./internal/quarantine
-mutate 'an answer that breaks off is not seen' internal/quarantine/guard.go 'body.guard.brokeOff(body.ctx, body.replica, body.request)' '_ = body.ctx' ./internal/quarantine
+mutate 'an answer that breaks off is not seen' internal/quarantine/guard.go 'body.guard.answerLost(body.ctx, body.replica, body.request)' '_ = body.ctx' ./internal/quarantine
 mutate 'requests of callers that left forgotten' internal/quarantine/guard.go 'case errors.Is(err, backend.ErrRefused):
-		guard.refused(replica)' 'case errors.Is(err, backend.ErrRefused):' ./internal/quarantine
+		guard.connectionRefused(replica)' 'case errors.Is(err, backend.ErrRefused):' ./internal/quarantine
 mutate 'planned ends count' internal/quarantine/guard.go 'return registered != nil && !registered.Draining' 'return registered != nil || replica != ""' ./internal/quarantine
-mutate 'ends at one moment count each' internal/quarantine/book.go 'broke.Sub(other.Broke).Abs() < together' 'broke.Sub(other.Broke).Abs() < 0' ./internal/quarantine
+mutate 'ends at one moment count each' internal/quarantine/book.go 'broke.Sub(other.Broke).Abs() < simultaneousWindow' 'broke.Sub(other.Broke).Abs() < 0' ./internal/quarantine
 mutate 'all nodes try at a time' internal/quarantine/book.go 'return claim.Exclusive || known.reporter == book.node ||' 'return claim.Exclusive || book.node != "" ||' ./internal/quarantine
-mutate 'late write without its condition' internal/quarantine/archive.go 'Conditions: []metadata.Condition{{Key: key, Revision: kept.revision}}, Puts' 'Conditions: []metadata.Condition{}, Puts' ./internal/quarantine
+mutate 'late write without its condition' internal/quarantine/archive.go 'Conditions: []metadata.Condition{{Key: key, Revision: stored.revision}}, Puts' 'Conditions: []metadata.Condition{}, Puts' ./internal/quarantine
 mutate 'items go round the guard' internal/role/front.go 'Catalog: options.Catalog, Loads: loads, Sender: front.guard,
 		Decoder' 'Catalog: options.Catalog, Loads: loads, Sender: options.Sender,
 		Decoder' ./cmd/thistlewalk-rollout -run EndsReplicas
