--- a/internal/metadata/follow.go
+++ b/internal/metadata/follow.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	// LongWait is how long a watch waits where something else tells of a change that it misses.
+	// LongWait bounds a watch on keys whose changes also arrive by another path, should the watch miss one.
 	LongWait = 28 * time.Second
-	// ShortWait is how long it waits otherwise: in a compaction, a watch may hear nothing of a change, ever.
+	// ShortWait bounds a watch on keys whose changes arrive by no other path. A watch that is open during a compaction may miss a
+	// change, and only the next watch finds it.
 	ShortWait = 1500 * time.Millisecond
 
 	followRetryMin = 60 * time.Millisecond
 	followRetryMax = 400 * time.Millisecond
 )
 
-// Handler takes what a Follower reads. Both methods are called from one goroutine.
+// Handler receives the keys that a Follower reads, and their changes. A Follower calls both methods from one goroutine.
 type Handler interface {
-	// Reset replaces all that is known of the prefix.
+	// Reset replaces all keys under the prefix.
 	Reset(items []Item, revision Revision)
-	// Apply takes changes in their order. Without events, it tells that there was none up to the revision.
+	// Apply receives changes in order. No events means that nothing has changed up to the revision.
 	Apply(events []Event, revision Revision)
 }
 
-// Handlers passes what a Follower reads to several handlers.
+// Handlers is a Handler that passes each call to several handlers in turn.
 type Handlers []Handler
 
 // Reset implements Handler.
@@ -44,21 +45,21 @@
 	}
 }
 
-// Follower keeps a Handler up to date with the keys under a prefix: it reads them once and watches from there, and reads
-// them again when the history is gone.
+// Follower keeps a Handler up to date with the keys under a prefix. It lists the keys once and watches for changes from that
+// revision on. It lists them again when the history after its revision has been compacted.
 type Follower struct {
 	Store   Store
 	Prefix  string
 	Handler Handler
 	Logger  *log.Logger
-	// Health cuts watches that may be dead; nil for none.
+	// Health restarts watches after an outage of the store. It may be nil.
 	Health *Health
-	// Wait returns how long the next watch waits; nil for LongWait.
+	// Wait returns how long the next watch waits. Nil means LongWait.
 	Wait func() time.Duration
-	// Pace is the least time between two watches, so that changes in quick succession share a call.
+	// Pace is the pause after a watch that returned events, so that changes in quick succession share a call.
 	Pace time.Duration
-	// From returns the revision from which on the handler lacks changes: it is watched from there, and read only if that is zero or the
-	// history since is gone. Nil for zero.
+	// From returns the revision up to which the handler already has all changes. The first watch starts from it. The keys are listed
+	// first only if it is zero. Nil means zero.
 	From func() Revision
 }
 
@@ -73,29 +74,29 @@
 		switch {
 		case err == nil:
 			if lost || !known {
-				follower.Logger.Info("metadata regained", "prefix", follower.Prefix, "revision", int64(next))
+				follower.Logger.Info("metadata keys available", "prefix", follower.Prefix, "revision", int64(next))
 			}
 			revision, known, lost = next, true, false
 			retry.Reset()
 			continue
 		case errors.Is(err, ErrCompacted):
-			follower.Logger.Warn("metadata history gone", "prefix", follower.Prefix, "revision", int64(revision))
+			follower.Logger.Warn("metadata history compacted; listing all keys", "prefix", follower.Prefix, "revision", int64(revision))
 			known = false
 			continue
 		case ctx.Err() != nil:
 			return
 		}
 		if !lost {
-			follower.Logger.Warn("metadata lost", "prefix", follower.Prefix, "revision", int64(revision), "error", err)
+			follower.Logger.Warn("metadata keys unavailable; retrying", "prefix", follower.Prefix, "revision", int64(revision), "error", err)
 		}
 		lost = true
 		follower.Health.Doubt()
 		sleep(ctx, retry.NextBackOff())
-		follower.Health.AwaitGood(ctx) // calls that a lost store refuses are paid for all the same
+		follower.Health.AwaitGood(ctx) // the store may charge for refused calls too
 	}
 }
 
-// step reads or watches once and returns the revision to go on from.
+// step lists or watches once and returns the revision from which the next step continues.
 func (follower *Follower) step(ctx context.Context, revision Revision, known bool) (Revision, error) {
 	if !known {
 		listing, err := follower.Store.List(ctx, follower.Prefix)
--- a/internal/metadata/follow_test.go
+++ b/internal/metadata/follow_test.go
@@ -14,8 +14,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata"
 )
 
-// silentStore answers watches at once with what is new, unless it is silent: then calls hang, and a watch that was begun
-// before never returns, even when the store answers others again.
+// silentStore simulates a store that drops open watches in an outage. A watch returns at once if there is a newer revision;
+// otherwise it hangs until its context ends, even if the revision grows later. Probes hang while the store is silent.
 type silentStore struct {
 	metadata.Store
 	mu       sync.Mutex
@@ -63,32 +63,32 @@
 	return metadata.Changes{}, metadata.ErrUnavailable
 }
 
-type seen struct {
+// recorder is a handler that records the events it receives.
+type recorder struct {
 	mu     sync.Mutex
 	events []metadata.Event
 }
 
-func (seen *seen) Reset([]metadata.Item, metadata.Revision) {}
+func (recorder *recorder) Reset([]metadata.Item, metadata.Revision) {}
 
-func (seen *seen) Apply(events []metadata.Event, _ metadata.Revision) {
-	seen.mu.Lock()
-	defer seen.mu.Unlock()
-	seen.events = append(seen.events, events...)
+func (recorder *recorder) Apply(events []metadata.Event, _ metadata.Revision) {
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	recorder.events = append(recorder.events, events...)
 }
 
-func (seen *seen) count() int {
-	seen.mu.Lock()
-	defer seen.mu.Unlock()
-	return len(seen.events)
+func (recorder *recorder) count() int {
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	return len(recorder.events)
 }
 
-// A watch that the store forgot in an outage has to be begun anew when the store answers again: the configuration written
-// meanwhile came 12 s late.
+// Watches that the store dropped in an outage must be restarted when it recovers, or changes made meanwhile arrive late.
 func TestWatchBeginsAnewAfterSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		logger := log.New(io.Discard)
 		store := &silentStore{revision: 7}
-		handler := &seen{}
+		handler := &recorder{}
 		health := metadata.NewHealth(store, logger)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -106,7 +106,7 @@
 	})
 }
 
-// refusingStore refuses every call while it is lost, and counts them.
+// refusingStore refuses every call while it is lost. It counts probes and other calls.
 type refusingStore struct {
 	metadata.Store
 	mu     sync.Mutex
@@ -125,7 +125,7 @@
 	return nil
 }
 
-func (store *refusingStore) lose(lost bool) {
+func (store *refusingStore) setLost(lost bool) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	store.lost, store.probes, store.calls = lost, 0, 0
@@ -155,35 +155,35 @@
 	}
 }
 
-type ignoringHandler struct{}
+type discardHandler struct{}
 
-func (ignoringHandler) Reset([]metadata.Item, metadata.Revision)  {}
-func (ignoringHandler) Apply([]metadata.Event, metadata.Revision) {}
+func (discardHandler) Reset([]metadata.Item, metadata.Revision)  {}
+func (discardHandler) Apply([]metadata.Event, metadata.Revision) {}
 
-// While the store refuses, followers leave it to the probes to find out when it is back, and many nodes share these.
+// While the store is lost, followers must make no calls of their own, and nodes must share the probes.
 func TestRefusalsAreFew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		store := &refusingStore{}
 		health := metadata.NewHealth(store, log.New(io.Discard))
 		health.Nodes = func() int { return 300 }
-		regained := 0
-		health.OnRegained = func() { regained++ }
+		recoveries := 0
+		health.OnRegained = func() { recoveries++ }
 		go health.Run(ctx)
-		follower := metadata.Follower{Store: store, Prefix: "p/", Handler: ignoringHandler{}, Logger: log.New(io.Discard), Health: health,
+		follower := metadata.Follower{Store: store, Prefix: "p/", Handler: discardHandler{}, Logger: log.New(io.Discard), Health: health,
 			Wait: func() time.Duration { return 500 * time.Millisecond }}
 		go follower.Run(ctx)
 		time.Sleep(1100 * time.Millisecond)
-		store.lose(true)
+		store.setLost(true)
 		time.Sleep(10 * time.Second)
 		probes, calls := store.counts()
 		must.Between(t, 7, probes, 21)
-		must.LessEq(t, 12, calls) // until the first probe fails
+		must.LessEq(t, 12, calls) // made before the first probe fails
 		must.False(t, health.Good())
-		store.lose(false)
+		store.setLost(false)
 		time.Sleep(2 * time.Second)
 		must.True(t, health.Good())
-		must.Eq(t, 1, regained)
+		must.Eq(t, 1, recoveries)
 		_, calls = store.counts()
 		must.Positive(t, calls)
 		cancel()
@@ -191,21 +191,21 @@
 	})
 }
 
-// A node that is told that the store answers others again asks it at once, and does not tell that again.
+// A node that is notified that the store has recovered must probe it at once, and must not forward the notification.
 func TestToldNodeProbesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		store := &refusingStore{lost: true}
 		health := metadata.NewHealth(store, log.New(io.Discard))
 		health.Nodes = func() int { return 300 }
-		health.OnRegained = func() { t.Error("what another node told is told again") }
+		health.OnRegained = func() { t.Error("a recovery reported by another node was reported again") }
 		go health.Run(ctx)
 		synctest.Wait()
 		must.False(t, health.Good())
 		health.Told()
 		synctest.Wait()
-		must.False(t, health.Good(), must.Sprint("the store refuses this node still"))
-		store.lose(false)
+		must.False(t, health.Good(), must.Sprint("the store still refuses calls of this node"))
+		store.setLost(false)
 		health.Told()
 		synctest.Wait()
 		must.True(t, health.Good())
@@ -214,19 +214,19 @@
 	})
 }
 
-// A follower that is refused has the store probed at once: a node that others rely on must not go on as if it knew what is new.
+// A follower whose call fails must trigger a probe at once: other nodes rely on this node, so it must not keep serving stale data as current.
 func TestRefusedCallIsNoticedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		store := &refusingStore{}
 		health := metadata.NewHealth(store, log.New(io.Discard))
 		go health.Run(ctx)
-		follower := metadata.Follower{Store: store, Prefix: "p/", Handler: ignoringHandler{}, Logger: log.New(io.Discard), Health: health,
+		follower := metadata.Follower{Store: store, Prefix: "p/", Handler: discardHandler{}, Logger: log.New(io.Discard), Health: health,
 			Wait: func() time.Duration { return 10 * time.Millisecond }}
 		go follower.Run(ctx)
 		time.Sleep(1005 * time.Millisecond) // a probe has just been answered
 		must.True(t, health.Good())
-		store.lose(true)
+		store.setLost(true)
 		time.Sleep(100 * time.Millisecond)
 		must.False(t, health.Good())
 		cancel()
@@ -234,7 +234,7 @@
 	})
 }
 
-// A node that does not know yet how many others there are probes a lost store now and then, and finds out soon that it answers.
+// A node that does not know the number of nodes yet must probe a lost store at a limited rate, and still detect its recovery soon.
 func TestRefusalsAreFewBeforeNodesAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -245,7 +245,7 @@
 		time.Sleep(10 * time.Second)
 		probes, _ := store.counts()
 		must.Between(t, 13, probes, 40)
-		store.lose(false)
+		store.setLost(false)
 		time.Sleep(800 * time.Millisecond)
 		must.True(t, health.Good())
 		cancel()
--- a/internal/metadata/health.go
+++ b/internal/metadata/health.go
@@ -12,122 +12,126 @@
 
 const (
 	probeInterval = time.Second
-	probeLimit    = 700 * time.Millisecond
-	// neededCheck is how often a node that need not probe looks whether it has to by now: a fifth of probeInterval, so that it finds a
-	// lost store hardly later than one that always probes.
-	neededCheck = 200 * time.Millisecond
-	// probeAgain is the time between two probes of a lost store by all nodes together that share them, as far as each may wait so
-	// long: refused calls are paid for as others are.
-	probeAgain     = 30 * time.Millisecond
-	probeAgainMost = time.Second
-	// probeAgainSeldom takes its place for a node that does not wait for the store, should what others tell be lost: half of an outage
-	// of usual length.
-	probeAgainSeldom = 3 * time.Second
-	// probeAgainUnknown is the time between two probes by a node that does not know yet how many others there are, and so can neither
-	// tell them nor be told: all of a large fleet may have been restarted while the store is lost.
-	probeAgainUnknown = 500 * time.Millisecond
-	// probeAgainAlone is the time between two probes of a lost store by a node that shares them with nobody.
-	probeAgainAlone = 120 * time.Millisecond
+	probeTimeout  = 700 * time.Millisecond
+	// needCheckInterval is how often a node that need not probe checks whether it has to probe now. It is well below probeInterval, so
+	// that such a node detects a lost store almost as early as a node that always probes.
+	needCheckInterval = 200 * time.Millisecond
+	// probeRetryPerNode is the average interval between probes of a lost store across all nodes that share the probes. It keeps the
+	// load on a lost store independent of the number of nodes, within probeRetryMin and probeRetryMax for each node.
+	probeRetryPerNode = 30 * time.Millisecond
+	probeRetryMax     = time.Second
+	// probeRetryMaxIdle replaces probeRetryMax for a node without urgent work. Such a node normally relies on the notification by other
+	// nodes, and probes only in case that notification is lost.
+	probeRetryMaxIdle = 3 * time.Second
+	// probeRetryUnknown is the interval of a node that does not know the number of nodes yet, and so can neither notify other nodes nor
+	// be notified. A whole fleet may be in this state if it was restarted while the store was lost.
+	probeRetryUnknown = 500 * time.Millisecond
+	// probeRetryMin is the shortest interval, and the interval of a node that does not share probes.
+	probeRetryMin = 120 * time.Millisecond
 )
 
-// Health finds out when the store has stopped answering and when it answers again. A watch that waited meanwhile may never
-// be answered, on a connection that looks alive, so all watches are cut and begun anew then. A nil Health cuts none.
+// Health detects when the store stops responding and when it responds again. A watch that was open during an outage may never
+// get a response although its connection looks alive, so Health restarts all watches when the store recovers. A nil Health
+// treats the store as always responding and restarts no watches.
 type Health struct {
 	store  Store
 	logger *log.Logger
-	// Nodes returns how many nodes share the probes of a lost store: each probes so much more seldom, and tells the others when the
-	// store answers again. Nil for none. It must be set before Run.
+	// Nodes returns the number of nodes that share the probes of a lost store, or zero if it is not known yet. The more nodes there are,
+	// the less often each of them probes. A node that gets a response again notifies the others through OnRegained. If Nodes is nil, this
+	// node does not share probes. It must be set before Run.
 	Nodes func() int
-	// Needed reports whether this node has to know soon when the store is lost. While it need not, a store that answered last is not
-	// probed. Nil for always. It must be set before Run.
+	// Needed reports whether this node has to detect the loss of the store soon. While it returns false, a store that is not known to be
+	// lost is not probed. Nil means true. It must be set before Run.
 	Needed func() bool
-	// Urgent reports whether this node has work that waits for a lost store, or hears of no other node. One for which neither holds
-	// probes it seldom among many nodes: others tell it when the store answers. Nil for always. It must be set before Run.
+	// Urgent reports whether this node has work that waits for a lost store, or receives no messages from other nodes. While it returns
+	// false, the node probes a lost store less often and relies on the notification by other nodes. Nil means true. It must be set
+	// before Run.
 	Urgent func() bool
-	// OnRegained is called when a probe of this node's own found that the store answers again; nil for nothing.
+	// OnRegained is called when the store responds again to a probe that no notification had requested. It may be nil.
 	OnRegained func()
 
-	wake chan struct{} // the store is to be probed now
+	wake chan struct{} // requests an immediate probe
 
-	mu       sync.Mutex
-	cut      chan struct{} // closed when watches are to begin anew
-	answered time.Time
-	proved   time.Time // when a probe was last answered; zero before the first
-	lost     bool
-	lostAt   time.Time // when a probe first failed
-	regained time.Time // when it answered again; zero if it was never lost
+	mu              sync.Mutex
+	restart         chan struct{} // closed to restart all watches
+	answeredAt      time.Time
+	probeAnsweredAt time.Time // zero before the first response
+	lost            bool
+	lostAt          time.Time // when a probe first failed
+	recoveredAt     time.Time // when the store last responded again; zero if it was never lost
 }
 
-// NewHealth returns the health of a store, which is good until a probe fails.
+// NewHealth returns the health of a store. The store counts as good until a probe fails.
 func NewHealth(store Store, logger *log.Logger) *Health {
-	return &Health{store: store, logger: logger, wake: make(chan struct{}, 1), cut: make(chan struct{}), answered: time.Now()}
+	return &Health{store: store, logger: logger, wake: make(chan struct{}, 1), restart: make(chan struct{}), answeredAt: time.Now()}
 }
 
 // Run probes the store until the context ends.
 func (health *Health) Run(ctx context.Context) {
-	told := false // whether the next probe was asked for
+	notified := false // whether the next probe was requested by Told or Doubt
 	for ctx.Err() == nil {
-		if health.Good() && !told && !health.needed() {
-			told = health.await(ctx, neededCheck)
+		if health.Good() && !notified && !health.needed() {
+			notified = health.await(ctx, needCheckInterval)
 			continue
 		}
-		err := health.probe(ctx, told)
-		if errors.Is(err, errToldMeanwhile) {
-			told = true
+		err := health.probe(ctx, notified)
+		if errors.Is(err, errProbeSuperseded) {
+			notified = true
 			continue
 		}
-		if health.Observe(err) && !told && health.OnRegained != nil {
+		if health.Observe(err) && !notified && health.OnRegained != nil {
 			health.OnRegained()
 		}
 		interval := probeInterval
 		if err != nil {
-			interval = health.again()
+			interval = health.retryInterval()
 		}
-		told = health.await(ctx, interval)
+		notified = health.await(ctx, interval)
 	}
 }
 
-// errToldMeanwhile says that a probe was left, since others have been answered after it was sent.
-var errToldMeanwhile = errors.New("others were answered meanwhile")
+// errProbeSuperseded reports that a probe was abandoned because a notification arrived after it was sent.
+var errProbeSuperseded = errors.New("probe superseded: the store responded to another node")
 
-// probe asks the store. A lost store that says nothing holds a probe until its limit, also when it answers others by then: the first telling
-// ends a probe that was sent before, and another is sent. One that was sent because of a telling is not left.
-func (health *Health) probe(parent context.Context, told bool) error {
-	ctx, cancel := context.WithTimeout(parent, probeLimit)
+// probe sends one probe. A probe that was sent while the store was lost may hang until its timeout although the store already responds to
+// other nodes, so a notification aborts that probe. A probe that was itself requested by a notification is not aborted: otherwise
+// frequent notifications would abort every probe of a slow store.
+func (health *Health) probe(parent context.Context, notified bool) error {
+	ctx, cancel := context.WithTimeout(parent, probeTimeout)
 	defer cancel()
-	answered := make(chan error, 1)
-	go func() { answered <- health.store.Probe(ctx) }()
+	result := make(chan error, 1)
+	go func() { result <- health.store.Probe(ctx) }()
 	wake := health.wake
-	if told || health.Good() {
+	if notified || health.Good() {
 		wake = nil
 	}
 	select {
-	case err := <-answered:
+	case err := <-result:
 		return err
 	case <-wake:
-		return errToldMeanwhile
+		return errProbeSuperseded
 	}
 }
 
 func (health *Health) needed() bool { return health.Needed == nil || health.Needed() }
 
-// again returns how long to wait before a lost store is probed again, spread so that nodes do not do so at the same moment.
-func (health *Health) again() time.Duration {
+// retryInterval returns the delay before the next probe of a lost store, with jitter if nodes share the probes.
+func (health *Health) retryInterval() time.Duration {
 	if health.Nodes == nil {
-		return probeAgainAlone
+		return probeRetryMin
 	}
-	most := probeAgainMost
+	maxInterval := probeRetryMax
 	if health.Urgent != nil && !health.Urgent() {
-		most = probeAgainSeldom
+		maxInterval = probeRetryMaxIdle
 	}
-	interval := probeAgainUnknown
+	interval := probeRetryUnknown
 	if nodes := health.Nodes(); nodes > 0 {
-		interval = min(most, max(probeAgainAlone, time.Duration(nodes)*probeAgain))
+		interval = min(maxInterval, max(probeRetryMin, time.Duration(nodes)*probeRetryPerNode))
 	}
 	return interval/2 + rand.N(interval)
 }
 
-// await waits, and reports whether it was woken.
+// await waits for the interval and reports whether an immediate probe was requested.
 func (health *Health) await(ctx context.Context, interval time.Duration) bool {
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
@@ -140,7 +144,7 @@
 	return false
 }
 
-// Told takes another node's word that the store answers again: a lost one is probed at once.
+// Told notifies this node that the store responds to another node again. If the store is lost here, it is probed at once.
 func (health *Health) Told() {
 	if health.Good() {
 		return
@@ -151,7 +155,7 @@
 	}
 }
 
-// Doubt has a store that answered last be probed at once, because a call failed that it should have answered.
+// Doubt requests an immediate probe after a failed call, unless the store is already known to be lost.
 func (health *Health) Doubt() {
 	if health == nil || !health.Good() {
 		return
@@ -162,45 +166,46 @@
 	}
 }
 
-// Observe takes the outcome of a call that the store must answer at once, and reports whether the store answers again by it.
-func (health *Health) Observe(err error) (again bool) {
+// Observe records the outcome of a call to which the store must respond at once, and reports whether this call shows that a lost
+// store has recovered.
+func (health *Health) Observe(err error) (recovered bool) {
 	health.mu.Lock()
 	defer health.mu.Unlock()
 	if err != nil {
 		if !health.lost {
-			health.logger.Warn("metadata store silent", "error", err, "answered_ms_ago", time.Since(health.answered).Milliseconds())
+			health.logger.Warn("metadata store not responding", "error", err, "answered_ms_ago", time.Since(health.answeredAt).Milliseconds())
 		}
 		if !health.lost {
 			health.lost, health.lostAt = true, time.Now()
 		}
 		return false
 	}
-	health.answered = time.Now()
-	health.proved = health.answered
+	health.answeredAt = time.Now()
+	health.probeAnsweredAt = health.answeredAt
 	if !health.lost {
 		return false
 	}
 	health.lost = false
-	health.regained = health.answered
-	health.logger.Info("metadata store answers again")
-	health.cutWatches()
+	health.recoveredAt = health.answeredAt
+	health.logger.Info("metadata store responding again")
+	health.restartWatches()
 	return true
 }
 
-// CutWatches has all watches begin anew.
+// CutWatches interrupts all watches; their followers start new ones.
 func (health *Health) CutWatches() {
 	health.mu.Lock()
 	defer health.mu.Unlock()
-	health.cutWatches()
+	health.restartWatches()
 }
 
-// cutWatches must be called with mu held.
-func (health *Health) cutWatches() {
-	close(health.cut)
-	health.cut = make(chan struct{})
+// restartWatches must be called with mu held.
+func (health *Health) restartWatches() {
+	close(health.restart)
+	health.restart = make(chan struct{})
 }
 
-// Good reports whether the store answered when it was last asked.
+// Good reports whether the store is not known to be lost.
 func (health *Health) Good() bool {
 	if health == nil {
 		return true
@@ -210,15 +215,15 @@
 	return !health.lost
 }
 
-// AnsweredAfter reports whether the store was asked and has answered since a moment. A store that is good may not have been asked for
-// long.
+// AnsweredAfter reports whether the store is good and has responded to a probe after a moment. This is stronger than Good, which also
+// holds if the store has not been probed for a long time.
 func (health *Health) AnsweredAfter(moment time.Time) bool {
 	health.mu.Lock()
 	defer health.mu.Unlock()
-	return !health.lost && health.proved.After(moment)
+	return !health.lost && health.probeAnsweredAt.After(moment)
 }
 
-// LostFor returns how long the store has been lost; zero if it answers.
+// LostFor returns how long the store has been lost, or zero if it is good.
 func (health *Health) LostFor() time.Duration {
 	if health == nil {
 		return 0
@@ -231,22 +236,22 @@
 	return time.Since(health.lostAt)
 }
 
-// GoodFor reports whether the store has answered for a time, since it was last lost.
+// GoodFor reports whether the store has been good for at least the given time, or was never lost.
 func (health *Health) GoodFor(duration time.Duration) bool {
 	health.mu.Lock()
 	defer health.mu.Unlock()
-	return !health.lost && time.Since(health.regained) >= duration
+	return !health.lost && time.Since(health.recoveredAt) >= duration
 }
 
-// AwaitGood waits until the store answers, as far as the probes tell, or the context ends. Calls that would only be refused
-// are saved so, and are made at once when the store is back.
+// AwaitGood waits until the store is good or the context ends. Callers use it to send no calls to a lost store, and to continue at
+// once when the store recovers.
 func (health *Health) AwaitGood(ctx context.Context) {
 	if health == nil {
 		return
 	}
 	for {
 		health.mu.Lock()
-		lost, cut := health.lost, health.cut
+		lost, restart := health.lost, health.restart
 		health.mu.Unlock()
 		if !lost {
 			return
@@ -254,23 +259,23 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-cut:
+		case <-restart:
 		}
 	}
 }
 
-// context returns a context that ends when watches are to begin anew.
+// context returns a context for a watch. It is canceled when watches restart.
 func (health *Health) context(parent context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
 	if health == nil {
 		return ctx, cancel
 	}
 	health.mu.Lock()
-	cut := health.cut
+	restart := health.restart
 	health.mu.Unlock()
 	go func() {
 		select {
-		case <-cut:
+		case <-restart:
 			cancel()
 		case <-ctx.Done():
 		}
--- a/internal/metadata/health_test.go
+++ b/internal/metadata/health_test.go
@@ -15,12 +15,12 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata/memstore"
 )
 
-// slowStore answers each probe after a time, or not at all while it is silent: a probe that was sent in the silence is never answered.
+// slowStore responds to each probe after its latency. A probe that is sent while the store is silent never gets a response.
 type slowStore struct {
 	metadata.Store
-	silent atomic.Bool
-	takes  time.Duration
-	probes atomic.Int64
+	silent  atomic.Bool
+	latency time.Duration
+	probes  atomic.Int64
 }
 
 func (store *slowStore) Probe(ctx context.Context) error {
@@ -32,16 +32,16 @@
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(store.takes):
+	case <-time.After(store.latency):
 		return nil
 	}
 }
 
-// A node that is told that the store answers again does not wait for a probe of before to run out.
+// A notification that the store responds again must abort a hanging probe that was sent before.
 func TestToldWhileAProbeHangs(t *testing.T) {
 	for after := time.Duration(0); after < time.Second; after += 50 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
-			store := &slowStore{Store: memstore.New(), takes: 5 * time.Millisecond}
+			store := &slowStore{Store: memstore.New(), latency: 5 * time.Millisecond}
 			health := metadata.NewHealth(store, log.New(io.Discard))
 			health.Nodes = func() int { return 60 }
 			ctx, cancel := context.WithCancel(t.Context())
@@ -52,17 +52,17 @@
 			store.silent.Store(false)
 			health.Told()
 			time.Sleep(10 * time.Millisecond)
-			must.True(t, health.Good(), must.Sprintf("told %s later", after))
+			must.True(t, health.Good(), must.Sprintf("notified %s later", after))
 			cancel()
 			synctest.Wait()
 		})
 	}
 }
 
-// However often a node is told, a slow store's answer is waited for.
+// Frequent notifications must not abort every probe of a slow store.
 func TestToldOftenOfASlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &slowStore{Store: memstore.New(), takes: 400 * time.Millisecond}
+		store := &slowStore{Store: memstore.New(), latency: 400 * time.Millisecond}
 		health := metadata.NewHealth(store, log.New(io.Discard))
 		ctx, cancel := context.WithCancel(t.Context())
 		go health.Run(ctx)
--- a/internal/metadata/measured.go
+++ b/internal/metadata/measured.go
@@ -9,13 +9,13 @@
 	"github.com/thistlewalk/thistlewalk/internal/telemetry"
 )
 
-// Measured is a Store whose calls are counted and timed.
+// Measured is a Store that records the count, result and duration of its calls as metrics.
 type Measured struct {
 	Store
 	Metrics *telemetry.Metrics
 }
 
-// resultOf names the outcome of a call for metrics.
+// resultOf returns the result label of a call in metrics.
 func resultOf(err error) string {
 	var conflict *ConflictError
 	switch {
@@ -88,9 +88,9 @@
 }
 
 // GrantLease implements Store.
-func (measured *Measured) GrantLease(ctx context.Context, life time.Duration) (LeaseID, error) {
+func (measured *Measured) GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	started := time.Now()
-	lease, err := measured.Store.GrantLease(ctx, life)
+	lease, err := measured.Store.GrantLease(ctx, ttl)
 	measured.count("grant_lease", started, err)
 	return lease, err
 }
--- a/internal/metadata/memstore/store.go
+++ b/internal/metadata/memstore/store.go
@@ -1,5 +1,5 @@
-// Package memstore is a metadata store in memory with the faults of a real one: outages, lost answers, writes that are done
-// late, compacted history, leases that lapse. Tests and the lab use it.
+// Package memstore implements an in-memory metadata store for tests and the lab. It simulates the faults of a real store:
+// outages, lost responses, delayed writes, compacted history and expired leases.
 package memstore
 
 import (
@@ -13,17 +13,17 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata"
 )
 
-// Faults are the faults in force. The zero value is none.
+// Faults holds the faults to simulate. The zero value means no faults.
 type Faults struct {
-	// Down has calls refused; Silent has them hang until their context ends.
+	// Down makes calls fail at once; Silent makes them hang until their context ends.
 	Down, Silent bool
-	// LoseAnswers is how many of the next writes are done without an answer.
+	// LoseAnswers is the number of next commits whose response is lost: each is applied, and the call hangs until its context ends.
 	LoseAnswers int
-	// LateBy, if not zero, has writes whose answers are lost be done that much later.
+	// LateBy delays the application of commits whose response is lost.
 	LateBy time.Duration
 }
 
-// Store is a metadata.Store in memory. It is safe for concurrent use.
+// Store is an in-memory metadata.Store. It is safe for concurrent use.
 type Store struct {
 	mu        sync.Mutex
 	revision  metadata.Revision
@@ -31,7 +31,7 @@
 	items     map[string]stored
 	history   []metadata.Event
 	leases    map[metadata.LeaseID]*lease
-	granted   metadata.LeaseID
+	lastLease metadata.LeaseID
 	changed   chan struct{}
 	faults    Faults
 	calls     int
@@ -43,7 +43,7 @@
 }
 
 type lease struct {
-	life  time.Duration
+	ttl   time.Duration
 	timer *time.Timer
 }
 
@@ -52,28 +52,28 @@
 	return &Store{items: make(map[string]stored), leases: make(map[metadata.LeaseID]*lease), changed: make(chan struct{})}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the faults to simulate.
 func (store *Store) SetFaults(faults Faults) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	store.faults = faults
 }
 
-// Compact forgets the history.
+// Compact drops the history up to the current revision.
 func (store *Store) Compact() {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	store.compacted, store.history = store.revision, nil
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls made so far, including those that failed.
 func (store *Store) Calls() int {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	return store.calls
 }
 
-// enter counts a call and returns the faults that it meets.
+// enter counts a call and applies the Down and Silent faults. It returns the faults in effect.
 func (store *Store) enter(ctx context.Context) (Faults, error) {
 	store.mu.Lock()
 	store.calls++
@@ -137,7 +137,7 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		changes, changed, err := store.since(prefix, after)
+		changes, changed, err := store.changesAfter(prefix, after)
 		if err != nil || len(changes.Events) > 0 {
 			return changes, err
 		}
@@ -151,7 +151,7 @@
 	}
 }
 
-func (store *Store) since(prefix string, after metadata.Revision) (metadata.Changes, <-chan struct{}, error) {
+func (store *Store) changesAfter(prefix string, after metadata.Revision) (metadata.Changes, <-chan struct{}, error) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	if after < store.compacted {
@@ -172,9 +172,9 @@
 	if err != nil {
 		return 0, err
 	}
-	if store.takeLoss() {
+	if store.consumeLostAnswer() {
 		if faults.LateBy > 0 {
-			time.AfterFunc(faults.LateBy, func() { _, _ = store.apply(txn) }) // nobody hears of its outcome
+			time.AfterFunc(faults.LateBy, func() { _, _ = store.apply(txn) }) // the response is lost
 		} else {
 			_, _ = store.apply(txn)
 		}
@@ -184,13 +184,13 @@
 	return store.apply(txn)
 }
 
-// CommitDirectly commits for a writer that the faults do not meet.
+// CommitDirectly applies a transaction regardless of the faults.
 func (store *Store) CommitDirectly(txn metadata.Txn) (metadata.Revision, error) {
 	return store.apply(txn)
 }
 
-// takeLoss reports whether the answer of this write is to be lost.
-func (store *Store) takeLoss() bool {
+// consumeLostAnswer reports whether the response of this commit is lost, and counts it.
+func (store *Store) consumeLostAnswer() bool {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	if store.faults.LoseAnswers <= 0 {
@@ -229,7 +229,7 @@
 	for _, key := range txn.Deletes {
 		store.remove(key)
 	}
-	store.announce()
+	store.notifyChanged()
 	return store.revision, nil
 }
 
@@ -242,22 +242,22 @@
 	store.history = append(store.history, metadata.Event{Item: metadata.Item{Key: key, Revision: store.revision}, Deleted: true})
 }
 
-// announce must be called with mu held.
-func (store *Store) announce() {
+// notifyChanged must be called with mu held.
+func (store *Store) notifyChanged() {
 	close(store.changed)
 	store.changed = make(chan struct{})
 }
 
 // GrantLease implements metadata.Store.
-func (store *Store) GrantLease(ctx context.Context, life time.Duration) (metadata.LeaseID, error) {
+func (store *Store) GrantLease(ctx context.Context, ttl time.Duration) (metadata.LeaseID, error) {
 	if _, err := store.enter(ctx); err != nil {
 		return 0, err
 	}
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	store.granted++
-	id := store.granted
-	store.leases[id] = &lease{life: life, timer: time.AfterFunc(life, func() { store.expire(id) })}
+	store.lastLease++
+	id := store.lastLease
+	store.leases[id] = &lease{ttl: ttl, timer: time.AfterFunc(ttl, func() { store.expire(id) })}
 	return id, nil
 }
 
@@ -274,7 +274,7 @@
 			store.remove(key)
 		}
 	}
-	store.announce()
+	store.notifyChanged()
 }
 
 // RenewLease implements metadata.Store.
@@ -288,7 +288,7 @@
 	if held == nil {
 		return metadata.ErrLeaseGone
 	}
-	held.timer.Reset(held.life)
+	held.timer.Reset(held.ttl)
 	return nil
 }
 
--- a/internal/metadata/mirror.go
+++ b/internal/metadata/mirror.go
@@ -8,17 +8,18 @@
 	"sync"
 )
 
-// changesKept is the least bound of the changes that a Mirror remembers; where it holds more keys, it remembers as many changes as keys.
-// Whoever lacks more is sent all items, which are hardly more bytes then. At some 100 bytes each, 4,096 take 400 KB.
-const changesKept = 4096
+// minLogLength is the smallest limit on the length of a mirror's change log. A mirror that holds more keys keeps as many changes as it has
+// keys: a receiver that lacks more changes is sent all items, which then takes hardly more bytes than the changes.
+const minLogLength = 4096
 
-// Removal is a deleted key with the revision of its deletion.
+// Removal is a deleted key and the revision of its deletion.
 type Removal struct {
 	Key      string
 	Revision Revision
 }
 
-// Difference is what brings a Mirror of Prefix from Base to Revision. With Whole, Items is all there is, and Base means nothing.
+// Difference is a delta that brings a mirror of Prefix from revision Base to Revision. If Whole is set, it is a snapshot: Items holds all
+// keys, and Base is ignored.
 type Difference struct {
 	Prefix   string
 	Whole    bool
@@ -28,25 +29,26 @@
 	Removals []Removal
 }
 
-// Mirror holds the keys under a prefix as of a revision, and passes their changes on to a handler. It takes them from a Follower of the
-// store, being a Handler itself, and from mirrors of other nodes, in any order and both at a time: it never goes back. It is safe for
-// concurrent use.
+// Mirror holds a copy of the keys under a prefix as of a revision, and passes changes on to a handler. It receives changes as the Handler
+// of a Follower, and as differences from the mirrors of other nodes. These may arrive concurrently and in any order: changes that the
+// mirror already has are ignored, so its revision never decreases. It is safe for concurrent use.
 type Mirror struct {
-	prefix string
-	next   Handler
+	prefix  string
+	handler Handler
 
 	mu sync.Mutex
-	// known says that the keys have been read, and revision up to which every change of them is known. It grows also while nothing
-	// changes, at each mirror in its own way; changedAt does not: it is the revision of the newest change.
-	known     bool
+	// loaded is true once the keys have been read. All changes up to revision have been applied. The revision also grows while no key
+	// changes, differently at each mirror. In contrast, changedAt is the revision of the newest change, or of the first read.
+	loaded    bool
 	revision  Revision
 	changedAt Revision
 	items     map[string]Item
-	// log are the newest changes in their order, all of those after the revision since; removed are the keys that were deleted after it.
-	log     []change
-	since   Revision
-	removed map[string]Revision
-	// changed is closed at the next change, advanced also when more is known without one.
+	// log holds all changes after the revision logStart, in the order of their revisions. tombstones holds the keys that were deleted
+	// after logStart, with the revision of the deletion.
+	log        []change
+	logStart   Revision
+	tombstones map[string]Revision
+	// changed is closed at the next change; advanced is closed when the revision grows or a key changes.
 	changed, advanced chan struct{}
 }
 
@@ -56,10 +58,10 @@
 	key      string
 }
 
-// NewMirror returns a mirror that knows nothing. The handler is called with the mirror's lock held, so one call at a time; it must not
-// call the mirror.
-func NewMirror(prefix string, next Handler) *Mirror {
-	return &Mirror{prefix: prefix, next: next, items: make(map[string]Item), removed: make(map[string]Revision), changed: make(chan struct{}), advanced: make(chan struct{})}
+// NewMirror returns a mirror without keys at revision zero. The handler is called with the mirror's lock held, so it must not call the
+// mirror, and its calls are serialized.
+func NewMirror(prefix string, handler Handler) *Mirror {
+	return &Mirror{prefix: prefix, handler: handler, items: make(map[string]Item), tombstones: make(map[string]Revision), changed: make(chan struct{}), advanced: make(chan struct{})}
 }
 
 // Prefix returns the prefix of the mirrored keys.
@@ -72,15 +74,16 @@
 	return len(mirror.items)
 }
 
-// Revision returns the revision up to which every change is known; zero while nothing is, or nothing was ever written.
+// Revision returns the revision up to which all changes have been applied. It is zero before the first read, and while nothing has ever
+// been written to the store.
 func (mirror *Mirror) Revision() Revision {
 	mirror.mu.Lock()
 	defer mirror.mu.Unlock()
 	return mirror.revision
 }
 
-// ChangedAt returns a revision up to which a mirror has to know every change in order to hold what this one does: that of the newest
-// change, or of the first reading, before which keys may have been removed.
+// ChangedAt returns a revision that another mirror must have reached to be sure to hold the same keys as this mirror. It is the revision of
+// the newest change, or of the first read if that is higher, since this mirror does not know which keys were deleted before that read.
 func (mirror *Mirror) ChangedAt() Revision {
 	mirror.mu.Lock()
 	defer mirror.mu.Unlock()
@@ -94,14 +97,14 @@
 	return mirror.changed
 }
 
-// Advanced returns a channel that is closed when a later revision is known, whether or not anything has changed up to there.
+// Advanced returns a channel that is closed when the revision grows, whether or not a key has changed.
 func (mirror *Mirror) Advanced() <-chan struct{} {
 	mirror.mu.Lock()
 	defer mirror.mu.Unlock()
 	return mirror.advanced
 }
 
-// Reset implements Handler. Keys outside the prefix are passed over.
+// Reset implements Handler. It ignores keys outside the prefix, and a listing that is not newer than the mirror.
 func (mirror *Mirror) Reset(items []Item, revision Revision) {
 	mirror.mu.Lock()
 	defer mirror.mu.Unlock()
@@ -110,10 +113,10 @@
 
 // replace must be called with mu held.
 func (mirror *Mirror) replace(items []Item, revision Revision) {
-	if mirror.known && revision <= mirror.revision {
+	if mirror.loaded && revision <= mirror.revision {
 		return
 	}
-	before := mirror.items
+	previous := mirror.items
 	mirror.items = make(map[string]Item, len(items))
 	var changes []change
 	for _, item := range items {
@@ -121,34 +124,34 @@
 			continue
 		}
 		mirror.items[item.Key] = item
-		delete(mirror.removed, item.Key)
-		if item.Revision != before[item.Key].Revision {
+		delete(mirror.tombstones, item.Key)
+		if item.Revision != previous[item.Key].Revision {
 			changes = append(changes, change{item.Revision, item.Key})
 		}
 	}
-	for key := range before {
+	for key := range previous {
 		if _, kept := mirror.items[key]; !kept {
-			mirror.removed[key] = revision
+			mirror.tombstones[key] = revision
 			changes = append(changes, change{revision, key})
 		}
 	}
-	first := !mirror.known
-	mirror.reach(revision)
+	first := !mirror.loaded
+	mirror.advanceTo(revision)
 	switch {
 	case first:
-		mirror.known, mirror.since, mirror.changedAt = true, revision, revision
+		mirror.loaded, mirror.logStart, mirror.changedAt = true, revision, revision
 	case len(changes) == 0:
 		return
 	}
 	if !first {
-		mirror.note(changes)
+		mirror.appendLog(changes)
 	}
-	mirror.announce()
-	mirror.next.Reset(slices.Collect(maps.Values(mirror.items)), revision)
+	mirror.notifyChanged()
+	mirror.handler.Reset(slices.Collect(maps.Values(mirror.items)), revision)
 }
 
-// Apply implements Handler. Events that are known already, and those of keys outside the prefix, are passed over; without others, every
-// change up to the revision is known all the same.
+// Apply implements Handler. It ignores events that have already been applied, and events of keys outside the prefix. The mirror's revision
+// advances even if no events remain. A mirror that has not read the keys yet ignores the call.
 func (mirror *Mirror) Apply(events []Event, revision Revision) {
 	mirror.mu.Lock()
 	defer mirror.mu.Unlock()
@@ -157,131 +160,132 @@
 
 // apply must be called with mu held.
 func (mirror *Mirror) apply(events []Event, revision Revision) {
-	if !mirror.known {
+	if !mirror.loaded {
 		return
 	}
 	var fresh []Event
 	var changes []change
 	for _, event := range events {
-		if strings.HasPrefix(event.Key, mirror.prefix) && event.Revision > mirror.seen(event.Key) {
+		if strings.HasPrefix(event.Key, mirror.prefix) && event.Revision > mirror.appliedRevision(event.Key) {
 			mirror.put(event)
 			changes = append(changes, change{event.Revision, event.Key})
 			fresh = append(fresh, event)
 		}
 	}
-	mirror.reach(max(revision, mirror.revision))
+	mirror.advanceTo(max(revision, mirror.revision))
 	if len(fresh) == 0 {
 		return
 	}
-	mirror.note(changes)
-	mirror.announce()
-	mirror.next.Apply(fresh, mirror.revision)
+	mirror.appendLog(changes)
+	mirror.notifyChanged()
+	mirror.handler.Apply(fresh, mirror.revision)
 }
 
-// seen returns the revision up to which the changes of a key are known. It must be called with mu held.
-func (mirror *Mirror) seen(key string) Revision {
-	return max(mirror.revision, mirror.items[key].Revision, mirror.removed[key])
+// appliedRevision returns the revision up to which the changes of a key have been applied. It must be called with mu held.
+func (mirror *Mirror) appliedRevision(key string) Revision {
+	return max(mirror.revision, mirror.items[key].Revision, mirror.tombstones[key])
 }
 
 // put must be called with mu held.
 func (mirror *Mirror) put(event Event) {
 	if event.Deleted {
 		delete(mirror.items, event.Key)
-		mirror.removed[event.Key] = event.Revision
+		mirror.tombstones[event.Key] = event.Revision
 		return
 	}
 	mirror.items[event.Key] = event.Item
-	delete(mirror.removed, event.Key)
+	delete(mirror.tombstones, event.Key)
 }
 
-// note remembers changes, and forgets the oldest ones beyond the bound. It must be called with mu held.
-func (mirror *Mirror) note(changes []change) {
+// appendLog appends changes to the log and trims the log if it exceeds its limit. It must be called with mu held.
+func (mirror *Mirror) appendLog(changes []change) {
 	byRevision := func(a, b change) int { return cmp.Compare(a.revision, b.revision) }
 	mirror.log = append(mirror.log, changes...)
 	if !slices.IsSortedFunc(mirror.log[max(0, len(mirror.log)-len(changes)-1):], byRevision) {
-		slices.SortStableFunc(mirror.log, byRevision) // the pages of a listing may hold what is newer than its revision
+		slices.SortStableFunc(mirror.log, byRevision) // the pages of a listing may hold items newer than its revision
 	}
 	mirror.changedAt = max(mirror.changedAt, mirror.log[len(mirror.log)-1].revision)
-	if most := max(changesKept, len(mirror.items)); len(mirror.log) > most {
-		mirror.forget(len(mirror.log) - most/2)
+	if limit := max(minLogLength, len(mirror.items)); len(mirror.log) > limit {
+		mirror.trimLog(len(mirror.log) - limit/2)
 	}
 }
 
-// forget drops the oldest changes. It must be called with mu held.
-func (mirror *Mirror) forget(count int) {
-	mirror.since = mirror.log[count-1].revision
-	kept := mirror.after(mirror.since) // those of one revision go together
+// trimLog drops at least count of the oldest changes. It must be called with mu held.
+func (mirror *Mirror) trimLog(count int) {
+	mirror.logStart = mirror.log[count-1].revision
+	kept := mirror.changesAfter(mirror.logStart) // changes of one revision are dropped together
 	for _, dropped := range mirror.log[:len(mirror.log)-len(kept)] {
-		if mirror.removed[dropped.key] <= mirror.since {
-			delete(mirror.removed, dropped.key)
+		if mirror.tombstones[dropped.key] <= mirror.logStart {
+			delete(mirror.tombstones, dropped.key)
 		}
 	}
 	mirror.log = slices.Clone(kept)
 }
 
-// after returns the remembered changes after a revision. It must be called with mu held.
-func (mirror *Mirror) after(revision Revision) []change {
+// changesAfter returns the logged changes after a revision. It must be called with mu held.
+func (mirror *Mirror) changesAfter(revision Revision) []change {
 	index, _ := slices.BinarySearchFunc(mirror.log, revision+1, func(change change, revision Revision) int { return cmp.Compare(change.revision, revision) })
 	return mirror.log[index:]
 }
 
-// reach notes up to which revision everything is known. It must be called with mu held.
-func (mirror *Mirror) reach(revision Revision) {
+// advanceTo sets the revision up to which all changes have been applied. It must be called with mu held.
+func (mirror *Mirror) advanceTo(revision Revision) {
 	if revision > mirror.revision {
-		mirror.advance()
+		mirror.notifyAdvanced()
 	}
 	mirror.revision = revision
 }
 
-// advance must be called with mu held.
-func (mirror *Mirror) advance() {
+// notifyAdvanced must be called with mu held.
+func (mirror *Mirror) notifyAdvanced() {
 	close(mirror.advanced)
 	mirror.advanced = make(chan struct{})
 }
 
-// announce must be called with mu held.
-func (mirror *Mirror) announce() {
+// notifyChanged must be called with mu held.
+func (mirror *Mirror) notifyChanged() {
 	close(mirror.changed)
 	mirror.changed = make(chan struct{})
-	mirror.advance()
+	mirror.notifyAdvanced()
 }
 
-// Difference returns what brings a mirror that has reached a base up to date: all items if its base is too old, or if it knows nothing
-// yet. Otherwise its cost follows the changes since the base and not the number of keys.
+// Difference returns the difference that brings a mirror at revision base up to date. It holds all items if base is zero or older than the
+// change log. Otherwise its size and cost depend on the number of changes since base, not on the number of keys.
 func (mirror *Mirror) Difference(base Revision) Difference {
 	mirror.mu.Lock()
 	defer mirror.mu.Unlock()
-	difference := Difference{Prefix: mirror.prefix, Base: base, Revision: mirror.revision, Whole: base == 0 || base < mirror.since}
+	difference := Difference{Prefix: mirror.prefix, Base: base, Revision: mirror.revision, Whole: base == 0 || base < mirror.logStart}
 	if difference.Whole {
 		difference.Items = slices.Collect(maps.Values(mirror.items))
 		return difference
 	}
-	told := make(map[string]bool)
-	for _, change := range mirror.after(base) {
-		if told[change.key] {
+	included := make(map[string]bool)
+	for _, change := range mirror.changesAfter(base) {
+		if included[change.key] {
 			continue
 		}
-		told[change.key] = true
-		if item, there := mirror.items[change.key]; there {
+		included[change.key] = true
+		if item, found := mirror.items[change.key]; found {
 			difference.Items = append(difference.Items, item)
 			continue
 		}
-		difference.Removals = append(difference.Removals, Removal{change.key, mirror.removed[change.key]})
+		difference.Removals = append(difference.Removals, Removal{change.key, mirror.tombstones[change.key]})
 	}
 	return difference
 }
 
-// Take takes a difference if it fits what is known, and returns the revision that is known then.
+// Take applies a difference and returns the mirror's revision afterwards. It ignores a difference that is not newer than the mirror, and
+// one whose base the mirror has not reached.
 func (mirror *Mirror) Take(difference *Difference) Revision {
 	mirror.mu.Lock()
 	defer mirror.mu.Unlock()
 	switch {
-	case mirror.known && difference.Revision <= mirror.revision:
+	case mirror.loaded && difference.Revision <= mirror.revision:
 		return mirror.revision
 	case difference.Whole:
 		mirror.replace(difference.Items, difference.Revision)
 		return mirror.revision
-	case !mirror.known || mirror.revision < difference.Base:
+	case !mirror.loaded || mirror.revision < difference.Base:
 		return mirror.revision
 	}
 	events := make([]Event, 0, len(difference.Items)+len(difference.Removals))
--- a/internal/metadata/mirror_test.go
+++ b/internal/metadata/mirror_test.go
@@ -11,18 +11,18 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata"
 )
 
-// view is a handler that holds the values of the keys, and fails when it is taken back to an older one.
+// view is a handler that holds the revisions of the keys. It fails the test if a revision decreases.
 type view struct {
-	t        *rapid.T
-	values   map[string]metadata.Revision
-	revision metadata.Revision
+	t         *rapid.T
+	revisions map[string]metadata.Revision
+	revision  metadata.Revision
 }
 
 func (view *view) Reset(items []metadata.Item, revision metadata.Revision) {
 	view.advance(revision)
-	view.values = make(map[string]metadata.Revision)
+	view.revisions = make(map[string]metadata.Revision)
 	for _, item := range items {
-		view.values[item.Key] = item.Revision
+		view.revisions[item.Key] = item.Revision
 	}
 }
 
@@ -30,24 +30,24 @@
 	view.advance(revision)
 	for _, event := range events {
 		if event.Deleted {
-			delete(view.values, event.Key)
+			delete(view.revisions, event.Key)
 			continue
 		}
-		if event.Revision < view.values[event.Key] {
-			view.t.Fatalf("key %s went back from %d to %d", event.Key, view.values[event.Key], event.Revision)
+		if event.Revision < view.revisions[event.Key] {
+			view.t.Fatalf("revision of key %s decreased from %d to %d", event.Key, view.revisions[event.Key], event.Revision)
 		}
-		view.values[event.Key] = event.Revision
+		view.revisions[event.Key] = event.Revision
 	}
 }
 
 func (view *view) advance(revision metadata.Revision) {
 	if revision < view.revision {
-		view.t.Fatalf("the revision went back from %d to %d", view.revision, revision)
+		view.t.Fatalf("revision decreased from %d to %d", view.revision, revision)
 	}
 	view.revision = revision
 }
 
-// history is what a store went through.
+// history models a store: all its events, one per revision, and the current items.
 type history struct {
 	events  []metadata.Event
 	current map[string]metadata.Item
@@ -58,7 +58,7 @@
 func (history *history) change(t *rapid.T) {
 	key := fmt.Sprint("nodes/", rapid.IntRange(0, 4).Draw(t, "key"))
 	event := metadata.Event{Item: metadata.Item{Key: key, Revision: history.revision() + 1}}
-	if _, there := history.current[key]; there && rapid.IntRange(0, 2).Draw(t, "removed") == 0 {
+	if _, found := history.current[key]; found && rapid.IntRange(0, 2).Draw(t, "removed") == 0 {
 		event.Deleted = true
 		delete(history.current, key)
 	} else {
@@ -75,25 +75,25 @@
 	return items
 }
 
-// mirrored is a mirror with its view, and how far its own watch of the store has come.
-type mirrored struct {
+// testMirror is a mirror with its view and the revision that its own watch of the store has reached.
+type testMirror struct {
 	*metadata.Mirror
 	view    *view
 	watched metadata.Revision
 }
 
-func newMirrored(t *rapid.T) *mirrored {
-	view := &view{t: t, values: make(map[string]metadata.Revision)}
-	return &mirrored{Mirror: metadata.NewMirror("nodes/", view), view: view}
+func newTestMirror(t *rapid.T) *testMirror {
+	view := &view{t: t, revisions: make(map[string]metadata.Revision)}
+	return &testMirror{Mirror: metadata.NewMirror("nodes/", view), view: view}
 }
 
-// Whatever mirrors read themselves, and whatever differences reach them late, twice or from one that lags, they never go back, and
-// have what the store has once they took the difference of one that is up to date.
+// Mirrors must never go back to an older revision, whatever listings, events and late, repeated or stale differences they receive.
+// A difference from an up-to-date mirror must bring each of them to the state of the store.
 func TestMirrorsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &history{current: make(map[string]metadata.Item)}
-		mirrors := []*mirrored{newMirrored(t), newMirrored(t), newMirrored(t)}
-		source := newMirrored(t) // it follows every change from the first one on
+		mirrors := []*testMirror{newTestMirror(t), newTestMirror(t), newTestMirror(t)}
+		source := newTestMirror(t) // it receives every change
 		source.Reset(nil, 0)
 		var late []metadata.Difference
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
@@ -101,20 +101,20 @@
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0, 1:
 				store.change(t)
-			case 2: // it reads all
+			case 2: // the mirror lists all keys
 				if store.revision() > 0 {
 					mirror.Reset(store.list(), store.revision())
 					mirror.watched = store.revision()
 				}
-			case 3: // its watch returns
+			case 3: // the mirror's watch returns
 				if mirror.watched > 0 {
 					to := metadata.Revision(rapid.Int64Range(int64(mirror.watched), int64(store.revision())).Draw(t, "to"))
 					mirror.Apply(store.events[mirror.watched:to], to)
 					mirror.watched = to
 				}
-			case 4: // a process begins anew
-				mirrors[0] = newMirrored(t)
-			case 5: // another sends it a difference, on a base that may not be its own
+			case 4: // a process restarts
+				mirrors[0] = newTestMirror(t)
+			case 5: // another mirror creates a difference, from a base that may not be the receiver's revision
 				from := mirrors[rapid.IntRange(0, 2).Draw(t, "from")]
 				base := metadata.Revision(rapid.Int64Range(0, int64(store.revision())).Draw(t, "base"))
 				if rapid.Bool().Draw(t, "asked") {
@@ -123,7 +123,7 @@
 				if from.Revision() > 0 {
 					late = append(late, from.Difference(base))
 				}
-			case 6:
+			case 6: // the mirror receives one of the differences
 				if len(late) > 0 {
 					difference := late[rapid.IntRange(0, len(late)-1).Draw(t, "difference")]
 					known := mirror.Take(&difference)
@@ -136,17 +136,18 @@
 		for _, mirror := range append(mirrors, source) {
 			difference := source.Difference(mirror.Revision())
 			must.Eq(t, store.revision(), mirror.Take(&difference))
-			must.MapLen(t, len(store.current), mirror.view.values)
+			must.MapLen(t, len(store.current), mirror.view.revisions)
 			for key, item := range store.current {
-				must.Eq(t, item.Revision, mirror.view.values[key])
+				must.Eq(t, item.Revision, mirror.view.revisions[key])
 			}
 		}
 	})
 }
 
-// A change of one key of many is told as one, also by a mirror that read all again; whoever lacks more than is remembered gets all.
+// A difference must hold only the changed keys, also after the source has listed all keys again, and must hold all keys if its base is older
+// than the change log.
 func TestDifferencesAreSmall(t *testing.T) {
-	mirror := metadata.NewMirror("nodes/", ignoringHandler{})
+	mirror := metadata.NewMirror("nodes/", discardHandler{})
 	var items []metadata.Item
 	for index := range 3000 {
 		items = append(items, metadata.Item{Key: fmt.Sprint("nodes/", index), Revision: 5})
@@ -164,19 +165,19 @@
 	must.SliceEmpty(t, mirror.Difference(9).Items)
 }
 
-// A mirror takes no notice of keys outside its prefix.
+// A mirror must ignore keys outside its prefix.
 func TestMirrorOfOnePrefix(t *testing.T) {
-	mirror := metadata.NewMirror("a/", ignoringHandler{})
+	mirror := metadata.NewMirror("a/", discardHandler{})
 	mirror.Reset([]metadata.Item{{Key: "a/1", Revision: 1}, {Key: "b/1", Revision: 2}}, 3)
 	mirror.Apply([]metadata.Event{{Item: metadata.Item{Key: "b/2", Revision: 4}}}, 4)
-	must.Eq(t, 4, mirror.Revision(), must.Sprint("nothing of the prefix has changed up to there"))
+	must.Eq(t, 4, mirror.Revision(), must.Sprint("no key under the prefix has changed up to this revision"))
 	must.Eq(t, 3, mirror.ChangedAt())
 	must.Len(t, 1, mirror.Difference(0).Items)
 }
 
-// A mirror that reads again what it has knows that up to a later revision, and has not changed: others lack nothing.
+// Listing unchanged keys again must advance the revision of a mirror but not ChangedAt.
 func TestReadingAgainIsNoChange(t *testing.T) {
-	mirror := metadata.NewMirror("a/", ignoringHandler{})
+	mirror := metadata.NewMirror("a/", discardHandler{})
 	items := []metadata.Item{{Key: "a/1", Revision: 1}, {Key: "a/2", Revision: 2}}
 	mirror.Reset(items, 3)
 	changed := mirror.Changed()
@@ -186,35 +187,35 @@
 	must.Eq(t, 3, mirror.ChangedAt())
 	select {
 	case <-changed:
-		t.Fatal("nothing has changed")
+		t.Fatal("changed was closed although no key has changed")
 	default:
 	}
 	mirror.Reset(items[:1], 14)
 	must.Eq(t, 14, mirror.ChangedAt(), must.Sprint("a removal"))
 	items[0].Revision = 15
 	mirror.Reset(items[:1], 20)
-	must.Eq(t, 15, mirror.ChangedAt(), must.Sprint("the newest change, not the reading"))
+	must.Eq(t, 15, mirror.ChangedAt(), must.Sprint("the newest change, not the listing"))
 }
 
-// A mirror that knows more says so, also where nothing has changed.
+// Advanced must be closed exactly when the revision grows, also if no key has changed.
 func TestMirrorAdvances(t *testing.T) {
-	mirror := metadata.NewMirror("a/", ignoringHandler{})
+	mirror := metadata.NewMirror("a/", discardHandler{})
 	items := []metadata.Item{{Key: "a/1", Revision: 1}}
 	for _, step := range []struct {
 		name     string
-		play     func()
+		run      func()
 		advanced bool
 	}{
-		{"first reading", func() { mirror.Reset(items, 3) }, true},
-		{"the same reading", func() { mirror.Reset(items, 3) }, false},
-		{"a later reading", func() { mirror.Reset(items, 5) }, true},
+		{"first listing", func() { mirror.Reset(items, 3) }, true},
+		{"the same listing", func() { mirror.Reset(items, 3) }, false},
+		{"a later listing", func() { mirror.Reset(items, 5) }, true},
 		{"a watch without events", func() { mirror.Apply(nil, 7) }, true},
 		{"the same watch", func() { mirror.Apply(nil, 7) }, false},
 		{"an event", func() { mirror.Apply([]metadata.Event{{Item: metadata.Item{Key: "a/2", Revision: 8}}}, 8) }, true},
 		{"a difference without items", func() { mirror.Take(&metadata.Difference{Prefix: "a/", Base: 8, Revision: 9}) }, true},
 	} {
 		advanced := mirror.Advanced()
-		step.play()
+		step.run()
 		select {
 		case <-advanced:
 			must.True(t, step.advanced, must.Sprint(step.name))
@@ -224,23 +225,23 @@
 	}
 }
 
-// A mirror of a store that nothing was written to yet takes the first change.
+// A mirror of an empty store at revision zero must accept the first change.
 func TestMirrorOfEmptyStore(t *testing.T) {
-	mirror := metadata.NewMirror("a/", ignoringHandler{})
+	mirror := metadata.NewMirror("a/", discardHandler{})
 	mirror.Apply([]metadata.Event{{Item: metadata.Item{Key: "a/1", Revision: 1}}}, 1)
-	must.Eq(t, 0, mirror.Revision(), must.Sprint("nothing was read yet"))
+	must.Eq(t, 0, mirror.Revision(), must.Sprint("the keys have not been listed yet"))
 	mirror.Reset(nil, 0)
 	mirror.Apply([]metadata.Event{{Item: metadata.Item{Key: "a/1", Revision: 1}}}, 1)
 	must.Eq(t, 1, mirror.Revision())
 }
 
-// A difference brings a mirror from any base to what all changes would, also once the oldest changes are forgotten.
+// A difference from any base must bring a mirror to the source's state, also after the oldest changes have been trimmed from the log.
 func TestDifferencesOfLongHistories(t *testing.T) {
 	const changes, keys = 12_000, 40
 	discard := func() *metadata.Mirror { return metadata.NewMirror("nodes/", metadata.Handlers{}) }
 	source := discard()
 	source.Reset(nil, 1)
-	held := make(map[metadata.Revision]map[string]metadata.Revision) // at some revisions
+	held := make(map[metadata.Revision]map[string]metadata.Revision) // the keys at some revisions
 	current := make(map[string]metadata.Revision)
 	for revision := metadata.Revision(2); revision < changes; revision++ {
 		key := fmt.Sprint("nodes/", int(revision)*7919%keys)
@@ -276,7 +277,7 @@
 	must.Between(t, 1, whole, len(held)-1)
 }
 
-// One of many keys changes: 0.22 ms with 10,000 keys, 0.45 with 20,000, when all were looked at.
+// The cost of a difference of one change must not depend on the number of keys.
 func BenchmarkDifferenceOfOneChange(b *testing.B) {
 	for _, count := range []int{100, 10_000, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -65,8 +65,8 @@
 mutate 'holder waits to be told what it knows' internal/metering/reporter.go ' || !work.collected.Before(end.Add(tellTime)))' ')' ./internal/metering
 mutate 'call outlasts a lost lease' internal/metering/reporter.go 'left := work.term.Remaining() + work.Overhang' 'left := work.term.Remaining() + work.Overhang + time.Hour' ./internal/metering
 mutate 'refusal not confirmed' internal/delivery/service.go 'if err := served.log.Append(ctx, nil, nil); err != nil {' 'if err := served.log.Failed(); err != nil {' ./internal/delivery
-mutate 'probe that hangs is waited for' internal/metadata/health.go 'if told || health.Good() {' 'if !told || health.Good() {' ./internal/metadata
-mutate 'slow probe left again and again' internal/metadata/health.go 'if told || health.Good() {' 'if health.Good() {' ./internal/metadata
+mutate 'probe that hangs is waited for' internal/metadata/health.go 'if notified || health.Good() {' 'if !notified || health.Good() {' ./internal/metadata
+mutate 'slow probe left again and again' internal/metadata/health.go 'if notified || health.Good() {' 'if health.Good() {' ./internal/metadata
 mutate 'what was made stays behind' internal/batchrun/service.go 'runner.kept.put(partial.GetItemId(), textOf(definition.GetId(), partial, started))' '_ = textOf(definition.GetId(), partial, started)' ./internal/batchrun
 mutate 'job not taken back' internal/batchrun/service.go 'other.deferral.takeBack()' '_ = other' ./internal/batchrun
 mutate 'replica that fails is not left alone' internal/batchrun/generate.go 'runner.scheduler.failed(replica.ID, time.Now())' '_ = time.Now' ./internal/batchrun
