--- a/internal/metering/clock.go
+++ b/internal/metering/clock.go
@@ -8,56 +8,57 @@
 )
 
 const (
-	// stepLeast is by how much the time of day must differ from what the steady clock makes of it to count as a step: clocks that are
-	// disciplined drift by some ms a minute, and are followed.
-	stepLeast = 200 * time.Millisecond
-	// stepLife is how long the time of day must have differed by a step to be believed: clocks that jump by mistake come back in seconds.
-	stepLife = 10 * time.Minute
+	// minStep is the smallest deviation of the time of day from the monotonic clock that counts as a step. A smaller deviation is taken
+	// for a correction by time synchronization and accepted at once.
+	minStep = 200 * time.Millisecond
+	// stepAcceptTime is how long a step must last to be accepted. An erroneous step is expected to be reverted sooner.
+	stepAcceptTime = 10 * time.Minute
 )
 
-// reading is what a machine's clocks show at one moment.
+// reading holds the values of a machine's clocks at one moment.
 type reading struct {
-	// timeOfDay may jump; steady, the time since some moment, does not, and goes on while the machine is suspended.
+	// timeOfDay may step. monotonic, the time since a fixed moment, does not step and includes the time while the machine is suspended.
 	timeOfDay time.Time
-	steady    time.Duration
+	monotonic time.Duration
 }
 
-// Clock tells true time on a machine whose time of day may jump: it goes on by the steady clock then, until the time of day is back or
-// has stayed where it is for long. It is safe for concurrent use.
+// Clock returns the time of day without temporary steps of the machine's clock. After a step, it follows the monotonic clock until the step
+// is reverted or has lasted long enough to be accepted. It is safe for concurrent use.
 type Clock struct {
 	read func() reading
 
 	mu sync.Mutex
-	// base is a reading that was right; stepped is when the time of day was first seen to differ, by the steady clock, if differs.
-	base    reading
-	stepped time.Duration
-	differs bool
+	// base is the last accepted reading. While diverged is true, the time of day deviates from it by a step, and divergedAt is the
+	// monotonic time at which the step was first seen.
+	base       reading
+	divergedAt time.Duration
+	diverged   bool
 }
 
-// NewClock returns a clock that takes the present time of day for right. The machine's clock has to go on while it is suspended: the time of
-// day does, and would seem to have stepped otherwise.
+// NewClock returns a clock that accepts the current time of day. The machine's clock must include the time while the machine is suspended, as
+// the time of day does. Otherwise a suspension would look like a step.
 func NewClock(machine clock.Clock) *Clock {
 	return newClock(func() reading {
-		return reading{timeOfDay: time.Now().Round(0), steady: machine.Elapsed()} // rounding drops the steady part
+		return reading{timeOfDay: time.Now().Round(0), monotonic: machine.Elapsed()} // Round drops the monotonic reading of the time
 	})
 }
 
 func newClock(read func() reading) *Clock { return &Clock{read: read, base: read()} }
 
-// Now returns true time.
-func (told *Clock) Now() time.Time {
-	told.mu.Lock()
-	defer told.mu.Unlock()
-	now := told.read()
-	expected := told.base.timeOfDay.Add(now.steady - told.base.steady)
+// Now returns the time of day without steps that have not been accepted.
+func (clock *Clock) Now() time.Time {
+	clock.mu.Lock()
+	defer clock.mu.Unlock()
+	now := clock.read()
+	expected := clock.base.timeOfDay.Add(now.monotonic - clock.base.monotonic)
 	switch {
-	case now.timeOfDay.Sub(expected).Abs() < stepLeast:
-		told.base, told.differs = now, false
+	case now.timeOfDay.Sub(expected).Abs() < minStep:
+		clock.base, clock.diverged = now, false
 		return now.timeOfDay
-	case !told.differs:
-		told.stepped, told.differs = now.steady, true
-	case now.steady-told.stepped > stepLife:
-		told.base, told.differs = now, false
+	case !clock.diverged:
+		clock.divergedAt, clock.diverged = now.monotonic, true
+	case now.monotonic-clock.divergedAt > stepAcceptTime:
+		clock.base, clock.diverged = now, false
 		return now.timeOfDay
 	}
 	return expected
--- a/internal/metering/clock_test.go
+++ b/internal/metering/clock_test.go
@@ -9,48 +9,48 @@
 	"github.com/thistlewalk/thistlewalk/internal/clock"
 )
 
-// A machine whose time of day jumps still tells true time by its steady clock; a jump that lasts is believed in the end.
+// A temporary step of the time of day must not affect Now; a step that lasts must be accepted in the end.
 func TestClockSteps(t *testing.T) {
-	begun := time.Unix(1_800_000_000, 0)
+	start := time.Unix(1_800_000_000, 0)
 	elapsed, step := time.Duration(0), time.Duration(0)
-	clock := newClock(func() reading { return reading{timeOfDay: begun.Add(elapsed + step), steady: elapsed} })
-	tells := func(offset time.Duration, when string) {
+	clock := newClock(func() reading { return reading{timeOfDay: start.Add(elapsed + step), monotonic: elapsed} })
+	expect := func(offset time.Duration, when string) {
 		t.Helper()
-		must.Eq(t, begun.Add(elapsed+offset).UnixMilli(), clock.Now().UnixMilli(), must.Sprint(when))
+		must.Eq(t, start.Add(elapsed+offset).UnixMilli(), clock.Now().UnixMilli(), must.Sprint(when))
 	}
 	elapsed += 3 * time.Second
-	tells(0, "no step")
+	expect(0, "no step")
 	for _, jump := range []time.Duration{2 * time.Second, -2 * time.Second, time.Hour} {
 		step = jump
-		tells(0, "just stepped")
+		expect(0, "just stepped")
 		elapsed += 5 * time.Second
-		tells(0, "still stepped")
+		expect(0, "still stepped")
 		step = 0
 		elapsed += time.Second
-		tells(0, "back")
+		expect(0, "step reverted")
 	}
 	step = 50 * time.Millisecond
-	tells(step, "a clock that is disciplined is followed")
+	expect(step, "a deviation below minStep is accepted")
 	step = 0
-	tells(0, "and back")
+	expect(0, "the deviation is corrected")
 	step = 2 * time.Second
-	tells(0, "a step that stays")
-	elapsed += stepLife + time.Second
-	tells(step, "is believed after long")
+	expect(0, "a step that lasts")
+	elapsed += stepAcceptTime + time.Second
+	expect(step, "is accepted after stepAcceptTime")
 }
 
-// A machine that was suspended has no step of its time of day: its clock went on.
+// A suspension of the machine must not look like a step: the time of day and the machine's clock both include it.
 func TestClockAfterSuspension(t *testing.T) {
-	begun, elapsed := time.Now(), time.Minute
-	told := NewClock(clock.Func(func() time.Duration { return elapsed }))
-	must.Less(t, time.Second, told.Now().Sub(begun).Abs())
-	shown := told.read
-	told.read = func() reading { // five seconds later for all but the steady clock
-		now := shown()
-		return reading{timeOfDay: now.timeOfDay.Add(5 * time.Second), steady: now.steady}
+	start, elapsed := time.Now(), time.Minute
+	clock := NewClock(clock.Func(func() time.Duration { return elapsed }))
+	must.Less(t, time.Second, clock.Now().Sub(start).Abs())
+	original := clock.read
+	clock.read = func() reading { // after a suspension of five seconds, which the test's runtime clock does not include
+		now := original()
+		return reading{timeOfDay: now.timeOfDay.Add(5 * time.Second), monotonic: now.monotonic}
 	}
 	elapsed += 5 * time.Second
-	must.Less(t, time.Second, told.Now().Sub(begun.Add(5*time.Second)).Abs())
+	must.Less(t, time.Second, clock.Now().Sub(start.Add(5*time.Second)).Abs())
 }
 
 func TestWindows(t *testing.T) {
--- a/internal/metering/history_test.go
+++ b/internal/metering/history_test.go
@@ -19,8 +19,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/metering"
 )
 
-// Whatever fails, no window is reported in two ways, no fence falls, and holders don't take turns. If no two fail together, each report is
-// what began to run.
+// Under any faults, no window may be reported with two different contents, no fence may decrease, and the calls of two holders must be
+// separated by minHolderGap. Unless faults overlap, each report must match the requests that started running.
 func TestDrawnHistoriesOfUsage(t *testing.T) {
 	rapid.Check(t, func(drawn *rapid.T) {
 		faults := rapid.SliceOfN(rapid.SampledFrom([]string{
@@ -29,23 +29,23 @@
 		fronts := rapid.SliceOfN(rapid.IntRange(0, frontCount-1), len(faults), len(faults)).Draw(drawn, "fronts")
 		overlap := rapid.Bool().Draw(drawn, "overlap")
 		synctest.Test(t, func(t *testing.T) {
-			history := newHistory()
+			cluster := newCluster()
 			time.Sleep(8 * time.Second)
 			first := metering.Windows{Length: windowLength}.At(time.Now()) + 1
 			for index, fault := range faults {
-				history.suffer(fault, fronts[index], overlap)
+				cluster.injectFault(fault, fronts[index], overlap)
 			}
-			history.repair()
+			cluster.repair()
 			time.Sleep(25 * time.Second)
 			last := metering.Windows{Length: windowLength}.At(time.Now()) - 3
-			history.end()
-			if len(history.sink.wrong) > 0 {
-				t.Fatalf("%v: %v", faults, history.sink.wrong)
+			cluster.end()
+			if len(cluster.sink.violations) > 0 {
+				t.Fatalf("%v: %v", faults, cluster.sink.violations)
 			}
 			for window := first; window <= last; window++ {
-				content, taken := history.reported(window)
+				content, taken := cluster.reported(window)
 				want := "[]"
-				if count := history.truth[window]; count > 0 {
+				if count := cluster.expected[window]; count > 0 {
 					want = fmt.Sprint([]*meteringv1.TenantCount{{Tenant: "harbour", Count: count}})
 				}
 				switch {
@@ -59,106 +59,106 @@
 	})
 }
 
-// A front and the holder that die together take no count with them: a witness has it.
+// No count may be lost if a front and the holder crash together: the witness has the front's tallies.
 func TestWitnessTellsTheNextHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		history := newHistory()
+		cluster := newCluster()
 		time.Sleep(8 * time.Second)
 		first := metering.Windows{Length: windowLength}.At(time.Now()) + 1
-		history.traffic(7 * time.Second)
+		cluster.traffic(7 * time.Second)
 		time.Sleep(300 * time.Millisecond)
-		history.killFront(1)
-		history.killCandidate(history.holder())
-		history.traffic(20 * time.Second)
+		cluster.killFront(1)
+		cluster.killCandidate(cluster.holder())
+		cluster.traffic(20 * time.Second)
 		time.Sleep(10 * time.Second)
-		history.end()
-		history.expectTruth(t, first, first+3)
+		cluster.end()
+		cluster.expectReports(t, first, first+3)
 	})
 }
 
-// A holder that is started again and goes on at once has forgotten what it was told, and waits until it is told that again, whenever in a
-// window it is killed.
+// A holder that restarts has lost the tallies that it had received. It must wait until they are sent again, at whatever moment of a window
+// it is killed.
 func TestHolderIsToldAgain(t *testing.T) {
 	for offset := time.Duration(0); offset < windowLength; offset += 250 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
-			history := newHistory()
-			history.killCandidate("orderer-2")
+			cluster := newCluster()
+			cluster.killCandidate("orderer-2")
 			time.Sleep(8 * time.Second)
 			windows := metering.Windows{Length: windowLength}
 			first := windows.At(time.Now()) + 1
-			history.traffic(time.Until(windows.End(first+1)) + offset)
-			history.killCandidate("orderer-1")
-			history.startCandidate("orderer-1")
-			history.traffic(12 * time.Second)
+			cluster.traffic(time.Until(windows.End(first+1)) + offset)
+			cluster.killCandidate("orderer-1")
+			cluster.startCandidate("orderer-1")
+			cluster.traffic(12 * time.Second)
 			time.Sleep(10 * time.Second)
-			history.end()
-			history.expectTruth(t, first, first+2)
+			cluster.end()
+			cluster.expectReports(t, first, first+2)
 		})
 	}
 }
 
-// An outage of the store that lasts from before a window's report to just before it is due: the holder that acquires the lease again still
-// knows what it was told of that window, and reports it in time.
+// A window must be reported in time after an outage of the store that starts before the report and ends just before it is due. The holder
+// acquires the lease again and still has the tallies of the window.
 func TestReportAfterAnOutageIsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const due = 10 * time.Second
-		history := newHistory()
-		history.killCandidate("orderer-2")
+		cluster := newCluster()
+		cluster.killCandidate("orderer-2")
 		time.Sleep(8 * time.Second)
 		windows := metering.Windows{Length: windowLength}
 		window := windows.At(time.Now()) + 1
-		setCut := func(cut bool) {
-			history.mu.Lock()
-			defer history.mu.Unlock()
-			history.cut["orderer-1"] = cut
+		setIsolated := func(isolated bool) {
+			cluster.mu.Lock()
+			defer cluster.mu.Unlock()
+			cluster.isolated["orderer-1"] = isolated
 		}
-		history.traffic(time.Until(windows.End(window).Add(2200 * time.Millisecond)))
-		setCut(true)
-		history.traffic(time.Until(windows.End(window).Add(due - time.Second)))
-		setCut(false)
+		cluster.traffic(time.Until(windows.End(window).Add(2200 * time.Millisecond)))
+		setIsolated(true)
+		cluster.traffic(time.Until(windows.End(window).Add(due - time.Second)))
+		setIsolated(false)
 		time.Sleep(time.Until(windows.End(window).Add(due)))
-		_, taken := history.reported(window)
+		_, taken := cluster.reported(window)
 		must.True(t, taken)
-		history.end()
+		cluster.end()
 	})
 }
 
-// A platform that is very slow still takes reports.
+// A slow platform must still receive correct reports.
 func TestReportToASlowPlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		history := newHistory()
-		history.sink.set(func(sink *sink) { sink.slow = 1500 * time.Millisecond })
+		cluster := newCluster()
+		cluster.sink.set(func(sink *sink) { sink.delay = 1500 * time.Millisecond })
 		time.Sleep(8 * time.Second)
 		first := metering.Windows{Length: windowLength}.At(time.Now()) + 1
-		history.traffic(16 * time.Second)
+		cluster.traffic(16 * time.Second)
 		time.Sleep(10 * time.Second)
-		history.end()
-		history.expectTruth(t, first, first+1)
+		cluster.end()
+		cluster.expectReports(t, first, first+1)
 	})
 }
 
-// A platform that takes nothing for long does not fill the store; the newest reports are sent once it is back.
+// The number of stored reports must be bounded while the platform is unavailable. The newest reports must be sent when it recovers.
 func TestUnsentReportsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const kept = 720
-		history := newHistory()
-		history.killCandidate("orderer-2")
-		history.sink.set(func(sink *sink) { sink.broken = true })
+		cluster := newCluster()
+		cluster.killCandidate("orderer-2")
+		cluster.sink.set(func(sink *sink) { sink.broken = true })
 		time.Sleep((kept + 60) * windowLength)
-		listing, err := history.store.List(t.Context(), "usage/")
+		listing, err := cluster.store.List(t.Context(), "usage/")
 		must.NoError(t, err)
 		must.LessEq(t, kept+2, len(listing.Items))
-		history.repair()
+		cluster.repair()
 		time.Sleep(20 * time.Second)
-		history.sink.mu.Lock()
-		taken := len(history.sink.contents)
-		history.sink.mu.Unlock()
+		cluster.sink.mu.Lock()
+		taken := len(cluster.sink.contents)
+		cluster.sink.mu.Unlock()
 		must.Between(t, kept, taken, kept+8)
-		history.end()
+		cluster.end()
 	})
 }
 
-// supersededTerm is one that its holder takes to be in force, while another has begun.
+// supersededTerm is a term that looks valid to its holder although another term has started.
 type supersededTerm struct{ holder string }
 
 func (supersededTerm) Valid(time.Duration) bool { return true }
@@ -169,7 +169,7 @@
 	return metadata.Condition{Key: term.holder, Revision: 1}
 }
 
-// A former holder that wakes late, and does not know that it is one, stores and reports nothing of its own.
+// A former holder that does not know that its term has ended must neither store nor send a report.
 func TestFormerHolderStoresNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, taken := memstore.New(), &sink{contents: make(map[int64]string)}
@@ -191,22 +191,22 @@
 	})
 }
 
-// A platform so slow that a call outlasts the lease and whose answers are lost, so that a call is always under way, takes nothing from
-// a holder so late that the successor's first report comes too soon after it. The holder is cut off at moments all over a call.
+// A call of a holder that has lost its lease must end early enough before the successor's first report. The platform is so slow that a call
+// outlasts the lease, and loses its responses, so that a call is always in progress when the holder is isolated.
 func TestCallOfALostTermEndsInTime(t *testing.T) {
 	for after := time.Duration(0); after < 3*time.Second; after += 30 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
-			history := newHistory()
+			cluster := newCluster()
 			time.Sleep(8 * time.Second)
-			history.sink.set(func(sink *sink) { sink.slow, sink.broken, sink.late = 1900*time.Millisecond, true, true })
-			history.traffic(8 * time.Second)
+			cluster.sink.set(func(sink *sink) { sink.delay, sink.broken, sink.late = 1900*time.Millisecond, true, true })
+			cluster.traffic(8 * time.Second)
 			time.Sleep(after)
-			history.cutOff(history.holder())
-			history.traffic(3 * time.Second)
-			history.sink.set(func(sink *sink) { sink.slow, sink.broken = 0, false })
-			history.traffic(7 * time.Second)
-			history.end()
-			must.Len(t, 0, history.sink.wrong, must.Sprintf("cut off after %s", after))
+			cluster.isolate(cluster.holder())
+			cluster.traffic(3 * time.Second)
+			cluster.sink.set(func(sink *sink) { sink.delay, sink.broken = 0, false })
+			cluster.traffic(7 * time.Second)
+			cluster.end()
+			must.Len(t, 0, cluster.sink.violations, must.Sprintf("isolated after %s", after))
 		})
 	}
 }
--- a/internal/metering/ledger.go
+++ b/internal/metering/ledger.go
@@ -9,11 +9,11 @@
 	meteringv1 "github.com/thistlewalk/thistlewalk/api/metering/v1"
 )
 
-// tallyKey names the tally of one process in one window.
+// tallyKey identifies the tally of one process in one window.
 type tallyKey struct {
-	node   string
-	life   int64
-	window int64
+	node        string
+	incarnation int64
+	window      int64
 }
 
 func keyOf(tally *meteringv1.Tally) tallyKey {
@@ -21,22 +21,23 @@
 }
 
 const (
-	// windowsKept is how many windows a ledger remembers, the present one among them: with windows of five seconds a minute, which is longer
-	// than any report may take.
-	windowsKept = 12
-	// windowsAhead is how many windows a tally may be ahead of this node's clock, which may be late.
-	windowsAhead = 1
+	// retainedWindows is the number of windows that a ledger retains, including the current one. Their total length must exceed the time
+	// by which a window has to be reported.
+	retainedWindows = 12
+	// maxWindowsAhead is how many windows a tally may be ahead of this node's clock, to tolerate clock skew.
+	maxWindowsAhead = 1
 )
 
-// Ledger holds the newest tallies of processes. Tallies may come in any order and any number of times. It is safe for concurrent use.
+// Ledger holds the newest tally of each process in each retained window. Tallies may arrive in any order and more than once. It is safe
+// for concurrent use.
 type Ledger struct {
 	windows Windows
 	clock   *Clock
 
 	mu      sync.Mutex
-	tallies map[tallyKey]*meteringv1.Tally // never changed once they are in
-	// present is the window at which tallies were last forgotten.
-	present int64
+	tallies map[tallyKey]*meteringv1.Tally // the tallies are immutable
+	// currentWindow is the current window as of the last eviction.
+	currentWindow int64
 }
 
 // NewLedger returns an empty ledger.
@@ -44,13 +45,14 @@
 	return &Ledger{windows: windows, clock: clock, tallies: make(map[tallyKey]*meteringv1.Tally)}
 }
 
-// Merge takes tallies that are newer than those known. Tallies of windows that are over for long, or far ahead, are passed over.
+// Merge adds each tally that is newer than the ledger's tally of the same process and window. It ignores tallies of windows that are no
+// longer retained or too far ahead.
 func (ledger *Ledger) Merge(tallies ...*meteringv1.Tally) {
 	ledger.mu.Lock()
 	defer ledger.mu.Unlock()
-	ledger.forget()
+	ledger.evictExpired()
 	for _, tally := range tallies {
-		if tally.GetWindow() <= ledger.present-windowsKept || tally.GetWindow() > ledger.present+windowsAhead {
+		if tally.GetWindow() <= ledger.currentWindow-retainedWindows || tally.GetWindow() > ledger.currentWindow+maxWindowsAhead {
 			continue
 		}
 		key := keyOf(tally)
@@ -60,30 +62,31 @@
 	}
 }
 
-// forget must be called with mu held.
-func (ledger *Ledger) forget() {
-	present := ledger.windows.At(ledger.clock.Now())
-	if present == ledger.present {
+// evictExpired must be called with mu held.
+func (ledger *Ledger) evictExpired() {
+	currentWindow := ledger.windows.At(ledger.clock.Now())
+	if currentWindow == ledger.currentWindow {
 		return
 	}
-	ledger.present = present
-	maps.DeleteFunc(ledger.tallies, func(key tallyKey, _ *meteringv1.Tally) bool { return key.window <= present-windowsKept })
+	ledger.currentWindow = currentWindow
+	maps.DeleteFunc(ledger.tallies, func(key tallyKey, _ *meteringv1.Tally) bool { return key.window <= currentWindow-retainedWindows })
 }
 
-// Untold returns the tallies that differ from those which somebody has, by their sequences, if they are wanted.
-func (ledger *Ledger) Untold(told map[tallyKey]int64, wanted func(*meteringv1.Tally) bool) []*meteringv1.Tally {
+// Unacknowledged returns the tallies that are newer than the acknowledged sequences and for which include returns true.
+func (ledger *Ledger) Unacknowledged(acked map[tallyKey]int64, include func(*meteringv1.Tally) bool) []*meteringv1.Tally {
 	ledger.mu.Lock()
 	defer ledger.mu.Unlock()
 	var list []*meteringv1.Tally
 	for key, tally := range ledger.tallies {
-		if told[key] < tally.GetSequence() && wanted(tally) {
+		if acked[key] < tally.GetSequence() && include(tally) {
 			list = append(list, tally)
 		}
 	}
 	return list
 }
 
-// Report adds up the tallies of a window. Tenants come in the order of their names; those without requests are left out.
+// Report sums up the tallies of a window and returns the number of processes they came from. Tenants are sorted by name; those without
+// requests are omitted.
 func (ledger *Ledger) Report(window int64) (report *meteringv1.Report, processes int) {
 	ledger.mu.Lock()
 	defer ledger.mu.Unlock()
@@ -97,11 +100,11 @@
 			totals[count.GetTenant()] += count.GetCount()
 		}
 	}
-	return &meteringv1.Report{Window: window, Counts: countsOf(totals)}, processes
+	return &meteringv1.Report{Window: window, Counts: sortedCounts(totals)}, processes
 }
 
-// countsOf lists counts in the order of the tenants' names, without those that are zero.
-func countsOf(totals map[string]int64) []*meteringv1.TenantCount {
+// sortedCounts returns the counts that are not zero, sorted by the names of the tenants.
+func sortedCounts(totals map[string]int64) []*meteringv1.TenantCount {
 	counts := make([]*meteringv1.TenantCount, 0, len(totals))
 	for tenant, count := range totals {
 		if count > 0 {
--- a/internal/metering/ledger_test.go
+++ b/internal/metering/ledger_test.go
@@ -13,13 +13,13 @@
 
 var testWindows = Windows{Length: 5 * time.Second}
 
-func tally(node string, life, window, sequence, count int64) *meteringv1.Tally {
+func tally(node string, incarnation, window, sequence, count int64) *meteringv1.Tally {
 	return &meteringv1.Tally{
-		Node: node, Life: life, Window: window, Sequence: sequence, Counts: []*meteringv1.TenantCount{{Tenant: "harbour", Count: count}},
+		Node: node, Life: incarnation, Window: window, Sequence: sequence, Counts: []*meteringv1.TenantCount{{Tenant: "harbour", Count: count}},
 	}
 }
 
-// Tallies may come twice, late and out of order: the newest of each process counts, once.
+// Tallies may arrive repeatedly, late and out of order: only the newest of each process must count, and only once.
 func TestLedgerTakesTheNewest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ledger := NewLedger(testWindows, NewClock(clock.Steady()))
@@ -29,26 +29,26 @@
 		ledger.Merge(tally("a", 1, present, 2, 7), tally("a", 1, present, 1, 3))
 		must.Eq(t, 7, counted(present))
 		ledger.Merge(tally("a", 1, present, 3, 6))
-		must.Eq(t, 6, counted(present), must.Sprint("what turned out not to have run is taken back"))
+		must.Eq(t, 6, counted(present), must.Sprint("a request that did not run is withdrawn"))
 		ledger.Merge(tally("a", 2, present, 1, 1), tally("b", 1, present, 9, 10), tally("b", 1, present-1, 8, 5))
-		must.Eq(t, 17, counted(present), must.Sprint("another life and another node"))
+		must.Eq(t, 17, counted(present), must.Sprint("another incarnation and another node"))
 		must.Eq(t, 5, counted(present-1))
 		_, processes := ledger.Report(present)
 		must.Eq(t, 3, processes)
 
-		ledger.Merge(tally("c", 1, present+1, 1, 4), tally("c", 1, present+2, 1, 4), tally("c", 1, present-windowsKept, 1, 4))
-		must.Eq(t, 4, counted(present+1), must.Sprint("a clock that is a little ahead"))
-		must.Eq(t, 0, counted(present+2), must.Sprint("a clock that is wrong"))
-		must.Eq(t, 0, counted(present-windowsKept), must.Sprint("over for long"))
+		ledger.Merge(tally("c", 1, present+1, 1, 4), tally("c", 1, present+2, 1, 4), tally("c", 1, present-retainedWindows, 1, 4))
+		must.Eq(t, 4, counted(present+1), must.Sprint("a window within maxWindowsAhead"))
+		must.Eq(t, 0, counted(present+2), must.Sprint("a window too far ahead"))
+		must.Eq(t, 0, counted(present-retainedWindows), must.Sprint("a window that is no longer retained"))
 
-		time.Sleep((windowsKept + 2) * testWindows.Length)
+		time.Sleep((retainedWindows + 2) * testWindows.Length)
 		ledger.Merge()
 		must.Eq(t, 0, counted(present))
 		must.MapEmpty(t, ledger.tallies)
 	})
 }
 
-// A request that has not run is taken back in the window in which it was counted.
+// A request that did not run must be withdrawn from the window in which it was counted.
 func TestMeter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := NewClock(clock.Steady())
--- a/internal/metering/meter.go
+++ b/internal/metering/meter.go
@@ -7,14 +7,14 @@
 	meteringv1 "github.com/thistlewalk/thistlewalk/api/metering/v1"
 )
 
-// Meter counts the requests that begin to run by way of this process. It is safe for concurrent use.
+// Meter counts the requests that this process forwards and that start running. It is safe for concurrent use.
 type Meter struct {
-	node    string
-	life    int64
-	windows Windows
-	clock   *Clock
-	ledger  *Ledger
-	// changed tells that a tally has changed; it holds one notice at most.
+	node        string
+	incarnation int64
+	windows     Windows
+	clock       *Clock
+	ledger      *Ledger
+	// changed signals that a tally has changed. Its capacity is one.
 	changed chan struct{}
 
 	mu       sync.Mutex
@@ -22,16 +22,16 @@
 	totals   map[int64]map[string]int64 // by window and tenant
 }
 
-// NewMeter returns a meter of a process that has its tallies in the ledger.
-func NewMeter(node string, life int64, windows Windows, clock *Clock, ledger *Ledger) *Meter {
+// NewMeter returns the meter of a process, which stores its tallies in the ledger.
+func NewMeter(node string, incarnation int64, windows Windows, clock *Clock, ledger *Ledger) *Meter {
 	return &Meter{
-		node: node, life: life, windows: windows, clock: clock, ledger: ledger, changed: make(chan struct{}, 1),
+		node: node, incarnation: incarnation, windows: windows, clock: clock, ledger: ledger, changed: make(chan struct{}, 1),
 		totals: make(map[int64]map[string]int64),
 	}
 }
 
-// Began counts a request of a tenant that is sent to a replica now. The returned function takes it back, once, if it turns out not to have
-// run.
+// Began counts a request of a tenant that is being sent to a replica. If it turns out that the request did not run, the caller must call
+// withdraw once, which removes the request from the window in which it was counted.
 func (meter *Meter) Began(tenant string) (withdraw func()) {
 	window := meter.windows.At(meter.clock.Now())
 	meter.add(window, tenant, 1)
@@ -45,11 +45,11 @@
 	if totals == nil {
 		totals = make(map[string]int64)
 		meter.totals[window] = totals
-		maps.DeleteFunc(meter.totals, func(known int64, _ map[string]int64) bool { return known <= window-windowsKept })
+		maps.DeleteFunc(meter.totals, func(known int64, _ map[string]int64) bool { return known <= window-retainedWindows })
 	}
 	totals[tenant] += change
 	meter.sequence++
-	meter.ledger.Merge(&meteringv1.Tally{Node: meter.node, Life: meter.life, Window: window, Sequence: meter.sequence, Counts: countsOf(totals)})
+	meter.ledger.Merge(&meteringv1.Tally{Node: meter.node, Life: meter.incarnation, Window: window, Sequence: meter.sequence, Counts: sortedCounts(totals)})
 	select {
 	case meter.changed <- struct{}{}:
 	default:
--- a/internal/metering/reporter.go
+++ b/internal/metering/reporter.go
@@ -16,51 +16,52 @@
 	"github.com/thistlewalk/thistlewalk/internal/wait"
 )
 
-// reportPrefix is where reports lie in the metadata store, from before they are first sent until a later one is known to have arrived.
+// reportPrefix is the prefix of the stored reports in the metadata store. A report is stored before it is first sent. It is removed after
+// it has been accepted, in the transaction that stores a later report.
 const reportPrefix = "usage/"
 
 func reportKey(window int64) string { return fmt.Sprintf("%s%016d", reportPrefix, window) }
 
 const (
-	// settleTime is how long after the end of a window it is reported: the longest that a request is held on the deployments measured is
-	// 1.5 s, by then it is known which have run, and telling that takes some 100 ms. A tally that comes later is lost. An outage of the
-	// store of 7 s leaves time for a report that is due 10 s after its window.
-	settleTime = 2500 * time.Millisecond
-	// collectTime is how long after the begin of its term a collector waits for the tallies of the windows that are due: two beacons, by
-	// which nodes learn of it, and a call.
-	collectTime = 1200 * time.Millisecond
-	// tellTime is how long after the end of a window all that began in it was told: some calls, should one fail.
-	tellTime = 600 * time.Millisecond
-	// reportMargin is kept of the lease for a pause of this process between the look at the lease and the call of a report.
-	reportMargin = 450 * time.Millisecond
-	// reportMost bounds the time of that call: a platform that is fifty times as slow as usual still answers within it.
-	reportMost  = 2 * time.Second
-	reportPause = 100 * time.Millisecond
-	storeLimit  = 900 * time.Millisecond
-	// keysRemoved bounds the reports that are removed with one write.
-	keysRemoved = 16
-	// unsentMost bounds the reports that are kept while the platform takes none: with windows of five seconds those of an hour. A platform
-	// that has been away for so long has closed its books on older ones.
-	unsentMost = 720
+	// settleDelay is the time between the end of a window and its report. It must cover the longest time that a request is held and the
+	// delivery of the tallies, because a tally that arrives later is lost. It must also leave time for an outage of the store before the
+	// report is due, 10 s after the end of the window.
+	settleDelay = 2500 * time.Millisecond
+	// collectDelay is how long a collector waits for tallies after the start of its term. It covers two beacons, from which the other
+	// nodes learn of the new collector, and a call.
+	collectDelay = 1200 * time.Millisecond
+	// deliveryAllowance is the time after the end of a window within which its tallies are delivered, including a retry.
+	deliveryAllowance = 600 * time.Millisecond
+	// leaseMargin is the remaining lease time that is required to start a call. It covers a pause of this process between the check of
+	// the lease and the call.
+	leaseMargin   = 450 * time.Millisecond
+	reportTimeout = 2 * time.Second
+	roundInterval = 100 * time.Millisecond
+	storeTimeout  = 900 * time.Millisecond
+	// maxRemovedKeys limits the reports that one transaction removes.
+	maxRemovedKeys = 16
+	// maxUnsent limits the reports that are retained while the platform accepts none. Older reports are dropped.
+	maxUnsent = 720
 )
 
-// Sink takes reports.
+// Sink receives usage reports.
 type Sink interface {
-	// Report sends a report, in the name of a holder and with the fence of its term. An error leaves open whether it was taken.
+	// Report sends a report on behalf of the holder of a term, with the fence of that term. After an error, the report may or may not
+	// have been accepted.
 	Report(ctx context.Context, holder string, fence int64, report *meteringv1.Report) error
 }
 
-// Term is the time in which this node may report.
+// Term is a lease that entitles this node to send reports.
 type Term interface {
-	// Valid reports whether the term is in force, and will be for the margin.
+	// Valid reports whether the lease remains valid for at least the margin.
 	Valid(margin time.Duration) bool
-	// Remaining is how long the term is in force from now on if it is not renewed.
+	// Remaining returns the time until the lease expires unless it is renewed.
 	Remaining() time.Duration
-	// Condition holds in the metadata store as long as no other term has begun.
+	// Condition returns a condition that holds in the metadata store until another term starts.
 	Condition() metadata.Condition
 }
 
-// Reporter reports the windows of the terms in which this node holds the duty.
+// Reporter sends the usage reports during the terms of this node.
 type Reporter struct {
 	Node    string
 	Windows Windows
@@ -70,45 +71,46 @@
 	Sink    Sink
 	Logger  *log.Logger
 	Metrics *telemetry.Metrics
-	// Overhang is how long after the end of a term a call that began in it may last: a successor waits for as long, and for the pause that
-	// the platform wants between two holders besides.
+	// Overhang is how long a call may continue after the term has ended. Before its first call, a successor waits for this time and for
+	// the pause that the platform requires between two holders.
 	Overhang time.Duration
 
-	// collected is when this process was last known to collect: windows that were told by then need not be told again. It belongs to the
-	// goroutine of Run.
-	collected time.Time
+	// collectedAt is the latest time at which this process was the collector and all nodes had had time to send their tallies to it. In a
+	// later term, this process still holds the tallies delivered by then. Only the goroutine of Run uses this field.
+	collectedAt time.Time
 }
 
-// duty is the work of one term. Its fields belong to one goroutine.
-type duty struct {
+// termWork is the work of one term. Only one goroutine uses its fields.
+type termWork struct {
 	*Reporter
-	fence int64
-	term  Term
-	begun time.Time
-	// next is the first window that is not stored yet; unsent are reports that are stored, and were not taken in this term.
+	fence     int64
+	term      Term
+	startedAt time.Time
+	// next is the first window whose report is not stored yet. unsent holds the stored reports that have not been accepted in this term.
 	next   int64
 	unsent []*meteringv1.Report
-	// sent are the windows whose stored reports can be removed once a later one is stored.
-	sent []int64
+	// removable holds the windows whose stored reports can be removed together with the next write.
+	removable []int64
 }
 
-// Run reports until the context, which ends with the term, is over.
+// Run sends reports until the context ends, which it does at the end of the term.
 func (reporter *Reporter) Run(ctx context.Context, fence int64, term Term) {
-	work := &duty{Reporter: reporter, fence: fence, term: term, begun: time.Now()}
+	work := &termWork{Reporter: reporter, fence: fence, term: term, startedAt: time.Now()}
 	for !work.resume(ctx) {
-		if wait.Pause(ctx, reportPause); ctx.Err() != nil {
+		if wait.Pause(ctx, roundInterval); ctx.Err() != nil {
 			return
 		}
 	}
 	for ctx.Err() == nil {
 		work.round(ctx)
-		wait.Pause(ctx, reportPause)
+		wait.Pause(ctx, roundInterval)
 	}
 }
 
-// resume reads what former holders have stored, and reports whether it could. Their reports are sent again, unchanged.
-func (work *duty) resume(ctx context.Context) bool {
-	callCtx, cancel := context.WithTimeout(ctx, storeLimit)
+// resume reads the reports that former holders have stored, so that they are sent again unchanged. It returns false if the store cannot be
+// read.
+func (work *termWork) resume(ctx context.Context) bool {
+	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	listing, err := work.Store.List(callCtx, reportPrefix)
 	if err != nil {
@@ -120,15 +122,15 @@
 	for index, item := range listing.Items {
 		report, err := decodeReport(item)
 		if err != nil {
-			work.Logger.Error("usage report not readable", "key", item.Key, "error", err)
+			work.Logger.Error("usage report cannot be decoded", "key", item.Key, "error", err)
 			continue
 		}
 		work.unsent = append(work.unsent, report)
 		if index == len(listing.Items)-1 {
-			work.next = max(report.GetWindow()+1, present-windowsKept+1)
+			work.next = max(report.GetWindow()+1, present-retainedWindows+1)
 		}
 	}
-	work.Logger.Info("usage duty begun", "fence", work.fence, "stored", len(listing.Items), "next_window", work.next)
+	work.Logger.Info("usage reporter term started", "fence", work.fence, "stored", len(listing.Items), "next_window", work.next)
 	return true
 }
 
@@ -138,23 +140,23 @@
 		return nil, errors.Wrap(err, "decode a usage report")
 	}
 	if item.Key != reportKey(report.GetWindow()) {
-		return nil, errors.Newf("the report of window %d lies under another key", report.GetWindow())
+		return nil, errors.Newf("usage report of window %d is stored under another key", report.GetWindow())
 	}
 	return report, nil
 }
 
-// round stores the reports that are due, and sends what is stored. While the term is not in force, it does neither: a store that does not
-// renew the lease would not take a report.
-func (work *duty) round(ctx context.Context) {
-	if work.term.Valid(reportMargin) && work.isTold() {
-		work.collected = work.Clock.Now()
+// round stores the reports that are due and sends the stored ones. It does neither unless the lease is valid: a store that does not renew
+// the lease would not store a report either.
+func (work *termWork) round(ctx context.Context) {
+	if work.term.Valid(leaseMargin) && work.hasCollected() {
+		work.collectedAt = work.Clock.Now()
 	}
-	for work.term.Valid(reportMargin) && work.isDue() && work.store(ctx) {
+	for work.term.Valid(leaseMargin) && work.isDue() && work.store(ctx) {
 		work.next++
 	}
-	for len(work.unsent) > unsentMost {
-		work.Logger.Error("usage report given up", "window", work.unsent[0].GetWindow(), "fence", work.fence, "unsent", len(work.unsent))
-		work.sent = append(work.sent, work.unsent[0].GetWindow()) // so that it is removed
+	for len(work.unsent) > maxUnsent {
+		work.Logger.Error("usage report dropped", "window", work.unsent[0].GetWindow(), "fence", work.fence, "unsent", len(work.unsent))
+		work.removable = append(work.removable, work.unsent[0].GetWindow()) // the next write removes it from the store
 		work.unsent = work.unsent[1:]
 	}
 	for len(work.unsent) > 0 && work.send(ctx, work.unsent[0]) {
@@ -162,25 +164,25 @@
 	}
 }
 
-// isTold reports whether nodes have had the time to tell their tallies in this term.
-func (work *duty) isTold() bool { return time.Since(work.begun) > collectTime }
+// hasCollected reports whether the nodes have had time to send their tallies in this term.
+func (work *termWork) hasCollected() bool { return time.Since(work.startedAt) > collectDelay }
 
-// isDue reports whether the next window has settled, and this process knows all that was told of it.
-func (work *duty) isDue() bool {
+// isDue reports whether the next window has settled and this process has received all its tallies, in this term or in an earlier one.
+func (work *termWork) isDue() bool {
 	end := work.Windows.End(work.next)
-	return !work.Clock.Now().Before(end.Add(settleTime)) && (work.isTold() || !work.collected.Before(end.Add(tellTime)))
+	return !work.Clock.Now().Before(end.Add(settleDelay)) && (work.hasCollected() || !work.collectedAt.Before(end.Add(deliveryAllowance)))
 }
 
-// store makes the report of the next window durable, and reports whether one is. If another holder has stored one, that stands; a former
-// holder, who is told nothing any more, stores none.
-func (work *duty) store(ctx context.Context) bool {
+// store makes the report of the next window durable, and reports whether a report of that window is stored. If another holder has already
+// stored one, that report is used. The condition on the term prevents a former holder, which no longer receives tallies, from storing one.
+func (work *termWork) store(ctx context.Context) bool {
 	report, processes := work.Ledger.Report(work.next)
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(report)
 	if err != nil {
-		work.Logger.Error("usage report not encoded", "window", work.next, "error", err)
+		work.Logger.Error("usage report cannot be encoded", "window", work.next, "error", err)
 		return false
 	}
-	removed := work.sent[:min(len(work.sent), keysRemoved)]
+	removed := work.removable[:min(len(work.removable), maxRemovedKeys)]
 	txn := metadata.Txn{
 		Conditions: []metadata.Condition{work.term.Condition(), {Key: reportKey(work.next)}},
 		Puts:       []metadata.Put{{Key: reportKey(work.next), Value: encoded}},
@@ -188,7 +190,7 @@
 	for _, window := range removed {
 		txn.Deletes = append(txn.Deletes, reportKey(window))
 	}
-	callCtx, cancel := context.WithTimeout(ctx, storeLimit)
+	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	_, err = work.Store.Commit(callCtx, txn)
 	var conflict *metadata.ConflictError
@@ -196,7 +198,7 @@
 	case errors.As(err, &conflict):
 		report, err = storedReport(conflict, work.next)
 	case err == nil:
-		work.sent = work.sent[len(removed):]
+		work.removable = work.removable[len(removed):]
 	}
 	work.Logger.Info("usage report stored", "window", work.next, "fence", work.fence, "tenants", len(report.GetCounts()), "requests", total(report),
 		"processes", processes, "by_other", conflict != nil, "after_ms", work.Clock.Now().Sub(work.Windows.End(work.next)).Milliseconds(), "error", err)
@@ -207,7 +209,8 @@
 	return true
 }
 
-// storedReport returns the report that stands in the way of another; an earlier try of this node may have been done without its answer.
+// storedReport returns the report of the window that is already stored. It may stem from an earlier attempt of this node whose response was
+// lost.
 func storedReport(conflict *metadata.ConflictError, window int64) (*meteringv1.Report, error) {
 	item, found := conflict.Find(reportKey(window))
 	if !found {
@@ -224,26 +227,26 @@
 	return sum
 }
 
-// callContext bounds the call of a report. A call of two seconds outlasts the lease as it stands when it is sent: it goes on as long as the
-// lease is renewed, and ends soon after one that is not.
-func (work *duty) callContext(parent context.Context) (context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithTimeout(parent, reportMost)
+// callContext returns the context of a report call. A call may take longer than the remaining lease at its start, so the context does not end
+// while the lease is renewed. It ends after reportTimeout, or when Overhang has passed since the expiry of the lease.
+func (work *termWork) callContext(parent context.Context) (context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithTimeout(parent, reportTimeout)
 	go func() {
 		for ctx.Err() == nil {
-			left := work.term.Remaining() + work.Overhang
-			if left <= 0 {
+			remaining := work.term.Remaining() + work.Overhang
+			if remaining <= 0 {
 				cancel()
 				return
 			}
-			wait.Pause(ctx, left)
+			wait.Pause(ctx, remaining)
 		}
 	}()
 	return ctx, cancel
 }
 
-// send sends a report if the term allows it, and reports whether it was taken.
-func (work *duty) send(ctx context.Context, report *meteringv1.Report) bool {
-	if !work.term.Valid(reportMargin) {
+// send sends a report if the lease is valid, and reports whether the report was accepted.
+func (work *termWork) send(ctx context.Context, report *meteringv1.Report) bool {
+	if !work.term.Valid(leaseMargin) {
 		return false
 	}
 	callCtx, cancel := work.callContext(ctx)
@@ -256,18 +259,18 @@
 	if err != nil {
 		return false
 	}
-	work.sent = append(work.sent, report.GetWindow())
+	work.removable = append(work.removable, report.GetWindow())
 	return true
 }
 
-// describedTenants bounds the tenants that a line on a report tells of.
-const describedTenants = 100
+// maxLoggedTenants limits the tenants that are listed in a log line.
+const maxLoggedTenants = 100
 
-// describe lists the counts of a report for a line of the log.
+// describe formats the counts of a report for a log line.
 func describe(report *meteringv1.Report) string {
 	var text strings.Builder
 	for index, count := range report.GetCounts() {
-		if index == describedTenants {
+		if index == maxLoggedTenants {
 			text.WriteString(" ...")
 			break
 		}
--- a/internal/metering/service.go
+++ b/internal/metering/service.go
@@ -6,7 +6,7 @@
 	meteringv1 "github.com/thistlewalk/thistlewalk/api/metering/v1"
 )
 
-// Service takes the tallies of other nodes. It implements meteringv1.Collector.
+// Service receives the tallies of other nodes. It implements meteringv1.Collector.
 type Service struct{ Ledger *Ledger }
 
 // Tell implements meteringv1.Collector.
--- a/internal/metering/teller.go
+++ b/internal/metering/teller.go
@@ -13,36 +13,35 @@
 )
 
 const (
-	// tellSpacing is the least time between two calls to a listener: a request is told within it, and a front at 100 requests a second makes
-	// ten calls.
-	tellSpacing = 100 * time.Millisecond
-	// tellRetry is how much longer it waits after a call that failed: a node that has just died is asked twice before it is known for dead.
-	tellRetry = 300 * time.Millisecond
-	// tellPoll is how often a teller looks for a new collector or witness, and for what a dead node has left here.
-	tellPoll = 500 * time.Millisecond
-	// tellLimit bounds one call; a node that is alive answers within some ms.
-	tellLimit = 400 * time.Millisecond
+	// sendInterval is the least time between two calls to a listener. Changes of tallies within it share a call.
+	sendInterval = 100 * time.Millisecond
+	// sendRetryDelay is the additional delay after a failed call.
+	sendRetryDelay = 300 * time.Millisecond
+	// pollInterval is how often a Teller checks for a new collector or witness, and for tallies of processes that no longer run.
+	pollInterval = 500 * time.Millisecond
+	sendTimeout  = 400 * time.Millisecond
 )
 
-// Listener is who tallies are told to.
+// Listener is a node to which tallies are sent.
 type Listener struct {
 	Name string
-	// Epoch changes when the listener may have forgotten what it was told.
+	// Epoch changes when the listener may have lost the tallies that it acknowledged.
 	Epoch  int64
 	Client meteringv1.Collector
 }
 
-// Listeners finds out whom to tell. Either may be nil for nobody at present.
+// Listeners provides the nodes to which this node sends tallies.
 type Listeners interface {
-	// Collector is the node that reports.
+	// Collector returns the node that sends the usage reports, or nil if there is none.
 	Collector() *Listener
-	// Witness is a node elsewhere that keeps this node's tallies, and tells them to the next collector if this node can't.
+	// Witness returns the node that holds a copy of this node's tallies, or nil if there is none. The witness sends them to the
+	// collector after this process has ended.
 	Witness() *Listener
-	// Runs reports whether a process of a node runs, so that it tells its tallies itself.
-	Runs(node string, life int64) bool
+	// Runs reports whether an incarnation of a node is running, and therefore sends its tallies itself.
+	Runs(node string, incarnation int64) bool
 }
 
-// Teller tells the tallies of a ledger to whoever lacks them, again until they are acknowledged.
+// Teller sends the tallies of a ledger to the collector and the witness, and retries until they are acknowledged.
 type Teller struct {
 	Meter     *Meter
 	Listeners Listeners
@@ -50,82 +49,83 @@
 	Metrics   *telemetry.Metrics
 }
 
-// Run tells until the context ends.
+// Run sends tallies until the context ends.
 func (teller *Teller) Run(ctx context.Context) {
-	collector, witness := &recipient{teller: teller, role: "collector"}, &recipient{teller: teller, role: "witness"}
+	collector, witness := &sendState{teller: teller, role: "collector"}, &sendState{teller: teller, role: "witness"}
 	for ctx.Err() == nil {
 		var calls sync.WaitGroup
-		calls.Go(func() { collector.tell(ctx, teller.Listeners.Collector(), teller.forCollector) })
-		calls.Go(func() { witness.tell(ctx, teller.Listeners.Witness(), teller.isOwn) })
+		calls.Go(func() { collector.send(ctx, teller.Listeners.Collector(), teller.isForCollector) })
+		calls.Go(func() { witness.send(ctx, teller.Listeners.Witness(), teller.isOwn) })
 		calls.Wait()
-		wait.Pause(ctx, tellSpacing)
+		wait.Pause(ctx, sendInterval)
 		if collector.failed || witness.failed {
-			wait.Pause(ctx, tellRetry)
+			wait.Pause(ctx, sendRetryDelay)
 			continue
 		}
 		select {
 		case <-ctx.Done():
 		case <-teller.Meter.changed:
-		case <-time.After(tellPoll):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
 func (teller *Teller) isOwn(tally *meteringv1.Tally) bool {
-	return tally.GetNode() == teller.Meter.node && tally.GetLife() == teller.Meter.life
+	return tally.GetNode() == teller.Meter.node && tally.GetLife() == teller.Meter.incarnation
 }
 
-// forCollector reports whether this node tells the collector of a tally: of its own, and of those whose processes can't any more.
-func (teller *Teller) forCollector(tally *meteringv1.Tally) bool {
+// isForCollector reports whether this node sends a tally to the collector. A node sends its own tallies, and those of processes that no
+// longer run.
+func (teller *Teller) isForCollector(tally *meteringv1.Tally) bool {
 	return teller.isOwn(tally) || !teller.Listeners.Runs(tally.GetNode(), tally.GetLife())
 }
 
-// recipient is a listener with what it was told.
-type recipient struct {
+// sendState holds the current listener of one role and the sequences of the tallies that it has acknowledged.
+type sendState struct {
 	teller *Teller
 	role   string
 	name   string
 	epoch  int64
-	told   map[tallyKey]int64
+	acked  map[tallyKey]int64
 	failed bool
 }
 
-// tell brings a listener up to date.
-func (recipient *recipient) tell(ctx context.Context, listener *Listener, wanted func(*meteringv1.Tally) bool) {
-	recipient.failed = false
+// send sends the tallies that the listener has not acknowledged. A new listener or epoch starts without acknowledged tallies.
+func (sendState *sendState) send(ctx context.Context, listener *Listener, include func(*meteringv1.Tally) bool) {
+	sendState.failed = false
 	if listener == nil {
 		return
 	}
-	if recipient.told == nil || listener.Name != recipient.name || listener.Epoch != recipient.epoch {
-		recipient.name, recipient.epoch, recipient.told = listener.Name, listener.Epoch, make(map[tallyKey]int64)
-		recipient.teller.Logger.Info("usage told to another node", "role", recipient.role, "to", listener.Name, "epoch", listener.Epoch)
+	if sendState.acked == nil || listener.Name != sendState.name || listener.Epoch != sendState.epoch {
+		sendState.name, sendState.epoch, sendState.acked = listener.Name, listener.Epoch, make(map[tallyKey]int64)
+		sendState.teller.Logger.Info("sending usage tallies to another node", "role", sendState.role, "to", listener.Name, "epoch", listener.Epoch)
 	}
-	tallies := recipient.teller.Meter.ledger.Untold(recipient.told, wanted)
+	tallies := sendState.teller.Meter.ledger.Unacknowledged(sendState.acked, include)
 	if len(tallies) == 0 {
 		return
 	}
-	callCtx, cancel := context.WithTimeout(ctx, tellLimit)
+	callCtx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	_, err := listener.Client.Tell(callCtx, &meteringv1.TellRequest{Tallies: tallies})
-	recipient.teller.Metrics.UsageTold(recipient.role, err == nil)
+	sendState.teller.Metrics.UsageTold(sendState.role, err == nil)
 	if err != nil {
-		recipient.failed = true
-		recipient.teller.Logger.Warn("usage not told", "role", recipient.role, "to", listener.Name, "tallies", len(tallies), "error", err)
+		sendState.failed = true
+		sendState.teller.Logger.Warn("usage tallies not sent", "role", sendState.role, "to", listener.Name, "tallies", len(tallies), "error", err)
 		return
 	}
-	recipient.heard(tallies)
+	sendState.acknowledge(tallies)
 }
 
-// heard notes what the listener has, and forgets windows that no ledger keeps.
-func (recipient *recipient) heard(tallies []*meteringv1.Tally) {
+// acknowledge records the tallies that the listener has acknowledged, and drops the entries of windows that no ledger retains.
+func (sendState *sendState) acknowledge(tallies []*meteringv1.Tally) {
 	newest := int64(0)
 	for _, tally := range tallies {
-		recipient.told[keyOf(tally)] = tally.GetSequence()
+		sendState.acked[keyOf(tally)] = tally.GetSequence()
 		newest = max(newest, tally.GetWindow())
 	}
-	for key := range recipient.told {
-		if key.window <= newest-windowsKept {
-			delete(recipient.told, key)
+	for key := range sendState.acked {
+		if key.window <= newest-retainedWindows {
+			delete(sendState.acked, key)
 		}
 	}
 }
--- a/internal/metering/window.go
+++ b/internal/metering/window.go
@@ -1,15 +1,15 @@
-// Package metering counts the requests of tenants that begin to run, and reports the counts of each window of time once. Every node tallies
-// what it forwards, and tells its tallies at once to the collector, which is the node that holds the duty to report, and to a witness that
-// does not share its fate. What is reported of a window is stored before it is first sent, so that whoever succeeds the collector sends the
-// same.
+// Package metering counts the requests of each tenant that start running, and sends one usage report for each window of time. Every node
+// keeps tallies of the requests that it forwards, and sends the tallies without delay to two other nodes: to the collector, which currently
+// sends the reports, and to a witness, which is unlikely to fail together with the sender. The report of a window is stored before it is
+// first sent, so that a successor of the collector sends the same report.
 package metering
 
 import "time"
 
-// Windows divides true time, from 1970 on, into windows of a length.
+// Windows divides the time since 1970 into numbered windows of equal length.
 type Windows struct{ Length time.Duration }
 
-// At returns the number of the window that holds a moment.
+// At returns the number of the window that contains a moment.
 func (windows Windows) At(moment time.Time) int64 {
 	return moment.UnixNano() / int64(windows.Length)
 }
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -53,7 +53,7 @@
 mutate 'run that was refused is counted' internal/forwarding/run.go 'return result.answer.NotExecuted' 'return false' ./internal/forwarding
 mutate 'successor does not wait' internal/weights/election.go 'wait.Pause(ctx, election.Settings.HandoverWait)' '_ = election.Settings.HandoverWait' ./internal/weights
 mutate 'waiting holder counts as the last' internal/weights/election.go 'if last == "" {' 'if last != election.Node {' ./internal/weights
-mutate 'no witness' internal/metering/teller.go 'witness.tell(ctx, teller.Listeners.Witness(), teller.isOwn)' '_ = witness' ./internal/metering
+mutate 'no witness' internal/metering/teller.go 'witness.send(ctx, teller.Listeners.Witness(), teller.isOwn)' '_ = witness' ./internal/metering
 mutate 'revoked key in a retry' internal/forwarding/run.go 'return run.call.StillAdmitted != nil && !run.call.StillAdmitted()' 'return run.call.StillAdmitted != nil && run.attempts == 0 && !run.call.StillAdmitted()' ./internal/forwarding
 mutate "another tenant's job read" internal/batchrun/scope.go 'if strings.Contains(named, batch.ScopeSeparator) {' 'if strings.Contains(named, batch.ScopeSeparator) && named == "" {' ./internal/batchrun
 mutate "another tenant's text used" internal/batchrun/kept.go 'id = batch.InScopeOf(text.job, id)' '_ = batch.InScopeOf(text.job, id)' ./internal/batchrun
@@ -62,8 +62,8 @@
 mutate 'key passed on' platform/ingress.go 'maps.DeleteFunc(header, func(name string, _ []string) bool { return identifiesCaller(name) })' '_ = maps.DeleteFunc[http.Header]' ./cmd/thistlewalk-rollout
 mutate 'all nodes run a job in an outage' internal/batchrun/defer.go 'if deferral.mine.Load() {' 'if deferral.to == "" {' ./internal/batchrun
 mutate 'jobs left to each other' internal/batchrun/defer.go 'owned.deferral.mine.Store(true)' '_ = owned' ./internal/batchrun
-mutate 'holder waits to be told what it knows' internal/metering/reporter.go ' || !work.collected.Before(end.Add(tellTime)))' ')' ./internal/metering
-mutate 'call outlasts a lost lease' internal/metering/reporter.go 'left := work.term.Remaining() + work.Overhang' 'left := work.term.Remaining() + work.Overhang + time.Hour' ./internal/metering
+mutate 'holder waits to be told what it knows' internal/metering/reporter.go ' || !work.collectedAt.Before(end.Add(deliveryAllowance)))' ')' ./internal/metering
+mutate 'call outlasts a lost lease' internal/metering/reporter.go 'remaining := work.term.Remaining() + work.Overhang' 'remaining := work.term.Remaining() + work.Overhang + time.Hour' ./internal/metering
 mutate 'refusal not confirmed' internal/delivery/service.go 'if err := served.log.Append(ctx, nil, nil); err != nil {' 'if err := served.log.Failed(); err != nil {' ./internal/delivery
 mutate 'probe that hangs is waited for' internal/metadata/health.go 'if notified || health.Good() {' 'if !notified || health.Good() {' ./internal/metadata
 mutate 'slow probe left again and again' internal/metadata/health.go 'if notified || health.Good() {' 'if health.Good() {' ./internal/metadata
@@ -105,6 +105,6 @@
 	}' 'if now.Sub(subscriber.checked) > pauseLimit {
 		return false
 	}' ./internal/dissemination
-mutate 'usage is dated by the steady clock' internal/metering/clock.go 'steady: machine.Elapsed()}' 'steady: machine.Elapsed()/2}' ./internal/metering
+mutate 'usage is dated by the steady clock' internal/metering/clock.go 'monotonic: machine.Elapsed()}' 'monotonic: machine.Elapsed()/2}' ./internal/metering
 mutate "a caller's time by the steady clock" internal/forwarding/run.go 'left := run.end - run.clock.Elapsed()' 'left := run.end - run.clock.Elapsed() + time.Hour' ./internal/forwarding
 exit "$missed"
