--- a/internal/tenancy/tenancy.go
+++ b/internal/tenancy/tenancy.go
@@ -1,4 +1,4 @@
-// Package tenancy decides for which tenant a call is made, from the configuration and the key that the caller presents. It is pure.
+// Package tenancy determines the tenant of a call from the configuration and the API key that the caller presents. It has no side effects.
 package tenancy
 
 import (
@@ -7,41 +7,42 @@
 	"github.com/thistlewalk/thistlewalk/internal/catalog"
 )
 
-// ErrUnauthenticated says that a caller who needs a key presented none that a tenant holds. A node whose configuration may be old can't
-// tell an unknown key from one that was added just now.
-var ErrUnauthenticated = errors.New("the caller presented no key of a tenant")
+// ErrUnauthenticated reports that a call requires an API key and the caller presented no key of a tenant. A node with a stale configuration
+// also returns it for a key that has just been added.
+var ErrUnauthenticated = errors.New("no valid API key presented")
 
-// Credentials are what a caller presents to identify itself.
+// Credentials holds the credentials that a caller presents.
 type Credentials struct {
-	// Given says that the caller presented something, Key what it was. What is not exactly one key is presented as a key of no tenant.
+	// Given is true if the caller presented any credentials, even malformed ones.
 	Given bool
-	Key   catalog.KeyDigest
+	// Key is the digest of the presented API key. It is zero, which is the key of no tenant, unless the caller presented exactly one key.
+	Key catalog.KeyDigest
 }
 
-// Caller is who a call is made for.
+// Caller identifies the caller of a request.
 type Caller struct {
-	// Tenant is empty for callers of public routes, and where the configuration knows no tenants.
+	// Tenant is empty for anonymous callers, for callers of public routes, and if the configuration is not multi-tenant.
 	Tenant string
 }
 
-// ForRoute identifies the caller of a request by its route.
+// ForRoute identifies the caller of a request on a route. Public routes require no API key and ignore a presented one.
 func ForRoute(configuration *catalog.Configuration, route *catalog.Route, credentials Credentials) (Caller, error) {
 	if !configuration.Multitenant || route.Public {
 		return Caller{}, nil
 	}
-	return holder(configuration, credentials)
+	return authenticate(configuration, credentials)
 }
 
-// ForJobs identifies the caller of a call on batch jobs of a host, whose route is known only by the job. A caller without a key is let in
-// where the host has a public route for batch jobs, and finds the jobs of no tenant.
+// ForJobs identifies the caller of a request on existing batch jobs of a host. The route is not known yet, because it depends on the job. A
+// caller without credentials is accepted if the host has a public batch route, and has access only to jobs without a tenant.
 func ForJobs(configuration *catalog.Configuration, host string, credentials Credentials) (Caller, error) {
 	if !configuration.Multitenant || (!credentials.Given && configuration.HasPublicBatch(host)) {
 		return Caller{}, nil
 	}
-	return holder(configuration, credentials)
+	return authenticate(configuration, credentials)
 }
 
-func holder(configuration *catalog.Configuration, credentials Credentials) (Caller, error) {
+func authenticate(configuration *catalog.Configuration, credentials Credentials) (Caller, error) {
 	if !credentials.Given {
 		return Caller{}, ErrUnauthenticated
 	}
@@ -52,7 +53,7 @@
 	return Caller{Tenant: tenant.Name}, nil
 }
 
-// Priority returns the rank of a tenant's requests on a route, 0 first: the tenant's own goes before that of the route.
+// Priority returns the priority of a tenant's requests on a route; 0 is the highest. The priority of the tenant overrides that of the route.
 func Priority(configuration *catalog.Configuration, route *catalog.Route, tenant string) int {
 	if configuration != nil {
 		if found := configuration.FindTenant(tenant); found != nil {
--- a/internal/tenancy/tenancy_test.go
+++ b/internal/tenancy/tenancy_test.go
@@ -15,7 +15,7 @@
 }
 
 func configuration(multitenant bool) *catalog.Configuration {
-	made := &catalog.Configuration{
+	created := &catalog.Configuration{
 		Multitenant: multitenant,
 		Routes: []catalog.Route{
 			{Host: "open", Prefix: "/jobs/", Kind: catalog.Batch, Public: true},
@@ -24,14 +24,14 @@
 		},
 	}
 	if multitenant {
-		made.Tenants = []catalog.Tenant{
+		created.Tenants = []catalog.Tenant{
 			{Name: "harbour", Priority: 1, Keys: []catalog.KeyDigest{catalog.DigestKey("h1"), catalog.DigestKey("h2")}},
 			{Name: "airport", Keys: []catalog.KeyDigest{catalog.DigestKey("a1")}},
 			{Name: "dormant"},
 		}
 	}
-	made.Index()
-	return made
+	created.Index()
+	return created
 }
 
 func TestForRoute(t *testing.T) {
@@ -45,13 +45,13 @@
 		refused     bool
 	}{
 		{"no tenants, no key", false, false, none, "", false},
-		{"no tenants, a key that means nothing", false, false, key("h1"), "", false},
+		{"no tenants, a key", false, false, key("h1"), "", false},
 		{"a key", true, false, key("h1"), "harbour", false},
 		{"another key of the same tenant", true, false, key("h2"), "harbour", false},
 		{"the key of another tenant", true, false, key("a1"), "airport", false},
 		{"an unknown key", true, false, key("h3"), "", true},
 		{"no key", true, false, none, "", true},
-		{"what is no key", true, false, tenancy.Credentials{Given: true}, "", true},
+		{"malformed credentials", true, false, tenancy.Credentials{Given: true}, "", true},
 		{"public, no key", true, true, none, "", false},
 		{"public, a key", true, true, key("h1"), "", false},
 		{"public, an unknown key", true, true, key("h3"), "", false},
@@ -71,10 +71,10 @@
 	}{
 		{"a key", "closed", key("a1"), "airport", false},
 		{"no key", "closed", tenancy.Credentials{}, "", true},
-		{"no key where a public route takes jobs", "Open", tenancy.Credentials{}, "", false},
-		{"an unknown key where a public route takes jobs", "open", key("x"), "", true},
-		{"a key where a public route takes jobs", "open", key("h2"), "harbour", false},
-		{"no key at a host of no route", "elsewhere", tenancy.Credentials{}, "", true},
+		{"no key, host with a public batch route", "Open", tenancy.Credentials{}, "", false},
+		{"an unknown key, host with a public batch route", "open", key("x"), "", true},
+		{"a key, host with a public batch route", "open", key("h2"), "harbour", false},
+		{"no key, host without routes", "elsewhere", tenancy.Credentials{}, "", true},
 	} {
 		caller, err := tenancy.ForJobs(configuration(true), check.host, check.credentials)
 		must.Eq(t, check.refused, errors.Is(err, tenancy.ErrUnauthenticated), must.Sprint(check.name))
