--- a/internal/forwarding/answer.go
+++ b/internal/forwarding/answer.go
@@ -4,12 +4,12 @@
 	"net/http"
 )
 
-// unauthorized refuses a request that has not run, whose key was taken away while it was held.
+// unauthorized refuses a call whose API key was revoked before the request ran.
 func (run *run) unauthorized() Result {
 	return Result{Status: http.StatusUnauthorized, Own: true, Reason: "key_revoked"}
 }
 
-// giveUp returns the answer when no replica is left to ask.
+// giveUp returns the final result after the last attempt has failed and no further attempt is allowed.
 func (run *run) giveUp() Result {
 	if run.failure != nil {
 		return run.deliver(*run.failure)
@@ -28,7 +28,7 @@
 	return run.refuse("not_executed")
 }
 
-// deliver turns a replica's answer into the caller's.
+// deliver turns a replica's answer into the result of the call.
 func (run *run) deliver(result attemptResult) Result {
 	length := int64(len(result.body))
 	if result.rest != nil {
@@ -37,12 +37,12 @@
 	return Result{Status: result.answer.Status, Header: result.answer.Header, Body: result.body, Length: length, Rest: result.rest, Reason: "replica"}
 }
 
-// refuse says that the request has not run and when to come back.
+// refuse returns a 503 result for a request that has not run and may be retried after RetryAfter.
 func (run *run) refuse(reason string) Result {
 	return Result{Status: http.StatusServiceUnavailable, Own: true, Reason: reason, RetryAfter: RetryAfter}
 }
 
-// timedOut returns the answer when the time is over or the caller has left.
+// timedOut returns the final result after the deadline has passed or the caller has disconnected.
 func (run *run) timedOut() Result {
 	if run.failure != nil {
 		return run.deliver(*run.failure)
--- a/internal/forwarding/bodies.go
+++ b/internal/forwarding/bodies.go
@@ -7,40 +7,40 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// Errors of Bodies.Read. After ErrMemory the caller may come back; nothing of the request has run.
+// Errors of Bodies.Read. A caller may retry after ErrMemory, since nothing of the request has run.
 var (
-	ErrTooLarge = errors.New("the body is larger than the configuration allows")
-	ErrMemory   = errors.New("other bodies fill the memory set aside for them")
+	ErrTooLarge = errors.New("the body is larger than the configured limit")
+	ErrMemory   = errors.New("no memory left for request bodies")
 	ErrNotRead  = errors.New("the body could not be read to its end")
 )
 
 const (
-	// SmallBody is the size in bytes up to which a body needs no reservation.
+	// SmallBody is the size in bytes from which a body needs a reservation.
 	SmallBody = 64 << 10
-	// bodyMemory bounds the bytes of larger bodies that a node holds at one time.
+	// bodyMemory bounds the bytes reserved on a node at one time.
 	bodyMemory = 96 << 20
-	// defaultBody is the largest body in bytes where the configuration names no limit.
-	defaultBody = 32 << 20
+	// defaultBodyLimit is the largest body in bytes if the configuration sets no limit.
+	defaultBodyLimit = 32 << 20
 )
 
-// Bodies bounds the memory of large bodies. It is safe for concurrent use.
+// Bodies reads request bodies and bounds the memory of the large ones. It is safe for concurrent use.
 type Bodies struct{ free *semaphore.Weighted }
 
-// NewBodies returns bodies of which none is held.
+// NewBodies returns a reader of bodies without reservations.
 func NewBodies() *Bodies { return &Bodies{free: semaphore.NewWeighted(bodyMemory)} }
 
-// Reserve reports whether a body of so many bytes may be read now. Release gives the bytes back.
+// Reserve reserves size bytes and reports whether they were available. Release returns them.
 func (bodies *Bodies) Reserve(size int64) bool { return bodies.free.TryAcquire(size) }
 
-// Release gives back what Reserve took.
+// Release returns size bytes taken by Reserve.
 func (bodies *Bodies) Release(size int64) { bodies.free.Release(size) }
 
-// Read reads a whole body of at most limit bytes; announced is its length as the caller told, negative if it did not. Release must be
-// called when the body is of no more use, also after an error.
+// Read reads a whole body of at most limit bytes. announced is the length that the caller declared, negative if it declared none.
+// release must be called once the body is no longer used, also after an error.
 func (bodies *Bodies) Read(source io.Reader, announced, limit int64) (body []byte, release func(), err error) {
 	release = func() {}
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultBodyLimit
 	}
 	if announced > limit {
 		return nil, release, ErrTooLarge
--- a/internal/forwarding/bodies_test.go
+++ b/internal/forwarding/bodies_test.go
@@ -12,7 +12,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/forwarding"
 )
 
-// Large bodies are refused while others fill the memory set aside for them.
+// No large body is accepted while the memory for bodies is exhausted.
 func TestBodiesAreBounded(t *testing.T) {
 	bodies := forwarding.NewBodies()
 	const size = 32 << 20
@@ -24,7 +24,7 @@
 	must.True(t, bodies.Reserve(size))
 }
 
-// A body is read whole, or refused for the reason that holds; what was set aside for it is given back.
+// Read returns the whole body or the matching error, and each reservation is released.
 func TestBodiesRead(t *testing.T) {
 	bodies := forwarding.NewBodies()
 	large := strings.Repeat("x", 2*forwarding.SmallBody)
@@ -35,23 +35,23 @@
 		length           int
 		failure          error
 	}{
-		"empty":                 {strings.NewReader(""), 0, 10, 0, nil},
-		"small":                 {strings.NewReader("abc"), 3, 10, 3, nil},
-		"at the limit":          {strings.NewReader("abc"), -1, 3, 3, nil},
-		"over the limit":        {strings.NewReader("abcd"), -1, 3, 0, forwarding.ErrTooLarge},
-		"announced over":        {strings.NewReader(""), 11, 10, 0, forwarding.ErrTooLarge},
-		"large":                 {strings.NewReader(large), int64(len(large)), 0, len(large), nil},
-		"large without length":  {strings.NewReader(large), -1, 1 << 20, len(large), nil},
-		"large over the limit":  {strings.NewReader(large), -1, int64(len(large)) - 1, 0, forwarding.ErrTooLarge},
-		"large that breaks off": {broken, -1, 1 << 20, 0, forwarding.ErrNotRead},
+		"empty":                {strings.NewReader(""), 0, 10, 0, nil},
+		"small":                {strings.NewReader("abc"), 3, 10, 3, nil},
+		"at the limit":         {strings.NewReader("abc"), -1, 3, 3, nil},
+		"over the limit":       {strings.NewReader("abcd"), -1, 3, 0, forwarding.ErrTooLarge},
+		"announced over":       {strings.NewReader(""), 11, 10, 0, forwarding.ErrTooLarge},
+		"large":                {strings.NewReader(large), int64(len(large)), 0, len(large), nil},
+		"large without length": {strings.NewReader(large), -1, 1 << 20, len(large), nil},
+		"large over the limit": {strings.NewReader(large), -1, int64(len(large)) - 1, 0, forwarding.ErrTooLarge},
+		"large, truncated":     {broken, -1, 1 << 20, 0, forwarding.ErrNotRead},
 	} {
 		body, release, err := bodies.Read(c.source, c.announced, c.limit)
 		release()
 		must.True(t, errors.Is(err, c.failure), must.Sprint(name, err))
 		must.Len(t, c.length, body, must.Sprint(name))
 	}
-	const all = 96 << 20
-	must.True(t, bodies.Reserve(all), must.Sprint("all was given back"))
+	const bodyMemory = 96 << 20
+	must.True(t, bodies.Reserve(bodyMemory), must.Sprint("a reservation was not released"))
 	_, release, err := bodies.Read(strings.NewReader(large), -1, 1<<20)
 	release()
 	must.ErrorIs(t, err, forwarding.ErrMemory)
--- a/internal/forwarding/forwarding.go
+++ b/internal/forwarding/forwarding.go
@@ -1,5 +1,5 @@
-// Package forwarding passes a caller's request on to a replica of its route's service: it keeps to the route's attempts and
-// time, repeats what may be repeated, and says of a failure whether the request can have run.
+// Package forwarding sends a caller's request to a replica of its route's service. It enforces the route's timeout and number of
+// attempts, retries and hedges requests where the route allows it, and tells a request that has not run from one that may have run.
 package forwarding
 
 import (
@@ -18,51 +18,51 @@
 )
 
 const (
-	// answerMargin is kept of the time that a request may be held, to answer it in time.
+	// answerMargin is the part of the timeout that is reserved for sending the answer.
 	answerMargin = 40 * time.Millisecond
-	// leastAttempt is the time below which no attempt is begun.
-	leastAttempt = 10 * time.Millisecond
-	// hedgeShare is the share of the route's objective after which a second replica is asked, where a request may repeat.
-	hedgeShare = 0.55
-	hedgeLeast = 60 * time.Millisecond
-	// bufferLimit is the size up to which an answer is held whole before it goes to the caller.
+	// minAttempt is the remaining time below which no attempt starts.
+	minAttempt = 10 * time.Millisecond
+	// hedgeFraction is the fraction of the route's objective after which a request that may run more than once is hedged.
+	hedgeFraction = 0.55
+	minHedgeDelay = 60 * time.Millisecond
+	// bufferLimit is the size in bytes up to which an answer is buffered whole before it is sent to the caller.
 	bufferLimit = 1 << 20
-	// RetryAfter is when a caller that was refused may come back.
+	// RetryAfter is how long a refused caller has to wait before a retry.
 	RetryAfter = 150 * time.Millisecond
 )
 
-// Call is one request of a caller.
+// Call is one request of a caller with its limits.
 type Call struct {
 	Request backend.Request
-	// Deadline is the time that the caller waits; zero when it did not say.
+	// Deadline is how long the caller waits; zero if the caller set no limit.
 	Deadline time.Duration
-	// StillAdmitted reports whether the caller's key is in force still; nil where callers need none.
+	// StillAdmitted reports whether the caller's API key still admits the request; nil if callers need no key.
 	StillAdmitted func() bool
 }
 
-// Result is the final answer of a call. Rest, if not nil, is the part of a long body that is still to come.
+// Result is the final answer of a call. Rest, if not nil, is the unread part of a long body and must be closed.
 type Result struct {
 	Status int
 	Header http.Header
 	Body   []byte
 	Length int64
 	Rest   io.ReadCloser
-	// Own says that the status is this node's, not a replica's.
+	// Own is true if this node produced the status, not a replica.
 	Own    bool
 	Reason string
-	// RetryAfter is set on refusals of what has not run.
+	// RetryAfter is set if the request was refused without having run.
 	RetryAfter time.Duration
-	// Unfinished says that no answer can be given any more, only a broken connection.
+	// Unfinished is true if no answer can be sent any more and the connection has to be closed.
 	Unfinished bool
 }
 
-// Meter counts requests of tenants that begin to run.
+// Meter counts the runs of requests by tenant.
 type Meter interface {
-	// Began counts a request that is sent now; withdraw takes it back, once, if it has not run.
+	// Began counts a run. withdraw removes it from the count and is called at most once, if the request has not run.
 	Began(tenant string) (withdraw func())
 }
 
-// Forwarder passes requests on. It is safe for concurrent use.
+// Forwarder sends requests to replicas. It is safe for concurrent use.
 type Forwarder struct {
 	Catalog *catalog.Table
 	Loads   *backend.Loads
@@ -72,11 +72,12 @@
 	Metrics *telemetry.Metrics
 	// Meter may be nil.
 	Meter Meter
-	// Clock is what is left of a caller's time by; nil for a steady one. It has to go on while the machine is suspended, as the caller does.
+	// Clock measures the caller's remaining time; nil for a steady clock. It must advance while the machine is suspended, because the
+	// caller keeps waiting.
 	Clock clock.Clock
 }
 
-// PickPart draws a part of a route by weight.
+// PickPart picks a part of a route at random by weight and returns its service; empty if no part has a weight.
 func PickPart(parts []catalog.Part) string {
 	total := 0
 	for _, part := range parts {
@@ -95,19 +96,19 @@
 	return ""
 }
 
-// Forward runs a call and returns its final answer. The context ends when the caller leaves.
+// Forward runs a call and returns its result. The context ends when the caller disconnects.
 func (forwarder *Forwarder) Forward(ctx context.Context, route *catalog.Route, call *Call) Result {
 	started := time.Now()
-	held := route.Timeout
-	if call.Deadline > 0 && (held <= 0 || call.Deadline < held) {
-		held = call.Deadline
+	timeout := route.Timeout
+	if call.Deadline > 0 && (timeout <= 0 || call.Deadline < timeout) {
+		timeout = call.Deadline
 	}
-	machine := forwarder.clock()
+	callerClock := forwarder.clock()
 	run := &run{
-		forwarder: forwarder, route: route, call: call, started: started, clock: machine, end: machine.Elapsed() + held - answerMargin,
+		forwarder: forwarder, route: route, call: call, started: started, clock: callerClock, deadline: callerClock.Elapsed() + timeout - answerMargin,
 		service: PickPart(route.Parts), results: make(chan attemptResult, max(route.MaxAttempts, 1)),
 	}
-	timedCtx, cancelTimer := context.WithTimeout(ctx, held-answerMargin)
+	timedCtx, cancelTimer := context.WithTimeout(ctx, timeout-answerMargin)
 	attemptCtx, cancelCause := context.WithCancelCause(timedCtx)
 	cancel := func() {
 		cancelCause(backend.ErrUnneeded)
@@ -119,7 +120,7 @@
 	}
 	forwarder.Metrics.Forwarded(result.Status, result.Own, time.Since(started))
 	forwarder.Logger.Info("forward", "request", call.Request.ID, "route", route.Name, "service", run.service,
-		"replica", run.last, "attempts", run.attempts, "replicas_revision", forwarder.Catalog.Replicas().Revision, "configuration", forwarder.configurationVersion(), "held_ms", time.Since(started).Milliseconds(), "status", result.Status,
+		"replica", run.lastReplica, "attempts", run.attempts, "replicas_revision", forwarder.Catalog.Replicas().Revision, "configuration", forwarder.configurationVersion(), "held_ms", time.Since(started).Milliseconds(), "status", result.Status,
 		"own", result.Own, "reason", result.Reason)
 	return result
 }
@@ -133,8 +134,8 @@
 	return 0
 }
 
-// count counts a request of a tenant, empty for none, that is sent to a replica now.
-func (forwarder *Forwarder) count(tenant string) (withdraw func()) {
+// countRun counts a run for a tenant; an empty tenant is not counted.
+func (forwarder *Forwarder) countRun(tenant string) (withdraw func()) {
 	if forwarder.Meter == nil || tenant == "" {
 		return func() {}
 	}
--- a/internal/forwarding/forwarding_test.go
+++ b/internal/forwarding/forwarding_test.go
@@ -20,7 +20,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/forwarding"
 )
 
-// behaviour is how a replica answers one request.
+// behaviour describes how a replica answers one request.
 type behaviour struct {
 	after       time.Duration
 	status      int
@@ -30,7 +30,7 @@
 	held        bool
 }
 
-// scripted answers the n-th request by the n-th behaviour, and the rest by the last.
+// scripted is a sender that answers the n-th request with the n-th behaviour, and later requests with the last one.
 type scripted struct {
 	mu        sync.Mutex
 	script    []behaviour
@@ -48,7 +48,7 @@
 		return nil, backend.ErrNotSent
 	}
 	if behaviour.held {
-		return nil, errors.Mark(&backend.HeldError{After: heldFor}, backend.ErrNotSent)
+		return nil, errors.Mark(&backend.HeldError{After: holdTime}, backend.ErrNotSent)
 	}
 	select {
 	case <-ctx.Done():
@@ -80,11 +80,11 @@
 	return result, sender
 }
 
-// heldFor is when a request may come again that is held.
-const heldFor = 4 * time.Second
+// holdTime is the RetryAfter of a held request.
+const holdTime = 4 * time.Second
 
-// A request that is held is refused at once, with when to come back; one that ran before has an outcome that nobody knows. No replica
-// counts as failing for it.
+// A held request is refused at once with a retry time. If an earlier attempt may have run, the caller gets that attempt's outcome, or
+// outcome_unknown, and no promise that the request has not run.
 func TestHeldRequests(t *testing.T) {
 	held := behaviour{held: true}
 	for _, check := range []struct {
@@ -95,11 +95,11 @@
 		sent   int
 		after  time.Duration
 	}{
-		{"before its first run", catalog.Safe, []behaviour{held}, 503, 1, heldFor},
-		{"after a refusal", catalog.Unsafe, []behaviour{{status: 503, notExecuted: true}, held}, 503, 2, heldFor},
-		{"after a run that broke off", catalog.Safe, []behaviour{{broken: true}, held}, 502, 2, 0},
-		{"after a run that failed", catalog.Safe, []behaviour{{status: 500}, held}, 500, 2, 0},
-		{"beside a run that is slow", catalog.Safe, []behaviour{{after: 300 * time.Millisecond, status: 200}, held}, 200, 2, 0},
+		{"before its first run", catalog.Safe, []behaviour{held}, 503, 1, holdTime},
+		{"after a refusal", catalog.Unsafe, []behaviour{{status: 503, notExecuted: true}, held}, 503, 2, holdTime},
+		{"after a broken connection", catalog.Safe, []behaviour{{broken: true}, held}, 502, 2, 0},
+		{"after a failed run", catalog.Safe, []behaviour{{status: 500}, held}, 500, 2, 0},
+		{"beside a slow run", catalog.Safe, []behaviour{{after: 300 * time.Millisecond, status: 200}, held}, 200, 2, 0},
 	} {
 		result, sender := forward(t, check.kind, 4, check.script...)
 		must.Eq(t, check.status, result.Status, must.Sprint(check.name))
@@ -109,10 +109,10 @@
 }
 
 func TestForward(t *testing.T) {
-	whole := behaviour{after: 20 * time.Millisecond, status: http.StatusOK}
+	served := behaviour{after: 20 * time.Millisecond, status: http.StatusOK}
 	refused := behaviour{status: http.StatusServiceUnavailable, notExecuted: true}
 	failed := behaviour{status: http.StatusInternalServerError}
-	silent := behaviour{after: time.Hour}
+	unresponsive := behaviour{after: time.Hour}
 	cases := []struct {
 		name     string
 		kind     catalog.Kind
@@ -123,19 +123,19 @@
 		sent     int
 		retry    bool
 	}{
-		{"answered", catalog.Safe, 2, []behaviour{whole}, 200, false, 1, false},
-		{"refused then answered", catalog.Safe, 2, []behaviour{refused, whole}, 200, false, 2, false},
-		{"refused by as many as may be asked", catalog.Safe, 2, []behaviour{refused}, 503, true, 2, true},
-		{"unsafe refused then answered", catalog.Unsafe, 2, []behaviour{refused, whole}, 200, false, 2, false},
-		{"unsafe that may have run is not repeated", catalog.Unsafe, 3, []behaviour{{broken: true}, whole}, 502, true, 1, false},
-		{"unsafe that was not sent is repeated", catalog.Unsafe, 3, []behaviour{{notSent: true}, whole}, 200, false, 2, false},
-		{"unsafe failure is passed on", catalog.Unsafe, 3, []behaviour{failed, whole}, 500, false, 1, false},
-		{"safe failure is repeated", catalog.Safe, 2, []behaviour{failed, whole}, 200, false, 2, false},
-		{"safe failure stays a failure", catalog.Safe, 2, []behaviour{failed, refused}, 500, false, 2, false},
-		{"broken then answered", catalog.Safe, 2, []behaviour{{broken: true}, whole}, 200, false, 2, false},
-		{"a silent replica is joined by another", catalog.Safe, 2, []behaviour{silent, whole}, 200, false, 2, false},
-		{"one attempt stays one", catalog.Safe, 1, []behaviour{silent}, 504, true, 1, false},
-		{"silence to the end", catalog.Safe, 2, []behaviour{silent}, 504, true, 2, false},
+		{"served", catalog.Safe, 2, []behaviour{served}, 200, false, 1, false},
+		{"refused then served", catalog.Safe, 2, []behaviour{refused, served}, 200, false, 2, false},
+		{"refused in every allowed attempt", catalog.Safe, 2, []behaviour{refused}, 503, true, 2, true},
+		{"unsafe refused then served", catalog.Unsafe, 2, []behaviour{refused, served}, 200, false, 2, false},
+		{"unsafe that may have run is not retried", catalog.Unsafe, 3, []behaviour{{broken: true}, served}, 502, true, 1, false},
+		{"unsafe that was not sent is retried", catalog.Unsafe, 3, []behaviour{{notSent: true}, served}, 200, false, 2, false},
+		{"unsafe failure is delivered", catalog.Unsafe, 3, []behaviour{failed, served}, 500, false, 1, false},
+		{"safe failure is retried", catalog.Safe, 2, []behaviour{failed, served}, 200, false, 2, false},
+		{"safe failure is delivered if the retry is refused", catalog.Safe, 2, []behaviour{failed, refused}, 500, false, 2, false},
+		{"broken connection then served", catalog.Safe, 2, []behaviour{{broken: true}, served}, 200, false, 2, false},
+		{"an unresponsive replica is hedged", catalog.Safe, 2, []behaviour{unresponsive, served}, 200, false, 2, false},
+		{"no hedge beyond one attempt", catalog.Safe, 1, []behaviour{unresponsive}, 504, true, 1, false},
+		{"no replica answers before the deadline", catalog.Safe, 2, []behaviour{unresponsive}, 504, true, 2, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -146,13 +146,13 @@
 			must.Eq(t, c.retry, result.RetryAfter > 0)
 			for index, deadline := range sender.deadlines {
 				must.LessEq(t, 900*time.Millisecond, deadline)
-				must.True(t, index == 0 || sender.sent[index] != sender.sent[index-1], must.Sprint("the same replica twice"))
+				must.True(t, index == 0 || sender.sent[index] != sender.sent[index-1], must.Sprint("two attempts in a row at the same replica"))
 			}
 		})
 	}
 }
 
-// A request that was held while the machine was suspended gets no more time at a replica than its caller has left.
+// Time during which the machine is suspended counts against the caller's deadline: a retry gets only what remains of it.
 func TestSuspendedCallIsNotRetried(t *testing.T) {
 	for _, check := range []struct {
 		suspended time.Duration
@@ -186,7 +186,7 @@
 	}
 }
 
-// Parts of a route get requests by their weights.
+// PickPart distributes requests over the parts of a route in proportion to their weights.
 func TestPickPart(t *testing.T) {
 	parts := []catalog.Part{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}
 	counts := make(map[string]int)
@@ -198,7 +198,7 @@
 	must.Eq(t, "", forwarding.PickPart(nil))
 }
 
-// A key that is taken away while a request is held begins no further attempt; what has not run is refused as having none.
+// No attempt starts after the API key was revoked, and a request that has not run is then refused as unauthorized.
 func TestRevokedWhileHeld(t *testing.T) {
 	refused := behaviour{after: 20 * time.Millisecond, status: http.StatusServiceUnavailable, notExecuted: true}
 	broken := behaviour{after: 20 * time.Millisecond, broken: true}
@@ -213,8 +213,8 @@
 		{"before the first attempt", refused, 0, 0, http.StatusUnauthorized},
 		{"before a retry of what has not run", refused, 10 * time.Millisecond, 1, http.StatusUnauthorized},
 		{"before a retry of what may have run", broken, 10 * time.Millisecond, 1, http.StatusBadGateway},
-		{"before a hedge: what runs may end", slow, 30 * time.Millisecond, 1, http.StatusOK},
-		{"not in time to matter", refused, time.Second, 3, http.StatusServiceUnavailable},
+		{"before a hedge: the running attempt may finish", slow, 30 * time.Millisecond, 1, http.StatusOK},
+		{"after the last attempt", refused, time.Second, 3, http.StatusServiceUnavailable},
 	} {
 		sender := &scripted{script: []behaviour{check.first}}
 		var result forwarding.Result
@@ -235,7 +235,7 @@
 	}
 }
 
-// tallies counts what a forwarder says to have begun.
+// tallies is a Meter that counts runs by tenant.
 type tallies struct {
 	mu    sync.Mutex
 	count map[string]int
@@ -251,7 +251,7 @@
 	return func() { add(-1) }
 }
 
-// Each run of a tenant's request counts; what was refused or not sent does not, nor do requests of no tenant.
+// Each run of a tenant's request is counted. A request that was refused or not sent is not, nor is a request without a tenant.
 func TestRunsAreCounted(t *testing.T) {
 	served := behaviour{after: 10 * time.Millisecond, status: http.StatusOK}
 	refused := behaviour{after: 10 * time.Millisecond, status: http.StatusServiceUnavailable, notExecuted: true}
@@ -263,12 +263,12 @@
 		want   map[string]int
 	}{
 		{"served", "harbour", []behaviour{served}, map[string]int{"harbour": 1}},
-		{"of no tenant", "", []behaviour{served}, map[string]int{}},
+		{"without a tenant", "", []behaviour{served}, map[string]int{}},
 		{"refused, then served", "harbour", []behaviour{refused, served}, map[string]int{"harbour": 1}},
 		{"not sent, then served", "harbour", []behaviour{{notSent: true}, served}, map[string]int{"harbour": 1}},
 		{"failed, then served: two runs", "harbour", []behaviour{failed, served}, map[string]int{"harbour": 2}},
-		{"cut off, then served: perhaps two", "harbour", []behaviour{{broken: true}, served}, map[string]int{"harbour": 2}},
-		{"refused by all", "harbour", []behaviour{refused}, map[string]int{"harbour": 0}},
+		{"broken connection, then served: possibly two runs", "harbour", []behaviour{{broken: true}, served}, map[string]int{"harbour": 2}},
+		{"refused in every attempt", "harbour", []behaviour{refused}, map[string]int{"harbour": 0}},
 	} {
 		counted := &tallies{count: make(map[string]int)}
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/forwarding/run.go
+++ b/internal/forwarding/run.go
@@ -15,24 +15,24 @@
 	"github.com/thistlewalk/thistlewalk/internal/quarantine"
 )
 
-// run is one call in progress. All its fields belong to the goroutine of loop.
+// run is the state of one call in progress. Only the goroutine of loop changes its fields.
 type run struct {
-	forwarder *Forwarder
-	route     *catalog.Route
-	call      *Call
-	started   time.Time
-	clock     clock.Clock
-	end       time.Duration // by the clock
-	service   string
-	tried     []string
-	last      string
-	attempts  int
-	pending   int
-	// mayHaveRun says that an attempt ended without word of its outcome.
+	forwarder   *Forwarder
+	route       *catalog.Route
+	call        *Call
+	started     time.Time
+	clock       clock.Clock
+	deadline    time.Duration // reading of clock at which the call ends
+	service     string
+	tried       []string
+	lastReplica string
+	attempts    int
+	pending     int
+	// mayHaveRun is true if the request may have run in an attempt that failed.
 	mayHaveRun bool
-	// held says that the request is sent to no further replica, since others ended under it.
+	// held is set if the request is held because of earlier crashes, so that no further attempt starts.
 	held *backend.HeldError
-	// failure is the answer of a replica that failed the request, kept in case no other does better.
+	// failure is the first failed answer of a replica, delivered if no other attempt succeeds.
 	failure *attemptResult
 	results chan attemptResult
 }
@@ -45,7 +45,7 @@
 	err     error
 }
 
-// hasNotRun reports whether it is known that the replica did not begin the request.
+// hasNotRun reports whether the replica is known not to have started the request.
 func (result *attemptResult) hasNotRun() bool {
 	if result.err != nil {
 		return errors.Is(result.err, backend.ErrNotSent)
@@ -53,7 +53,7 @@
 	return result.answer.NotExecuted
 }
 
-// held returns why the request was not sent, if replicas have ended under it; nil otherwise.
+// held returns the error of a request that was not sent because it is held; nil otherwise.
 func (result *attemptResult) held() *backend.HeldError {
 	var held *backend.HeldError
 	if errors.As(result.err, &held) {
@@ -63,7 +63,7 @@
 }
 
 func (run *run) loop(ctx context.Context) Result {
-	if !run.start(ctx) {
+	if !run.startAttempt(ctx) {
 		if run.revoked() {
 			return run.unauthorized()
 		}
@@ -75,11 +75,11 @@
 		case result := <-run.results:
 			stop()
 			run.pending--
-			if final, done := run.settle(ctx, result); done {
+			if final, done := run.handleResult(ctx, result); done {
 				return final
 			}
 		case <-hedge:
-			run.start(ctx)
+			run.startAttempt(ctx)
 		case <-ctx.Done():
 			stop()
 			return run.timedOut()
@@ -87,26 +87,27 @@
 	}
 }
 
-// hedgeTimer fires when another replica is to be asked beside the one that is slow.
+// hedgeTimer returns a channel that fires when the request is to be hedged, and a function that stops the timer. The channel is nil if
+// the request must not be hedged.
 func (run *run) hedgeTimer() (<-chan time.Time, func()) {
 	if run.held != nil || run.route.Kind != catalog.Safe || run.pending != 1 || run.attempts >= run.route.MaxAttempts {
 		return nil, func() {}
 	}
-	wait := max(hedgeLeast, time.Duration(hedgeShare*float64(run.route.Objective)))
+	wait := max(minHedgeDelay, time.Duration(hedgeFraction*float64(run.route.Objective)))
 	timer := time.NewTimer(wait)
 	return timer.C, func() { timer.Stop() }
 }
 
-// revoked reports whether the caller's key was taken away since the request came: no further attempt begins with it.
+// revoked reports whether the caller's API key was revoked since the request arrived. No attempt starts after that.
 func (run *run) revoked() bool { return run.call.StillAdmitted != nil && !run.call.StillAdmitted() }
 
-// start sends the request to a replica that has not had it, and reports whether there was one.
-func (run *run) start(ctx context.Context) bool {
-	left := run.end - run.clock.Elapsed()
+// startAttempt sends the request to a replica that was not tried before, and reports whether the attempt started.
+func (run *run) startAttempt(ctx context.Context) bool {
+	remaining := run.deadline - run.clock.Elapsed()
 	if run.revoked() {
 		return false
 	}
-	if run.attempts >= max(run.route.MaxAttempts, 1) || left < leastAttempt {
+	if run.attempts >= max(run.route.MaxAttempts, 1) || remaining < minAttempt {
 		return false
 	}
 	now := time.Now()
@@ -116,21 +117,21 @@
 		return false
 	}
 	run.tried = append(run.tried, replica.ID)
-	run.last = replica.ID
+	run.lastReplica = replica.ID
 	run.attempts++
 	run.pending++
 	request := run.call.Request
-	request.Deadline = left
+	request.Deadline = remaining
 	request.Priority = -1
-	go run.attempt(ctx, replica, &request)
+	go run.runAttempt(ctx, replica, &request)
 	return true
 }
 
-// attempt sends the request once and reads the answer, or its beginning when it is long.
-func (run *run) attempt(ctx context.Context, replica *catalog.Replica, request *backend.Request) {
+// runAttempt sends the request once and reads the answer up to the buffer limit. Its result goes to run.results.
+func (run *run) runAttempt(ctx context.Context, replica *catalog.Replica, request *backend.Request) {
 	loads := run.forwarder.Loads
 	loads.Begin(replica.ID, time.Now())
-	withdraw := run.forwarder.count(request.Tenant)
+	withdraw := run.forwarder.countRun(request.Tenant)
 	result := attemptResult{replica: replica.ID}
 	result.answer, result.err = run.forwarder.Sender.Send(ctx, replica, request)
 	if result.hasNotRun() {
@@ -150,7 +151,8 @@
 	run.results <- result
 }
 
-// readBody reads an answer up to the buffer limit; what is longer, or a stream, is left to be read on.
+// readBody buffers an answer up to the buffer limit. The returned reader holds the unread part of a longer answer, or a whole stream; nil if
+// nothing is left to read.
 func readBody(answer *backend.Answer, stream bool) ([]byte, io.ReadCloser, error) {
 	if stream && answer.Status < http.StatusMultipleChoices {
 		return nil, answer.Body, nil
@@ -171,8 +173,8 @@
 	return buffer.Bytes(), nil, nil
 }
 
-// settle decides what the end of an attempt means for the call.
-func (run *run) settle(ctx context.Context, result attemptResult) (Result, bool) {
+// handleResult decides how the call continues after an attempt. It returns the final result and true if the call has ended.
+func (run *run) handleResult(ctx context.Context, result attemptResult) (Result, bool) {
 	run.logFailure(result)
 	switch {
 	case result.err == nil && result.answer.NotExecuted:
@@ -194,16 +196,16 @@
 	if run.pending > 0 {
 		return Result{}, false
 	}
-	if run.held == nil && (run.route.Idempotent() || !run.mayHaveRun) && run.start(ctx) {
+	if run.held == nil && (run.route.Idempotent() || !run.mayHaveRun) && run.startAttempt(ctx) {
 		return Result{}, false
 	}
 	return run.giveUp(), true
 }
 
-// logFailure tells of an attempt that did not serve the request, and whether it can have run.
+// logFailure logs an attempt that did not serve the request, with what is known of whether the request has run.
 func (run *run) logFailure(result attemptResult) {
 	switch {
-	case result.held() != nil: // which has a line of its own
+	case result.held() != nil: // logged by the quarantine
 	case result.err != nil:
 		run.forwarder.Logger.Info("attempt failed", "request", run.call.Request.ID, "replica", result.replica, "sent", !errors.Is(result.err, backend.ErrNotSent),
 			"after_ms", time.Since(run.started).Milliseconds(), "fingerprint", run.fingerprint(result), "error", result.err)
@@ -213,7 +215,8 @@
 	}
 }
 
-// fingerprint names what a replica was asked of whom no answer came: a request that comes again has another identifier.
+// fingerprint returns the fingerprint of a request that was sent and not answered; empty if it was not sent. A retry by the caller has the same
+// fingerprint but another request identifier.
 func (run *run) fingerprint(result attemptResult) string {
 	if errors.Is(result.err, backend.ErrNotSent) {
 		return ""
@@ -221,7 +224,7 @@
 	return quarantine.FingerprintOf(run.service, &run.call.Request).String()
 }
 
-// keepFailure keeps the first failure that a replica answered, in case no other replica does better.
+// keepFailure keeps the first failed answer, to be delivered if no other attempt succeeds.
 func (run *run) keepFailure(result attemptResult) {
 	run.mayHaveRun = true
 	if run.failure != nil {
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -106,5 +106,5 @@
 		return false
 	}' ./internal/dissemination
 mutate 'usage is dated by the steady clock' internal/metering/clock.go 'steady: machine.Elapsed()}' 'steady: machine.Elapsed()/2}' ./internal/metering
-mutate "a caller's time by the steady clock" internal/forwarding/run.go 'left := run.end - run.clock.Elapsed()' 'left := run.end - run.clock.Elapsed() + time.Hour' ./internal/forwarding
+mutate "a caller's time by the steady clock" internal/forwarding/run.go 'remaining := run.deadline - run.clock.Elapsed()' 'remaining := run.deadline - run.clock.Elapsed() + time.Hour' ./internal/forwarding
 exit "$missed"
