--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -15,21 +15,21 @@
 	"github.com/thistlewalk/thistlewalk/internal/rollout"
 )
 
-// Extension is the documented addition to the OpenAI request: field "thistlewalk".
+// Extension is the field "thistlewalk" that extends an OpenAI request.
 type Extension struct {
-	// RequestID identifies the request; made by the node when empty. Not-repeatable requests must bring one.
+	// RequestID identifies the request; the node generates one if it is empty. It is required if Repeatable is false.
 	RequestID string `json:"request_id,omitempty"`
-	// Rollout is the handle that the last turn's answer gave, or a key of the caller's own; empty on a first turn.
+	// Rollout is the handle from the previous turn's answer, or a key chosen by the caller; empty on the first turn.
 	Rollout string `json:"rollout,omitempty"`
-	// DeadlineMilliseconds is how long the caller waits.
+	// DeadlineMilliseconds is how long the caller waits; zero selects the default.
 	DeadlineMilliseconds int64 `json:"deadline_ms,omitempty"`
-	// Priority orders requests: -100 to 100, greater first.
+	// Priority is -100 to 100; requests with a greater one are admitted first.
 	Priority int `json:"priority,omitempty"`
-	// Repeatable false lets the request run at most once. Missing is true.
+	// Repeatable is true if missing. If it is false, the request runs at most once.
 	Repeatable *bool `json:"repeatable,omitempty"`
 }
 
-// sampling holds the OpenAI fields that are taken and passed over: engines sample by their own settings.
+// sampling holds the OpenAI fields that are accepted and, except for N, ignored: engines use their own sampling settings.
 type sampling struct {
 	Temperature      *float64 `json:"temperature,omitempty"`
 	TopP             *float64 `json:"top_p,omitempty"`
@@ -81,9 +81,9 @@
 	maximumPriority   = 100
 )
 
-// turn is one checked request, whichever call it came by.
+// turn is one validated request, from either of the completion calls.
 type turn struct {
-	token      string // the caller's
+	token      string // of the caller
 	chat       bool
 	stream     bool
 	model      string
@@ -121,7 +121,8 @@
 	return gateway.serveTurn(writer, request, prepared)
 }
 
-// flatten writes a chat as one prompt, so that a longer chat has a shorter one as its prefix.
+// flatten formats a chat as one prompt. The prompt of a chat is a prefix of the prompts of its continuations, so that a replica can reuse
+// its cache.
 func flatten(messages []ChatMessage) string {
 	var prompt strings.Builder
 	for _, message := range messages {
@@ -133,7 +134,7 @@
 	return prompt.String()
 }
 
-// prepare checks a request and picks its policy.
+// prepare validates a request and assigns it to an arm of its experiment.
 func (gateway *Gateway) prepare(token, model, prompt string, tokens int, choices *int, extension Extension) (turn, error) {
 	if tokens == 0 {
 		tokens = defaultTokens
@@ -186,15 +187,16 @@
 	}
 }
 
-// prefixBytes of a prompt decide which replica's cache it looks for.
+// prefixBytes is the length of the prompt prefix by which a replica with a matching cache is selected.
 const prefixBytes = 256
 
 func prefixKey(prompt string) string { return prompt[:min(len(prompt), prefixBytes)] }
 
-// assign picks the arm of a rollout: that of its handle, else by its key.
+// assign returns the arm and the key of a rollout. If text is a handle, both come from the handle, and preferred is the replica of the last
+// turn. Otherwise text is the key, or a random key is used if text is empty, and the key selects the arm.
 func (gateway *Gateway) assign(token, model, text string) (arm experiment.Arm, key, preferred string, err error) {
 	document := gateway.follower.Document()
-	given, isHandle, err := parseHandle(token, text)
+	parsed, isHandle, err := parseHandle(token, text)
 	if err != nil {
 		return arm, "", "", err
 	}
@@ -206,22 +208,22 @@
 		arm, err = document.AssignPolicy(model, key)
 		return arm, key, "", err
 	}
-	found, ok := document.Experiment(model)
+	definition, ok := document.Experiment(model)
 	if !ok {
 		return arm, "", "", result.New(result.InvalidNotFound, "experiment %q does not exist", model)
 	}
-	arm, ok = found.Arm(given.policy)
-	policy, _ := document.Policy(given.policy)
+	arm, ok = definition.Arm(parsed.policy)
+	policy, _ := document.Policy(parsed.policy)
 	if !ok {
-		return arm, "", "", result.New(result.InvalidField, "rollout: experiment %q has no policy %q", model, given.policy)
+		return arm, "", "", result.New(result.InvalidField, "rollout: experiment %q has no policy %q", model, parsed.policy)
 	}
 	if policy.State != experiment.PolicyActive {
 		return arm, "", "", result.New(result.NotRunPaused, "policy %q is %s", policy.Name, policy.State).WithRetryAfter(time.Second)
 	}
-	return arm, given.key, given.replica, nil
+	return arm, parsed.key, parsed.replica, nil
 }
 
-// serveTurn admits, runs and answers a request.
+// serveTurn admits, runs and answers a turn.
 func (gateway *Gateway) serveTurn(writer http.ResponseWriter, request *http.Request, prepared turn) error {
 	if gateway.stopping.Load() {
 		return result.New(result.NotRunStopping, "the node is stopping").WithRetryAfter(time.Second)
@@ -231,7 +233,7 @@
 	}
 	ctx := request.Context()
 	if !prepared.repeatable {
-		// A caller that goes away and asks again gets the answer of the one run.
+		// The run continues if the caller disconnects, so that a retry gets its answer.
 		ctx = context.WithoutCancel(ctx)
 	}
 	ctx, cancel := context.WithTimeout(ctx, prepared.deadline)
@@ -243,7 +245,7 @@
 	defer release()
 	responder := newResponder(writer, prepared)
 	if prepared.repeatable {
-		outcome, err := gateway.runner.Run(ctx, prepared.execution, responder.chunk)
+		outcome, err := gateway.runner.Run(ctx, prepared.execution, responder.sendChunk)
 		return responder.finish(outcome, err)
 	}
 	return gateway.runOnce(ctx, prepared, responder)
@@ -257,19 +259,19 @@
 	return host
 }
 
-// contentHash identifies what a request asks for.
+// contentHash identifies the content of a request: its experiment and prompt.
 func contentHash(prepared turn) uint64 {
 	return xxhash.Sum64String(prepared.model + "\x00" + prepared.execution.Prompt)
 }
 
-// usage counts tokens as OpenAI clients expect; prompt tokens are not known to the gateway.
+// usage counts tokens in the form of OpenAI. The gateway does not know the number of prompt tokens, which stays zero.
 type usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// AnswerExtension is the documented addition to the OpenAI answer: field "thistlewalk".
+// AnswerExtension is the field "thistlewalk" that extends an OpenAI answer.
 type AnswerExtension struct {
 	RequestID string         `json:"request_id"`
 	Rollout   string         `json:"rollout"`
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,4 +1,4 @@
-// Package gateway is the HTTP interface for callers, trainers and operators (docs/API.md).
+// Package gateway implements the HTTP interface for callers, trainers and operators (docs/API.md).
 package gateway
 
 import (
@@ -17,14 +17,14 @@
 	"github.com/thistlewalk/thistlewalk/internal/query"
 )
 
-// Cluster reaches the owners of partitions and answers queries about the whole system.
+// Cluster provides clients of partition owners and answers queries about the whole system.
 type Cluster interface {
-	// Steps returns the owner of a steps partition, which may be this node.
+	// Steps returns a client of the owner of a steps partition, which may be this node.
 	Steps(partition uint32) (controlv1.Steps, error)
-	// Claims returns the owner of a claims partition, which may be this node.
+	// Claims returns a client of the owner of a claims partition, which may be this node.
 	Claims(partition uint32) (controlv1.Claims, error)
-	// Holder names this process in claims.
-	Holder() (nodeID string, life uint64)
+	// Holder returns the identity of this process in claims.
+	Holder() (nodeID string, incarnation uint64)
 	Query(ctx context.Context, show *command.Show) (query.Table, error)
 }
 
@@ -32,13 +32,13 @@
 type Settings struct {
 	MaximumBody     int64
 	DefaultDeadline time.Duration
-	// OwnerWait is how long a trainer's call waits for a partition to get an owner.
+	// OwnerWait is how long a trainer's call waits until its partition has a reachable owner.
 	OwnerWait      time.Duration
 	OperatorTokens []string
 	CallerTokens   []string
 }
 
-// Gateway serves the calls.
+// Gateway serves the HTTP calls.
 type Gateway struct {
 	settings  Settings
 	cluster   Cluster
@@ -63,7 +63,7 @@
 	Callers   *admission.CallerLimits
 	Metrics   *Metrics
 	Logger    *log.Logger
-	// Ready tells whether the node has learned enough to serve.
+	// Ready reports whether the node has the state that it needs to serve.
 	Ready func() bool
 }
 
@@ -74,25 +74,25 @@
 		logger: dependencies.Logger, ready: dependencies.Ready}
 }
 
-// Refuse makes the gateway answer new work with NotRunStopping; calls in progress go on.
+// Refuse makes the gateway refuse new requests and steps with NotRunStopping. Calls in progress continue.
 func (gateway *Gateway) Refuse() { gateway.stopping.Store(true) }
 
 // Handler returns the routes.
 func (gateway *Gateway) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/completions", gateway.caller(gateway.completions))
-	mux.HandleFunc("POST /v1/chat/completions", gateway.caller(gateway.chatCompletions))
-	mux.HandleFunc("POST /v1/steps", gateway.caller(gateway.createStep))
-	mux.HandleFunc("POST /v1/steps/{step}/fetch", gateway.caller(gateway.fetch))
-	mux.HandleFunc("POST /v1/steps/{step}/acknowledge", gateway.caller(gateway.acknowledge))
-	mux.HandleFunc("POST /v1/steps/{step}/end", gateway.caller(gateway.endStep))
-	mux.HandleFunc("POST /v1/policies/{policy}/versions", gateway.caller(gateway.publish))
-	mux.HandleFunc("POST /v1/commands", gateway.operator(gateway.commands))
-	mux.HandleFunc("POST /v1/queries", gateway.operator(gateway.queries))
+	mux.HandleFunc("POST /v1/completions", gateway.requireCaller(gateway.completions))
+	mux.HandleFunc("POST /v1/chat/completions", gateway.requireCaller(gateway.chatCompletions))
+	mux.HandleFunc("POST /v1/steps", gateway.requireCaller(gateway.createStep))
+	mux.HandleFunc("POST /v1/steps/{step}/fetch", gateway.requireCaller(gateway.fetch))
+	mux.HandleFunc("POST /v1/steps/{step}/acknowledge", gateway.requireCaller(gateway.acknowledge))
+	mux.HandleFunc("POST /v1/steps/{step}/end", gateway.requireCaller(gateway.endStep))
+	mux.HandleFunc("POST /v1/policies/{policy}/versions", gateway.requireCaller(gateway.publish))
+	mux.HandleFunc("POST /v1/commands", gateway.requireOperator(gateway.commands))
+	mux.HandleFunc("POST /v1/queries", gateway.requireOperator(gateway.queries))
 	mux.HandleFunc("GET /healthz", gateway.health)
 	mux.HandleFunc("GET /readyz", gateway.readiness)
 	mux.Handle("GET /metrics", gateway.metrics.Handler())
-	mux.HandleFunc("/", gateway.unknownCall)
+	mux.HandleFunc("/", gateway.notFound)
 	return mux
 }
 
--- a/internal/gateway/handle.go
+++ b/internal/gateway/handle.go
@@ -10,7 +10,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/result"
 )
 
-// handle names a rollout between its turns. It is signed with its caller's token, so that no other caller can name it.
+// handle identifies a rollout across turns. Its encoded form is signed with the caller's token, so that no other caller can use it.
 type handle struct {
 	key     string
 	policy  string
@@ -20,8 +20,8 @@
 const (
 	handleSeparator = "~"
 	handleParts     = 4
-	signatureLength = 16 // bytes kept of the signature
-	scopeLength     = 6  // bytes that tell callers apart
+	signatureLength = 16 // bytes
+	scopeLength     = 6  // bytes of the hash of the token
 )
 
 func callerToken(request *http.Request) string {
@@ -34,13 +34,13 @@
 	return hex.EncodeToString(signer.Sum(nil)[:signatureLength])
 }
 
-// text returns the handle's form for its caller.
-func (rollout handle) text(token string) string {
+// encode returns the signed text of the handle for a caller.
+func (rollout handle) encode(token string) string {
 	content := strings.Join([]string{rollout.key, rollout.policy, rollout.replica}, handleSeparator)
 	return content + handleSeparator + sign(token, content)
 }
 
-// parseHandle reads a handle; false for a key of the caller's own, and an error when the handle is not this caller's.
+// parseHandle decodes a handle and verifies its signature. It returns false without an error if text is a key chosen by the caller.
 func parseHandle(token, text string) (handle, bool, error) {
 	parts := strings.Split(text, handleSeparator)
 	if len(parts) == 1 {
@@ -56,7 +56,7 @@
 	return handle{key: parts[0], policy: parts[1], replica: parts[2]}, true, nil
 }
 
-// scoped makes a caller's request identifier its own: two callers with one identifier do not meet.
+// scoped prefixes a request identifier with a hash of the caller's token, so that identifiers of different callers do not collide.
 func scoped(token, requestID string) string {
 	if token == "" {
 		return requestID
--- a/internal/gateway/handle_test.go
+++ b/internal/gateway/handle_test.go
@@ -11,13 +11,14 @@
 	"github.com/thistlewalk/thistlewalk/internal/result"
 )
 
+// A caller must not use the rollout handle of another caller.
 func TestAHandleIsItsCallersOwn(t *testing.T) {
-	given := handle{key: "k", policy: "p", replica: "engine-1"}
-	text := given.text("token-a")
-	read, isHandle, err := parseHandle("token-a", text)
+	original := handle{key: "k", policy: "p", replica: "engine-1"}
+	text := original.encode("token-a")
+	decoded, isHandle, err := parseHandle("token-a", text)
 	must.NoError(t, err)
 	must.True(t, isHandle)
-	must.Eq(t, given, read)
+	must.Eq(t, original, decoded)
 	_, _, err = parseHandle("token-b", text)
 	must.Eq(t, result.InvalidNotAllowed, result.CodeOf(err))
 	_, isHandle, err = parseHandle("token-b", "a key of my own")
@@ -25,13 +26,14 @@
 	must.False(t, isHandle)
 }
 
+// Equal request identifiers of different callers must not collide.
 func TestTwoCallersWithOneIdentifierDoNotMeet(t *testing.T) {
 	must.NotEq(t, scoped("token-a", "r"), scoped("token-b", "r"))
 	must.Eq(t, scoped("token-a", "r"), scoped("token-a", "r"))
 	must.Eq(t, "r", scoped("", "r"))
 }
 
-// Whatever comes as a body is read or refused with a numbered error of class invalid.
+// Any body is either decoded or refused with an error of class invalid.
 func FuzzRequests(f *testing.F) {
 	f.Add([]byte(`{"model":"e","prompt":"x","max_tokens":5,"thistlewalk":{"request_id":"r","repeatable":false}}`))
 	f.Add([]byte(`{"step":"s","experiment":"e","prompts":["a"],"group_size":2,"max_tokens":5}`))
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -11,13 +11,13 @@
 	"github.com/thistlewalk/thistlewalk/internal/result"
 )
 
-// Metrics are the node's figures for GET /metrics; docs/OPERATIONS.md lists them with their units.
+// Metrics holds the node's metrics for GET /metrics. docs/OPERATIONS.md lists them with their units.
 type Metrics struct {
 	registry *prometheus.Registry
 	calls    *prometheus.CounterVec
 }
 
-// NewMetrics returns metrics with the counters of calls.
+// NewMetrics returns metrics with the counter of calls.
 func NewMetrics() *Metrics {
 	metrics := &Metrics{
 		registry: prometheus.NewRegistry(),
@@ -29,17 +29,17 @@
 	return metrics
 }
 
-// RegisterProcess adds the figures of the process, which nodes that share one must not do.
+// RegisterProcess adds the metrics of the process and the Go runtime. Nodes that share a process must not call it.
 func (metrics *Metrics) RegisterProcess() {
 	metrics.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 }
 
-// Gauge adds a figure that is read when asked for.
+// Gauge adds a gauge whose value is read at each scrape.
 func (metrics *Metrics) Gauge(name, help string, read func() float64) {
 	metrics.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
 }
 
-// Total adds a counter that is read when asked for.
+// Total adds a counter whose value is read at each scrape.
 func (metrics *Metrics) Total(name, help string, read func() float64) {
 	metrics.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, read))
 }
@@ -48,7 +48,7 @@
 	metrics.calls.WithLabelValues(route, strconv.Itoa(int(code)), code.Class().String()).Inc()
 }
 
-// Handler serves the figures in the Prometheus text format.
+// Handler serves the metrics in the Prometheus text format.
 func (metrics *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(metrics.registry, promhttp.HandlerOpts{})
 }
--- a/internal/gateway/once.go
+++ b/internal/gateway/once.go
@@ -15,16 +15,19 @@
 )
 
 const (
-	// claimWait bounds the wait for a claim's answer, over all tries.
+	// claimWait bounds the time to make a claim, with all retries.
 	claimWait = 5 * time.Second
-	// settleWait bounds the tries to store an outcome; a claim that stays unsettled is answered as unknown.
-	settleWait   = 30 * time.Second
+	// settleWait bounds the time to store an outcome, with all retries. A claim that stays unsettled is reported as in progress, or as
+	// unknown once its node is lost.
+	settleWait = 30 * time.Second
+	// claimTimeout bounds each call to the owner.
 	claimTimeout = 2 * time.Second
-	// maximumStoredAnswer bounds the answer that is kept for a repeated request, in bytes.
+	// maximumStoredAnswer bounds the size in bytes of an answer that is stored with its claim.
 	maximumStoredAnswer = 256 << 10
 )
 
-// runOnce runs a not-repeatable request under a claim, or gives the stored answer of its one run.
+// runOnce claims the identifier of a request that is not repeatable and runs the request. If the request has run before, runOnce sends the
+// stored answer.
 func (gateway *Gateway) runOnce(ctx context.Context, prepared turn, responder *responder) error {
 	token := uuid.NewString()
 	answer, err := gateway.claim(ctx, prepared, token)
@@ -32,30 +35,30 @@
 		return err
 	}
 	if !answer.GetGranted() {
-		return gateway.repeatAnswer(answer.GetAnswer(), responder)
+		return gateway.replayAnswer(answer.GetAnswer(), responder)
 	}
-	outcome, err := gateway.runner.Run(ctx, prepared.execution, responder.chunk)
+	outcome, err := gateway.runner.Run(ctx, prepared.execution, responder.sendChunk)
 	gateway.settle(prepared.execution.RequestID, token, outcome, err)
 	return responder.finish(outcome, err)
 }
 
-// claim asks the owner until it answers. Asking again with the same token is safe; giving up is not run, since no back
-// end was asked under this token and the claim is settled as not run.
+// claim claims the identifier of a request at the partition's owner, with retries; a retry with the same token is safe. Without a grant,
+// nothing runs under the token. If the owner may have stored the claim without answering, it is settled as not run.
 func (gateway *Gateway) claim(ctx context.Context, prepared turn, token string) (*controlv1.ClaimResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimWait)
 	defer cancel()
-	nodeID, life := gateway.cluster.Holder()
+	nodeID, incarnation := gateway.cluster.Holder()
 	request := &controlv1.ClaimRequest{
 		Partition: claim.PartitionOf(prepared.execution.RequestID), RequestId: prepared.execution.RequestID, Token: token,
-		ContentHash: contentHash(prepared), HolderNode: nodeID, HolderLife: life,
+		ContentHash: contentHash(prepared), HolderNode: nodeID, HolderLife: incarnation,
 	}
-	asked := false
+	sent := false
 	answer, err := backoff.Retry(ctx, func() (*controlv1.ClaimResponse, error) {
 		owner, err := gateway.cluster.Claims(request.GetPartition())
 		if err != nil {
 			return nil, err
 		}
-		asked = true
+		sent = true
 		callCtx, cancel := context.WithTimeout(ctx, claimTimeout)
 		defer cancel()
 		answer, err := owner.Claim(callCtx, request)
@@ -67,7 +70,7 @@
 			return nil, backoff.Permanent(failure)
 		}
 		return answer, failure
-	}, backoff.WithBackOff(quickBackOff()), backoff.WithMaxElapsedTime(0))
+	}, backoff.WithBackOff(shortBackOff()), backoff.WithMaxElapsedTime(0))
 	if err == nil {
 		return answer, nil
 	}
@@ -75,20 +78,20 @@
 		return nil, failure
 	}
 	failure := result.New(result.NotRunNoOwner, "the claim was not granted: %v", err).WithRetryAfter(time.Second)
-	if asked {
+	if sent {
 		go gateway.settle(prepared.execution.RequestID, token, execution.Outcome{}, failure)
 	}
 	return nil, failure
 }
 
-func quickBackOff() *backoff.ExponentialBackOff {
+func shortBackOff() *backoff.ExponentialBackOff {
 	policy := backoff.NewExponentialBackOff()
 	policy.InitialInterval = 20 * time.Millisecond
 	policy.MaxInterval = 500 * time.Millisecond
 	return policy
 }
 
-// settle stores the outcome of a run, so that the same request sent again gets it.
+// settle stores the outcome of a run for later requests with the same identifier.
 func (gateway *Gateway) settle(requestID, token string, outcome execution.Outcome, failure error) {
 	ctx, cancel := context.WithTimeout(context.Background(), settleWait)
 	defer cancel()
@@ -115,14 +118,14 @@
 			return struct{}{}, backoff.Permanent(failure)
 		}
 		return struct{}{}, failure
-	}, backoff.WithBackOff(quickBackOff()), backoff.WithMaxElapsedTime(0))
+	}, backoff.WithBackOff(shortBackOff()), backoff.WithMaxElapsedTime(0))
 	if err != nil {
 		gateway.logger.Warn("outcome not stored", "request", requestID, "code", result.CodeOf(failure), "error", err)
 	}
 }
 
-// repeatAnswer gives the stored answer of a request that ran before.
-func (gateway *Gateway) repeatAnswer(stored []byte, responder *responder) error {
+// replayAnswer sends the stored answer of a request that has run before.
+func (gateway *Gateway) replayAnswer(stored []byte, responder *responder) error {
 	responder.code = result.DoneAlready
 	if len(stored) == 0 {
 		return result.New(result.UnknownHistory, "the request ran, and its answer was too long to keep")
@@ -131,5 +134,5 @@
 	if err := cbor.Unmarshal(stored, &outcome); err != nil {
 		return result.New(result.InternalFault, "stored answer: %v", err)
 	}
-	return responder.whole(outcome)
+	return responder.sendWhole(outcome)
 }
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -14,14 +14,14 @@
 	"github.com/thistlewalk/thistlewalk/internal/result"
 )
 
-// CommandRequest is the body of POST /v1/commands: a script of changes and queries, carried out in order.
+// CommandRequest is the body of POST /v1/commands: a script of changes and queries that run in order.
 type CommandRequest struct {
 	Text string `json:"text"`
-	// CommandID makes a script that is sent again the same one; made by the node when empty.
+	// CommandID identifies the script, so that a retry has no further effect; the node generates one if it is empty.
 	CommandID string `json:"command_id,omitempty"`
-	// BaseRevision is the revision that the operator decided on; a change of the same object since is a conflict.
+	// BaseRevision is the revision on which the script is based; a later change of the same object is a conflict.
 	BaseRevision uint64 `json:"base_revision,omitempty"`
-	// DryRun tells what would change and changes nothing.
+	// DryRun reports what the script would change, without changing it.
 	DryRun bool `json:"dry_run,omitempty"`
 }
 
@@ -35,14 +35,14 @@
 	Table     *query.Table `json:"table,omitempty"`
 }
 
-// CommandResponse lists the outcomes up to the first failure; later statements are not carried out.
+// CommandResponse lists the outcomes up to the first failure. Later statements are not run.
 type CommandResponse struct {
 	Statements []StatementResponse `json:"statements"`
 	// Skipped counts the statements after the first failure.
 	Skipped int `json:"skipped"`
 }
 
-// commandWait bounds one statement.
+// commandWait bounds the time of one statement.
 const commandWait = 20 * time.Second
 
 func (gateway *Gateway) commands(writer http.ResponseWriter, request *http.Request) error {
@@ -65,7 +65,7 @@
 		if body.DryRun {
 			outcome = previewStatement(&preview, statement)
 		} else {
-			outcome = gateway.carryOut(ctx, statement, fmt.Sprintf("%s/%d", body.CommandID, index), body.BaseRevision)
+			outcome = gateway.execute(ctx, statement, fmt.Sprintf("%s/%d", body.CommandID, index), body.BaseRevision)
 		}
 		cancel()
 		response.Statements = append(response.Statements, outcome)
@@ -87,8 +87,8 @@
 	return outcome
 }
 
-// carryOut does one statement.
-func (gateway *Gateway) carryOut(ctx context.Context, statement command.Statement, commandID string, baseRevision uint64) StatementResponse {
+// execute runs one statement.
+func (gateway *Gateway) execute(ctx context.Context, statement command.Statement, commandID string, baseRevision uint64) StatementResponse {
 	switch {
 	case statement.Show != nil:
 		table, err := gateway.show(ctx, statement.Show)
@@ -139,7 +139,7 @@
 	Text string `json:"text"`
 }
 
-// queries carries out a script that may only ask.
+// queries runs a script that may contain only queries.
 func (gateway *Gateway) queries(writer http.ResponseWriter, request *http.Request) error {
 	var body QueryRequest
 	if err := gateway.readJSON(writer, request, &body); err != nil {
@@ -155,7 +155,7 @@
 			return result.New(result.InvalidState, "%q is not a query; send it to /v1/commands", statement.Text)
 		}
 		ctx, cancel := context.WithTimeout(request.Context(), commandWait)
-		response.Statements = append(response.Statements, gateway.carryOut(ctx, statement, "", 0))
+		response.Statements = append(response.Statements, gateway.execute(ctx, statement, "", 0))
 		cancel()
 	}
 	writeJSON(writer, http.StatusOK, response)
--- a/internal/gateway/responder.go
+++ b/internal/gateway/responder.go
@@ -10,14 +10,14 @@
 	"github.com/thistlewalk/thistlewalk/internal/rollout"
 )
 
-// responder writes the answer of one request, as a stream of events or as one body.
+// responder sends the answer to one request, as a stream of events or as one body.
 type responder struct {
 	writer  http.ResponseWriter
 	flusher *http.ResponseController
 	turn    turn
 	created int64
 	code    result.Code
-	begun   bool
+	started bool
 }
 
 func newResponder(writer http.ResponseWriter, prepared turn) *responder {
@@ -53,8 +53,8 @@
 	Extension AnswerExtension `json:"thistlewalk"`
 }
 
-// chunk passes one chunk on when the caller streams.
-func (responder *responder) chunk(chunk rollout.Chunk) error {
+// sendChunk sends a chunk as an event if the caller requested a stream.
+func (responder *responder) sendChunk(chunk rollout.Chunk) error {
 	if !responder.turn.stream {
 		return nil
 	}
@@ -65,7 +65,7 @@
 		body.Extension.Spans[index].Last += chunk.Position
 	}
 	body.Choices = responder.choices(chunk.Text, chunk.FinishReason, true)
-	return responder.event(body)
+	return responder.sendEvent(body)
 }
 
 func (responder *responder) body() completionBody {
@@ -81,10 +81,10 @@
 			Rollout: responder.handle(""), Code: int(responder.code)}}
 }
 
-// handle names the rollout for its next turn.
+// handle returns the rollout's handle for the next turn.
 func (responder *responder) handle(replica string) string {
-	named := handle{key: responder.turn.rolloutKey, policy: responder.turn.execution.Arm.Policy, replica: replica}
-	return named.text(responder.turn.token)
+	next := handle{key: responder.turn.rolloutKey, policy: responder.turn.execution.Arm.Policy, replica: replica}
+	return next.encode(responder.turn.token)
 }
 
 func (responder *responder) choices(text, finishReason string, delta bool) any {
@@ -102,9 +102,9 @@
 	return []chatChoice{{Message: content, FinishReason: reason}}
 }
 
-func (responder *responder) event(body any) error {
-	if !responder.begun {
-		responder.begun = true
+func (responder *responder) sendEvent(body any) error {
+	if !responder.started {
+		responder.started = true
 		responder.writer.Header().Set("Content-Type", "text/event-stream")
 		responder.writer.Header().Set("Cache-Control", "no-store")
 		responder.writer.WriteHeader(http.StatusOK)
@@ -113,10 +113,10 @@
 	if err != nil {
 		return err
 	}
-	return responder.raw(encoded)
+	return responder.sendData(encoded)
 }
 
-func (responder *responder) raw(data []byte) error {
+func (responder *responder) sendData(data []byte) error {
 	line := make([]byte, 0, len(data)+len("data: \n\n"))
 	line = append(line, "data: "...)
 	line = append(line, data...)
@@ -127,29 +127,30 @@
 	return responder.flusher.Flush()
 }
 
-// finish ends the answer. A failure after the first event is an event of its own, and the stream has no "[DONE]".
+// finish completes the answer. It returns a failure that occurred before the first event, for an HTTP error. It sends a later failure as an
+// event, without a final "[DONE]".
 func (responder *responder) finish(outcome execution.Outcome, failure error) error {
-	if failure != nil && !responder.begun {
+	if failure != nil && !responder.started {
 		return failure
 	}
 	if failure != nil {
-		_ = responder.event(ErrorBody{Error: detailOf(failure)})
+		_ = responder.sendEvent(ErrorBody{Error: detailOf(failure)})
 		return nil
 	}
 	if responder.turn.stream {
-		body := responder.final(outcome)
+		body := responder.finalBody(outcome)
 		body.Choices = []completionChoice{}
-		if err := responder.event(body); err != nil {
+		if err := responder.sendEvent(body); err != nil {
 			return nil
 		}
-		_ = responder.raw([]byte("[DONE]"))
+		_ = responder.sendData([]byte("[DONE]"))
 		return nil
 	}
-	return responder.whole(outcome)
+	return responder.sendWhole(outcome)
 }
 
-// final returns the answer's last body: usage and the spans of the whole rollout.
-func (responder *responder) final(outcome execution.Outcome) completionBody {
+// finalBody returns the last body of the answer, with the usage and the spans of the whole rollout.
+func (responder *responder) finalBody(outcome execution.Outcome) completionBody {
 	sample := outcome.Sample
 	body := responder.body()
 	body.Usage = &usage{CompletionTokens: len(sample.TokenIDs), TotalTokens: len(sample.TokenIDs)}
@@ -160,18 +161,18 @@
 	return body
 }
 
-// whole answers with the whole rollout at once.
-func (responder *responder) whole(outcome execution.Outcome) error {
-	body := responder.final(outcome)
+// sendWhole sends the whole rollout as one body or event.
+func (responder *responder) sendWhole(outcome execution.Outcome) error {
+	body := responder.finalBody(outcome)
 	if !responder.turn.stream {
 		body.Choices = responder.choices(outcome.Sample.Text, outcome.Sample.FinishReason, false)
 		writeJSON(responder.writer, http.StatusOK, body)
 		return nil
 	}
 	body.Choices = responder.choices(outcome.Sample.Text, outcome.Sample.FinishReason, true)
-	if err := responder.event(body); err != nil {
+	if err := responder.sendEvent(body); err != nil {
 		return nil
 	}
-	_ = responder.raw([]byte("[DONE]"))
+	_ = responder.sendData([]byte("[DONE]"))
 	return nil
 }
--- a/internal/gateway/steps.go
+++ b/internal/gateway/steps.go
@@ -26,7 +26,7 @@
 	MaxTokens  int      `json:"max_tokens"`
 }
 
-// StepResponse answers a step.
+// StepResponse is the answer to a StepRequest.
 type StepResponse struct {
 	Step    string `json:"step"`
 	Slots   int    `json:"slots"`
@@ -37,14 +37,14 @@
 // FetchRequest is the body of POST /v1/steps/{step}/fetch.
 type FetchRequest struct {
 	Cursor uint64 `json:"cursor"`
-	// Fetch must grow with each fetch of the step; only the answer to the greatest may be used.
+	// Fetch must increase with each fetch of the step. Only the answer to the greatest may be used.
 	Fetch            uint64            `json:"fetch"`
 	Maximum          int               `json:"maximum"`
 	WaitMilliseconds int64             `json:"wait_ms"`
 	Versions         map[string]uint64 `json:"versions"`
 }
 
-// SampleBody is one delivered sample.
+// SampleBody is one delivered sample of a FetchResponse.
 type SampleBody struct {
 	Slot              uint32         `json:"slot"`
 	Generation        uint32         `json:"generation"`
@@ -54,7 +54,7 @@
 	StalenessSeconds  float64        `json:"staleness_seconds"`
 }
 
-// FetchResponse answers a fetch.
+// FetchResponse is the answer to a FetchRequest.
 type FetchResponse struct {
 	Samples    []SampleBody `json:"samples"`
 	NextCursor uint64       `json:"next_cursor"`
@@ -72,21 +72,21 @@
 // PublishRequest is the body of POST /v1/policies/{policy}/versions.
 type PublishRequest struct {
 	Version uint64 `json:"version"`
-	// CommandID makes a repeated publication the same one; made by the node when empty.
+	// CommandID identifies the publication, so that a retry has no further effect; the node generates one if it is empty.
 	CommandID string `json:"command_id,omitempty"`
 }
 
-// RevisionResponse tells the revision at which a change took effect.
+// RevisionResponse is the answer to a change, with the revision at which the change took effect.
 type RevisionResponse struct {
 	Revision uint64 `json:"revision"`
 	Code     int    `json:"code"`
 }
 
-// Limits of a fetch.
 const (
-	maximumFetch = 4096
+	maximumFetch = 4096 // samples
 	maximumWait  = 10 * time.Minute
-	callSlack    = 5 * time.Second
+	// callSlack is the time for one call to an owner, in addition to the wait of a fetch.
+	callSlack = 5 * time.Second
 )
 
 func (gateway *Gateway) createStep(writer http.ResponseWriter, request *http.Request) error {
@@ -175,8 +175,7 @@
 
 type ownerMethod func(owner controlv1.Steps, ctx context.Context, call *controlv1.StepCall) (*controlv1.StepAnswer, error)
 
-// callOwner calls the owner of a step's partition, again while the partition has no owner or it cannot be reached: all
-// these calls can be repeated.
+// callOwner calls the owner of a step's partition. It retries while the partition has no reachable owner, because the calls are idempotent.
 func callOwner[Answer any](gateway *Gateway, ctx context.Context, stepID string, body any, wait time.Duration, method ownerMethod) (Answer, error) {
 	var answer Answer
 	encoded, err := cbor.Marshal(body)
@@ -202,7 +201,7 @@
 			return nil, backoff.Permanent(failure)
 		}
 		return reply, failure
-	}, backoff.WithBackOff(quickBackOff()), backoff.WithMaxElapsedTime(0))
+	}, backoff.WithBackOff(shortBackOff()), backoff.WithMaxElapsedTime(0))
 	if err != nil {
 		if failure := result.From(err); failure.Code.Class() != result.ClassInternal {
 			return answer, failure
--- a/internal/gateway/wire.go
+++ b/internal/gateway/wire.go
@@ -14,17 +14,17 @@
 	"github.com/thistlewalk/thistlewalk/internal/result"
 )
 
-// ErrorBody is the JSON of every failure. Its shape is the one that OpenAI clients read.
+// ErrorBody is the JSON body of every failure, in the format of OpenAI.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail names the result.
+// ErrorDetail describes a failure.
 type ErrorDetail struct {
 	Message string `json:"message"`
 	// Type is the class of the code.
 	Type string `json:"type"`
-	// Code is the code's name, Number its number.
+	// Code is the name of the result code, Number its value.
 	Code                   string `json:"code"`
 	Number                 int    `json:"number"`
 	RetryAfterMilliseconds int64  `json:"retry_after_ms,omitempty"`
@@ -48,7 +48,7 @@
 	if failure.Code == result.NotRunStopping {
 		writer.Header().Set("Connection", "close")
 	}
-	// The OpenAI clients repeat failed requests by themselves unless told not to.
+	// OpenAI clients retry failed requests unless this header forbids it.
 	if failure.Code.Class() != result.ClassNotRun {
 		writer.Header().Set("X-Should-Retry", "false")
 	}
@@ -58,10 +58,10 @@
 func writeJSON(writer http.ResponseWriter, status int, body any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(body) // the client is gone when this fails
+	_ = json.NewEncoder(writer).Encode(body) // fails only if the client has disconnected
 }
 
-// readJSON decodes a body strictly: unknown fields, trailing content and bodies over the limit are refused.
+// readJSON decodes a body strictly. It refuses unknown fields, trailing content and bodies over the limit.
 func (gateway *Gateway) readJSON(writer http.ResponseWriter, request *http.Request, into any) error {
 	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, gateway.settings.MaximumBody))
 	decoder.DisallowUnknownFields()
@@ -89,34 +89,35 @@
 	}
 }
 
-// handler is a call that answers by itself or returns a failure.
+// handler serves a call. It either sends the answer or returns a failure.
 type handler func(writer http.ResponseWriter, request *http.Request) error
 
-// caller guards a call of callers and trainers.
-func (gateway *Gateway) caller(next handler) http.HandlerFunc {
-	return gateway.guard(next, func(token string) bool {
-		return len(gateway.settings.CallerTokens) == 0 || known(gateway.settings.CallerTokens, token) || known(gateway.settings.OperatorTokens, token)
+// requireCaller restricts a call to callers and trainers; operators may make it too.
+func (gateway *Gateway) requireCaller(next handler) http.HandlerFunc {
+	return gateway.authorize(next, func(token string) bool {
+		return len(gateway.settings.CallerTokens) == 0 || matchesToken(gateway.settings.CallerTokens, token) || matchesToken(gateway.settings.OperatorTokens, token)
 	})
 }
 
-// operator guards a call of operators.
-func (gateway *Gateway) operator(next handler) http.HandlerFunc {
-	return gateway.guard(next, func(token string) bool {
-		return len(gateway.settings.OperatorTokens) == 0 || known(gateway.settings.OperatorTokens, token)
+// requireOperator restricts a call to operators.
+func (gateway *Gateway) requireOperator(next handler) http.HandlerFunc {
+	return gateway.authorize(next, func(token string) bool {
+		return len(gateway.settings.OperatorTokens) == 0 || matchesToken(gateway.settings.OperatorTokens, token)
 	})
 }
 
-func known(tokens []string, token string) bool {
-	found := false
+// matchesToken reports whether token is one of tokens. Its time does not depend on how much of a token matches.
+func matchesToken(tokens []string, token string) bool {
+	matched := false
 	for _, candidate := range tokens {
 		if subtle.ConstantTimeCompare([]byte(candidate), []byte(token)) == 1 {
-			found = true
+			matched = true
 		}
 	}
-	return found
+	return matched
 }
 
-func (gateway *Gateway) guard(next handler, allowed func(token string) bool) http.HandlerFunc {
+func (gateway *Gateway) authorize(next handler, allowed func(token string) bool) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		token := callerToken(request)
 		var err error
@@ -132,6 +133,6 @@
 	}
 }
 
-func (gateway *Gateway) unknownCall(writer http.ResponseWriter, request *http.Request) {
+func (gateway *Gateway) notFound(writer http.ResponseWriter, request *http.Request) {
 	writeError(writer, result.New(result.InvalidNotFound, "no call %s %s", request.Method, request.URL.Path))
 }
