--- a/internal/claim/service.go
+++ b/internal/claim/service.go
@@ -18,22 +18,22 @@
 	return uint32(xxhash.Sum64String(requestID) % partition.Count)
 }
 
-// Service owns claims partitions: it is their ownership.Handler and the Twirp service Claims.
+// Service serves the claims partitions that this node owns. It implements ownership.Handler and the Twirp service Claims.
 type Service struct {
-	alive  HolderAlive
-	mu     sync.Mutex
-	served map[partition.Name]*served
+	alive HolderAlive
+	mu    sync.Mutex
+	owned map[partition.Name]*ownedPartition
 }
 
-type served struct {
-	changing lock.Lock // guards book; held while a change is stored
-	book     *Book
-	log      *partition.Log
+type ownedPartition struct {
+	writeLock lock.Lock // guards registry; held while a change is stored
+	registry  *Registry
+	log       *partition.Log
 }
 
-// NewService returns a service that owns nothing yet. alive tells whether the process that made a claim still lives.
+// NewService returns a service without partitions. alive reports whether the process that holds a claim is still running.
 func NewService(alive HolderAlive) *Service {
-	return &Service{alive: alive, served: make(map[partition.Name]*served)}
+	return &Service{alive: alive, owned: make(map[partition.Name]*ownedPartition)}
 }
 
 // Serve implements ownership.Handler.
@@ -42,13 +42,13 @@
 	for key, register := range registers {
 		values[key] = register.Value
 	}
-	book, err := NewBook(values, assignment.HistoryLost)
+	registry, err := NewRegistry(values, assignment.HistoryLost)
 	if err != nil {
 		return err
 	}
 	service.mu.Lock()
 	defer service.mu.Unlock()
-	service.served[name] = &served{changing: lock.New(), book: book, log: log}
+	service.owned[name] = &ownedPartition{writeLock: lock.New(), registry: registry, log: log}
 	return nil
 }
 
@@ -56,28 +56,28 @@
 func (service *Service) Stop(name partition.Name) {
 	service.mu.Lock()
 	defer service.mu.Unlock()
-	delete(service.served, name)
+	delete(service.owned, name)
 }
 
-func (service *Service) find(index uint32) (*served, error) {
+func (service *Service) find(index uint32) (*ownedPartition, error) {
 	service.mu.Lock()
 	defer service.mu.Unlock()
-	found, ok := service.served[partition.Name{Kind: partition.KindClaims, Index: index}]
+	owned, ok := service.owned[partition.Name{Kind: partition.KindClaims, Index: index}]
 	if !ok {
 		return nil, result.New(result.NotRunNoOwner, "this node does not own claims partition %d", index).WithRetryAfter(time.Second)
 	}
-	return found, nil
+	return owned, nil
 }
 
-// Claim implements the Twirp service. Failures are in the answer's outcome.
+// Claim implements the Twirp service. A failure is reported in the response's outcome, not as an error.
 func (service *Service) Claim(ctx context.Context, request *controlv1.ClaimRequest) (*controlv1.ClaimResponse, error) {
-	found, err := service.find(request.GetPartition())
+	owned, err := service.find(request.GetPartition())
 	if err != nil {
 		return &controlv1.ClaimResponse{Outcome: result.ToMessage(err)}, nil
 	}
-	wish := Claim{RequestID: request.GetRequestId(), Token: request.GetToken(), ContentHash: request.GetContentHash(),
-		HolderNode: request.GetHolderNode(), HolderLife: request.GetHolderLife()}
-	decision, err := found.claim(ctx, wish, service.alive)
+	candidate := Claim{RequestID: request.GetRequestId(), Token: request.GetToken(), ContentHash: request.GetContentHash(),
+		HolderNode: request.GetHolderNode(), HolderIncarnation: request.GetHolderLife()}
+	decision, err := owned.claim(ctx, candidate, service.alive)
 	if err != nil {
 		return &controlv1.ClaimResponse{Outcome: result.ToMessage(err)}, nil
 	}
@@ -89,27 +89,28 @@
 	return answer, nil
 }
 
-// claim decides, and confirms the epoch at a write quorum before anything but a refusal leaves.
-func (served *served) claim(ctx context.Context, wish Claim, alive HolderAlive) (Decision, error) {
-	if err := served.changing.Acquire(ctx); err != nil {
+// claim returns the registry's decision. Unless that is a refusal, it first stores the claim or confirms the epoch at a write quorum, so
+// that a fenced owner grants and answers nothing.
+func (owned *ownedPartition) claim(ctx context.Context, candidate Claim, alive HolderAlive) (Decision, error) {
+	if err := owned.writeLock.Acquire(ctx); err != nil {
 		return Decision{}, busy(err)
 	}
-	defer served.changing.Release()
-	decision := served.book.Claim(wish, alive, time.Now())
+	defer owned.writeLock.Release()
+	decision := owned.registry.Claim(candidate, alive, time.Now())
 	if decision.Refusal != nil {
 		return decision, nil
 	}
 	if decision.Store == nil {
-		return decision, served.store(ctx, nil)
+		return decision, owned.store(ctx, nil)
 	}
-	if err := served.store(ctx, decision.Store); err != nil {
+	if err := owned.store(ctx, decision.Store); err != nil {
 		return Decision{}, err
 	}
 	return decision, nil
 }
 
-// store appends a claim and makes it part of the book; nil only confirms the epoch. Must hold changing.
-func (served *served) store(ctx context.Context, claim *Claim) error {
+// store appends a claim to the log and adds it to the registry; a nil claim only confirms the epoch. The caller holds writeLock.
+func (owned *ownedPartition) store(ctx context.Context, claim *Claim) error {
 	var values []partition.Value
 	if claim != nil {
 		content, err := claim.Encode()
@@ -118,61 +119,61 @@
 		}
 		values = append(values, partition.Value{Key: Key(claim.RequestID), Value: content})
 	}
-	if err := served.log.Append(ctx, values, nil); err != nil {
+	if err := owned.log.Append(ctx, values, nil); err != nil {
 		return result.New(result.NotRunNoOwner, "claims are not stored: %v", err).WithRetryAfter(time.Second)
 	}
 	if claim != nil {
-		served.book.Apply(*claim)
+		owned.registry.Apply(*claim)
 	}
 	return nil
 }
 
-// busy says that the call can be made again.
+// busy returns a retryable error for a call that could not acquire the lock in time.
 func busy(cause error) error {
 	return result.New(result.NotRunNoOwner, "claims are being stored: %v", cause).WithRetryAfter(time.Second)
 }
 
 // Settle implements the Twirp service.
 func (service *Service) Settle(ctx context.Context, request *controlv1.SettleRequest) (*controlv1.SettleResponse, error) {
-	found, err := service.find(request.GetPartition())
+	owned, err := service.find(request.GetPartition())
 	if err == nil {
-		err = found.settle(ctx, request)
+		err = owned.settle(ctx, request)
 	}
 	return &controlv1.SettleResponse{Outcome: result.ToMessage(err)}, nil
 }
 
-func (served *served) settle(ctx context.Context, request *controlv1.SettleRequest) error {
-	if err := served.changing.Acquire(ctx); err != nil {
+func (owned *ownedPartition) settle(ctx context.Context, request *controlv1.SettleRequest) error {
+	if err := owned.writeLock.Acquire(ctx); err != nil {
 		return busy(err)
 	}
-	defer served.changing.Release()
+	defer owned.writeLock.Release()
 	outcome := request.GetOutcome()
-	claim, err := served.book.Settle(request.GetRequestId(), request.GetToken(), result.Code(outcome.GetCode()), outcome.GetMessage(), request.GetAnswer())
+	claim, err := owned.registry.Settle(request.GetRequestId(), request.GetToken(), result.Code(outcome.GetCode()), outcome.GetMessage(), request.GetAnswer())
 	if err != nil || claim == nil {
 		return err
 	}
-	return served.store(ctx, claim)
+	return owned.store(ctx, claim)
 }
 
-// Tick removes claims whose retention is over.
+// Tick removes the claims that are older than the retention.
 func (service *Service) Tick(ctx context.Context) {
 	service.mu.Lock()
-	all := make([]*served, 0, len(service.served))
-	for _, found := range service.served {
-		all = append(all, found)
+	all := make([]*ownedPartition, 0, len(service.owned))
+	for _, owned := range service.owned {
+		all = append(all, owned)
 	}
 	service.mu.Unlock()
-	for _, found := range all {
-		found.expire(ctx)
+	for _, owned := range all {
+		owned.expire(ctx)
 	}
 }
 
-func (served *served) expire(ctx context.Context) {
-	if served.changing.Acquire(ctx) != nil {
+func (owned *ownedPartition) expire(ctx context.Context) {
+	if owned.writeLock.Acquire(ctx) != nil {
 		return
 	}
-	defer served.changing.Release()
-	expired := served.book.Expired(time.Now())
+	defer owned.writeLock.Release()
+	expired := owned.registry.Expired(time.Now())
 	if len(expired) == 0 {
 		return
 	}
@@ -180,10 +181,10 @@
 	for _, requestID := range expired {
 		keys = append(keys, Key(requestID))
 	}
-	if served.log.Append(ctx, nil, keys) != nil {
+	if owned.log.Append(ctx, nil, keys) != nil {
 		return
 	}
 	for _, requestID := range expired {
-		served.book.Remove(requestID)
+		owned.registry.Remove(requestID)
 	}
 }
