--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -38,33 +38,34 @@
 	lastEvent  = `data: {"request_id":"r","position":1,"token_ids":[],"logprobs":[],"version":1,"finish_reason":"stop"}` + "\n\n"
 )
 
+// ErrNotAccepted, which allows a retry elsewhere, must not be returned if the engine may have started the request.
 func TestNotAcceptedIsOnlySaidWhereTheEngineCannotHaveBegun(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	address := listener.Addr().String()
 	must.NoError(t, listener.Close())
 	err = client().Stream(t.Context(), address, Request{}, nil)
-	must.True(t, errors.Is(err, ErrNotAccepted), must.Sprint("nobody listens"))
+	must.True(t, errors.Is(err, ErrNotAccepted), must.Sprint("connection refused"))
 
 	cases := []struct {
 		name    string
 		handler http.HandlerFunc
 		want    error
 	}{
-		{"it says so", func(w http.ResponseWriter, _ *http.Request) {
+		{"refused by the engine", func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			fmt.Fprint(w, `{"accepted":false,"reason":"full"}`)
 		}, ErrNotAccepted},
-		{"it fails without saying", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }, ErrBroken},
-		{"a proxy's page", func(w http.ResponseWriter, _ *http.Request) {
+		{"error without a body", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }, ErrBroken},
+		{"error page of a proxy", func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			fmt.Fprint(w, "<html>")
 		}, ErrBroken},
-		{"it closes the connection after the request was written", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, ErrBroken},
-		{"the stream ends in the middle", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, firstEvent) }, ErrBroken},
-		{"the stream says it is done without a last chunk", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, firstEvent, "data: [DONE]\n\n") }, ErrBroken},
-		{"an event is no chunk", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "data: {\n\n") }, ErrBroken},
-		{"whole", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, firstEvent, lastEvent, "data: [DONE]\n\n") }, nil},
+		{"connection closed after the request was written", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, ErrBroken},
+		{"truncated stream", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, firstEvent) }, ErrBroken},
+		{"end of stream without a finish reason", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, firstEvent, "data: [DONE]\n\n") }, ErrBroken},
+		{"malformed event", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "data: {\n\n") }, ErrBroken},
+		{"complete stream", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, firstEvent, lastEvent, "data: [DONE]\n\n") }, nil},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -78,7 +79,7 @@
 	}
 }
 
-// The standard library repeats some requests by itself after a kept connection breaks; a request to an engine must not be.
+// net/http retries some requests after a reused connection breaks. It must not retry a request to an engine, which may have started it.
 func TestARequestOnABrokenKeptConnectionIsNotRepeated(t *testing.T) {
 	served := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -90,14 +91,15 @@
 	}))
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
-	reused := client()
-	each := func(rollout.Chunk) error { return nil }
-	must.NoError(t, reused.Stream(context.Background(), address, Request{}, each))
-	err := reused.Stream(context.Background(), address, Request{}, each)
+	engineClient := client()
+	onChunk := func(rollout.Chunk) error { return nil }
+	must.NoError(t, engineClient.Stream(context.Background(), address, Request{}, onChunk))
+	err := engineClient.Stream(context.Background(), address, Request{}, onChunk)
 	must.True(t, errors.Is(err, ErrBroken), must.Sprint(err))
 	must.Eq(t, 2, served)
 }
 
+// DecodeChunk accepts only chunks with a valid position and one log-probability for each token.
 func FuzzDecodeChunk(f *testing.F) {
 	f.Add([]byte(strings.TrimSuffix(strings.TrimPrefix(firstEvent, "data: "), "\n\n")))
 	f.Fuzz(func(t *testing.T, content []byte) {
--- a/internal/engine/http.go
+++ b/internal/engine/http.go
@@ -22,10 +22,10 @@
 	doneEvent     = "[DONE]"
 )
 
-// HTTP is the Client for the engines' HTTP protocol.
+// HTTP implements Client over the engines' HTTP protocol.
 type HTTP struct{ client *http.Client }
 
-// NewHTTP returns a client. The http.Client must not follow redirects or repeat requests.
+// NewHTTP returns a client. The http.Client must not follow redirects or retry requests.
 func NewHTTP(client *http.Client) *HTTP { return &HTTP{client: client} }
 
 type wireChunk struct {
@@ -39,7 +39,7 @@
 	FinishReason string    `json:"finish_reason"`
 }
 
-// DecodeChunk reads one event of an engine's stream.
+// DecodeChunk decodes the data of one event of an engine's stream.
 func DecodeChunk(data []byte) (rollout.Chunk, error) {
 	var wire wireChunk
 	if err := json.Unmarshal(data, &wire); err != nil {
@@ -52,7 +52,7 @@
 }
 
 // Stream implements Client.
-func (engine *HTTP) Stream(ctx context.Context, address string, request Request, each func(rollout.Chunk) error) error {
+func (engine *HTTP) Stream(ctx context.Context, address string, request Request, onChunk func(rollout.Chunk) error) error {
 	response, err := engine.post(ctx, address, "/v1/completions", request)
 	if err != nil {
 		return err
@@ -73,7 +73,7 @@
 		if err != nil {
 			return errors.Mark(err, ErrBroken)
 		}
-		if err := each(chunk); err != nil {
+		if err := onChunk(chunk); err != nil {
 			return errors.Mark(err, ErrBroken)
 		}
 		finished = finished || chunk.FinishReason != ""
@@ -89,7 +89,7 @@
 	Reason   string `json:"reason"`
 }
 
-// refusal reads an answer other than 200: only one that says so was not accepted.
+// refusal returns the error of a response other than 200. It is ErrNotAccepted only if the body states that the request was not accepted.
 func refusal(response *http.Response) error {
 	content, err := io.ReadAll(io.LimitReader(response.Body, maximumReport))
 	body := refusalBody{Accepted: true}
@@ -102,7 +102,7 @@
 	return errors.Mark(errors.Newf("engine answered %d", response.StatusCode), ErrBroken)
 }
 
-// post sends JSON. Its error is ErrNotAccepted when no connection was had, and ErrBroken from then on.
+// post sends a JSON request. Its error is ErrNotAccepted if no connection was established, and ErrBroken otherwise.
 func (engine *HTTP) post(ctx context.Context, address, path string, body any) (*http.Response, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
