--- a/internal/network/memory.go
+++ b/internal/network/memory.go
@@ -11,8 +11,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Memory is a network inside one process, for experiments and tests. Hosts can be cut from each other: what is sent is
-// then lost without an error, new connections hang, and connections that lost bytes break once the cut is over.
+// Memory is a network inside one process, for simulations and tests. Hosts can be partitioned from each other: bytes that are sent are then
+// lost without an error, new connections hang, and a connection that lost bytes is reset at the first write after the partition.
 type Memory struct {
 	mu        sync.Mutex
 	listeners map[string]*memoryListener
@@ -20,24 +20,24 @@
 	latency   func(from, to netip.Addr) time.Duration
 }
 
-// NewMemory returns a network without cuts.
+// NewMemory returns a network without partitions.
 func NewMemory() *Memory { return &Memory{listeners: make(map[string]*memoryListener)} }
 
-// Sever replaces the cuts: the function tells whether bytes from one host to another are lost. nil ends all cuts.
+// Sever replaces the partitions. severed reports whether bytes from one host to another are lost; nil ends all partitions.
 func (memory *Memory) Sever(severed func(from, to netip.Addr) bool) {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
 	memory.severed = severed
 }
 
-// Delay replaces the latency of what is written from one host to another; nil is none.
+// Delay replaces the latency of writes from one host to another; nil means none.
 func (memory *Memory) Delay(latency func(from, to netip.Addr) time.Duration) {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
 	memory.latency = latency
 }
 
-func (memory *Memory) delayOf(from, to netip.Addr) time.Duration {
+func (memory *Memory) latencyOf(from, to netip.Addr) time.Duration {
 	memory.mu.Lock()
 	latency := memory.latency
 	memory.mu.Unlock()
@@ -54,7 +54,7 @@
 	return severed != nil && severed(from, to)
 }
 
-// At returns the network as one host sees it.
+// At returns the network of one host.
 func (memory *Memory) At(host netip.Addr) Network { return memoryHost{memory, host} }
 
 type memoryHost struct {
@@ -70,10 +70,10 @@
 	once    sync.Once
 }
 
-// acceptBacklog is how many connections wait for a listener.
+// acceptBacklog is how many connections can wait to be accepted by a listener.
 const acceptBacklog = 64
 
-// Listen implements Network. The address is host:port of any host.
+// Listen implements Network. The address is host:port; the host may differ from that of the network.
 func (host memoryHost) Listen(address string) (net.Listener, error) {
 	memory := host.memory
 	memory.mu.Lock()
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// reset breaks the connections that nobody will accept any more.
+// reset closes the connections that wait to be accepted.
 func (listener *memoryListener) reset() {
 	for {
 		select {
@@ -131,12 +131,12 @@
 // String implements net.Addr.
 func (address memoryAddress) String() string { return string(address) }
 
-// memoryDialTimeout is how long a connection to a host behind a cut is tried.
+// memoryDialTimeout bounds a dial to a partitioned host or a listener with a full backlog.
 const memoryDialTimeout = 2 * time.Second
 
 // DialContext implements Network.
 func (host memoryHost) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
-	// An HTTP transport dials without the deadline of the request that it dials for.
+	// An HTTP transport dials without the deadline of its request.
 	ctx, cancel := context.WithTimeout(ctx, memoryDialTimeout)
 	defer cancel()
 	target, err := netip.ParseAddrPort(address)
@@ -173,7 +173,7 @@
 // memoryLink is the state that both ends of a connection share.
 type memoryLink struct {
 	mu   sync.Mutex
-	lost bool // bytes were lost
+	lost bool // bytes were lost in a partition
 }
 
 type memoryConnection struct {
@@ -202,7 +202,7 @@
 		_ = connection.Conn.Close()
 		return 0, errors.Wrap(syscall.ECONNRESET, "write")
 	default:
-		if delay := connection.memory.delayOf(connection.from, connection.to); delay > 0 {
+		if delay := connection.memory.latencyOf(connection.from, connection.to); delay > 0 {
 			time.Sleep(delay)
 		}
 		return connection.Conn.Write(buffer)
--- a/internal/network/network.go
+++ b/internal/network/network.go
@@ -1,4 +1,4 @@
-// Package network is how a node reaches others: TCP in production, an in-memory network in experiments and tests.
+// Package network abstracts the network of a node: TCP in production, an in-memory network in simulations and tests.
 package network
 
 import (
@@ -16,10 +16,10 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// TCP is the network of the operating system.
+// TCP is the TCP network of the operating system.
 type TCP struct{ Dialer net.Dialer }
 
-// NewTCP returns a TCP network whose connection attempts end after timeout.
+// NewTCP returns a TCP network that bounds each connection attempt by timeout.
 func NewTCP(timeout time.Duration) *TCP {
 	return &TCP{Dialer: net.Dialer{Timeout: timeout, KeepAlive: 15 * time.Second}}
 }
@@ -32,15 +32,15 @@
 	return tcp.Dialer.DialContext(ctx, network, address)
 }
 
-// Connections bounds the idle connections that a client keeps; a zero Total is no bound.
+// Connections bounds the idle connections of a client; a zero Total means no bound.
 type Connections struct {
 	PerHost int
 	Total   int
-	// TLS is used for https; nil is the standard configuration.
+	// TLS is used for https; nil selects the default configuration.
 	TLS *tls.Config
 }
 
-// NewClient returns an HTTP client over the network that keeps connections for idle time. Redirects are not followed.
+// NewClient returns an HTTP client over the network that closes connections that were unused for the idle time. The client follows no redirects.
 func NewClient(through Network, idle time.Duration, connections Connections) *http.Client {
 	transport := &http.Transport{
 		DialContext:         through.DialContext,
@@ -49,8 +49,8 @@
 		TLSClientConfig:     connections.TLS,
 		IdleConnTimeout:     idle,
 		DisableCompression:  true,
-		WriteBufferSize:     controlBuffer,
-		ReadBufferSize:      controlBuffer,
+		WriteBufferSize:     connectionBuffer,
+		ReadBufferSize:      connectionBuffer,
 	}
 	return &http.Client{
 		Transport:     transport,
@@ -58,16 +58,16 @@
 	}
 }
 
-const controlBuffer = 4 << 10
+const connectionBuffer = 4 << 10
 
-// Traffic counts bytes and connections.
+// Traffic holds the counts of a Counted network.
 type Traffic struct {
 	Sent        atomic.Int64
 	Received    atomic.Int64
 	Connections atomic.Int64
 }
 
-// Counted is a network whose bytes are counted.
+// Counted wraps a network and counts the bytes of all connections, and the connections that were dialed.
 type Counted struct {
 	Network
 	Traffic *Traffic
