--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,4 +1,4 @@
-// Package peers keeps the Twirp clients of the other nodes, by address.
+// Package peers caches the Twirp clients of other nodes by address.
 package peers
 
 import (
@@ -19,7 +19,7 @@
 	Claims        controlv1.Claims
 }
 
-// Directory makes clients on first use. It is safe for concurrent use.
+// Directory creates the clients of a node on first use and caches them. It is safe for concurrent use.
 type Directory struct {
 	client *http.Client
 	scheme string
@@ -27,15 +27,15 @@
 	peers  map[string]*Peer
 }
 
-// NewDirectory returns a directory whose clients use the HTTP client; scheme is "http" or "https".
+// NewDirectory returns an empty directory; scheme is "http" or "https".
 func NewDirectory(client *http.Client, scheme string) *Directory {
 	return &Directory{client: client, scheme: scheme, peers: make(map[string]*Peer)}
 }
 
-// maximumPeers bounds the clients kept; addresses of nodes long gone are dropped with the rest.
+// maximumPeers bounds the cached nodes. The cache is cleared when full, which also removes nodes that have left.
 const maximumPeers = 4096
 
-// At returns the clients of the node at a control address, "host:port".
+// At returns the clients of the node with a control address, "host:port".
 func (directory *Directory) At(address string) *Peer {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
