--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -17,8 +17,7 @@
 func alive(string, uint64) bool { return true }
 func dead(string, uint64) bool  { return false }
 
-// No two runs of one request identifier may be granted, unless the first was settled as not run, in any order of claims, settlements and
-// lost nodes.
+// In any order of claims, settlements and lost nodes, a second run of a request is granted only after the first was settled as not run.
 func TestAtMostOneRun(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		registry, err := NewRegistry(nil, time.Time{})
--- a/internal/claim/registry.go
+++ b/internal/claim/registry.go
@@ -85,7 +85,7 @@
 // HolderAlive reports whether the process that holds a claim is still running.
 type HolderAlive func(nodeID string, incarnation uint64) bool
 
-// Claim decides whether a run may send the request to a replica. A retry with the same token is granted again while the claim is not settled.
+// Claim decides whether a run may send the request to a replica. Until the claim is settled, a retry with the same token is granted again.
 func (registry *Registry) Claim(claim Claim, alive HolderAlive, now time.Time) Decision {
 	if err := checkAge(claim.RequestID, now); err != nil {
 		return Decision{Refusal: err}
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -1,5 +1,5 @@
-// Package engine is the client of model engines: it streams completions, reads load reports and sends fenced orders. Client is the interface.
-// HTTP implements it over the engines' HTTP protocol (docs/PLATFORM.md).
+// Package engine is the client of model engines: it streams completions, reads load reports and sends fenced orders. Client is the
+// interface, and HTTP implements it over the engines' HTTP protocol (docs/PLATFORM.md).
 package engine
 
 import (
--- a/internal/forwarding/forwarding.go
+++ b/internal/forwarding/forwarding.go
@@ -1,5 +1,5 @@
 // Package forwarding sends a caller's request to a replica of its route's service. It enforces the route's timeout and number of
-// attempts, retries and hedges requests where the route allows it, and tells a request that has not run from one that may have run.
+// attempts, retries and hedges requests where the route allows it, and reports after a failure whether the request may have run.
 package forwarding
 
 import (
--- a/internal/forwarding/forwarding_test.go
+++ b/internal/forwarding/forwarding_test.go
@@ -83,8 +83,8 @@
 // holdTime is the RetryAfter of a held request.
 const holdTime = 4 * time.Second
 
-// A held request is refused at once with a retry time. If an earlier attempt may have run, the caller gets that attempt's outcome, or
-// outcome_unknown, and no promise that the request has not run.
+// A held request is refused at once with a retry time, but only if it has not run. If an earlier attempt has run or may have run, the caller
+// gets the outcome of that attempt.
 func TestHeldRequests(t *testing.T) {
 	held := behaviour{held: true}
 	for _, check := range []struct {
--- a/internal/forwarding/run.go
+++ b/internal/forwarding/run.go
@@ -151,8 +151,8 @@
 	run.results <- result
 }
 
-// readBody buffers an answer up to the buffer limit. The returned reader holds the unread part of a longer answer, or a whole stream; nil if
-// nothing is left to read.
+// readBody buffers an answer up to the buffer limit. The returned reader is nil if nothing is left to read; otherwise it yields the rest of a
+// longer answer, or a whole stream.
 func readBody(answer *backend.Answer, stream bool) ([]byte, io.ReadCloser, error) {
 	if stream && answer.Status < http.StatusMultipleChoices {
 		return nil, answer.Body, nil
@@ -202,7 +202,7 @@
 	return run.giveUp(), true
 }
 
-// logFailure logs an attempt that did not serve the request, with what is known of whether the request has run.
+// logFailure logs an attempt that did not serve the request, and whether the request may have run.
 func (run *run) logFailure(result attemptResult) {
 	switch {
 	case result.held() != nil: // logged by the quarantine
@@ -215,8 +215,8 @@
 	}
 }
 
-// fingerprint returns the fingerprint of a request that was sent and not answered; empty if it was not sent. A retry by the caller has the same
-// fingerprint but another request identifier.
+// fingerprint returns the fingerprint of a request that was sent and not answered; empty if it was not sent. A retry by the caller has
+// another request identifier but the same fingerprint.
 func (run *run) fingerprint(result attemptResult) string {
 	if errors.Is(result.err, backend.ErrNotSent) {
 		return ""
--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -73,11 +73,10 @@
 	sampling
 }
 
-// Limits of a request.
 const (
 	maximumTokens     = 131072
 	defaultTokens     = 1024
-	maximumIdentifier = 128
+	maximumIdentifier = 128 // bytes
 	maximumPriority   = 100
 )
 
@@ -264,7 +263,7 @@
 	return xxhash.Sum64String(prepared.model + "\x00" + prepared.execution.Prompt)
 }
 
-// usage counts tokens in the form of OpenAI. The gateway does not know the number of prompt tokens, which stays zero.
+// usage counts tokens in the format of OpenAI. PromptTokens is zero, because the gateway does not tokenize prompts.
 type usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
--- a/internal/gateway/responder.go
+++ b/internal/gateway/responder.go
@@ -127,8 +127,8 @@
 	return responder.flusher.Flush()
 }
 
-// finish completes the answer. It returns a failure that occurred before the first event, for an HTTP error. It sends a later failure as an
-// event, without a final "[DONE]".
+// finish completes the answer. A failure before the first event is returned, so that the caller gets an HTTP error. A later failure is sent as
+// an event, without a final "[DONE]".
 func (responder *responder) finish(outcome execution.Outcome, failure error) error {
 	if failure != nil && !responder.started {
 		return failure
--- a/internal/network/network.go
+++ b/internal/network/network.go
@@ -40,7 +40,7 @@
 	TLS *tls.Config
 }
 
-// NewClient returns an HTTP client over the network that closes connections that were unused for the idle time. The client follows no redirects.
+// NewClient returns an HTTP client over the network. It closes connections that were unused for the idle time, and follows no redirects.
 func NewClient(through Network, idle time.Duration, connections Connections) *http.Client {
 	transport := &http.Transport{
 		DialContext:         through.DialContext,
