--- a/internal/membership/health.go
+++ b/internal/membership/health.go
@@ -5,45 +5,46 @@
 	"time"
 )
 
-// maximumHealth bounds how much more patient a node becomes.
-const maximumHealth = 8
+// maxHealthScore bounds the factor by which timeouts and probe intervals grow.
+const maxHealthScore = 8
 
-// health is a node's doubt in itself: zero when its probes succeed, greater after each that fails and each suspicion of
-// itself that it hears of. A node in doubt probes less often, waits longer for answers and gives suspects more time, so
-// that an overloaded node does not declare healthy ones dead.
-// Source: Dadgar, Phillips and Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection", DSN 2018.
+// health is the local health score of this node: zero while its probes succeed, higher after each failed probe and each
+// suspicion of itself that it refutes. A node with a high score probes less often, waits longer for answers and gives
+// suspects more time to refute, so that an overloaded node does not declare healthy members dead.
+// Source: Dadgar, Phillips and Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection", DSN
+// 2018.
 type health struct {
-	mu    sync.Mutex
-	doubt int
-	skip  int // ticks to pass before the next probe
+	mu        sync.Mutex
+	score     int
+	skipTicks int // ticks to skip before the next probe
 }
 
-// note counts a success or a failure.
-func (health *health) note(success bool) {
+// record lowers the score after a success and raises it after a failure.
+func (health *health) record(success bool) {
 	health.mu.Lock()
 	defer health.mu.Unlock()
 	if success {
-		health.doubt = max(0, health.doubt-1)
+		health.score = max(0, health.score-1)
 		return
 	}
-	health.doubt = min(maximumHealth, health.doubt+1)
+	health.score = min(maxHealthScore, health.score+1)
 }
 
-// due reports whether this tick probes.
-func (health *health) due() bool {
+// shouldProbe reports whether to probe in this tick. With score n, it returns true in one of n+1 ticks.
+func (health *health) shouldProbe() bool {
 	health.mu.Lock()
 	defer health.mu.Unlock()
-	if health.skip > 0 {
-		health.skip--
+	if health.skipTicks > 0 {
+		health.skipTicks--
 		return false
 	}
-	health.skip = health.doubt
+	health.skipTicks = health.score
 	return true
 }
 
-// stretch lengthens a time by the doubt.
-func (health *health) stretch(base time.Duration) time.Duration {
+// scale multiplies a duration by one plus the score.
+func (health *health) scale(base time.Duration) time.Duration {
 	health.mu.Lock()
 	defer health.mu.Unlock()
-	return base * time.Duration(1+health.doubt)
+	return base * time.Duration(1+health.score)
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -12,39 +12,39 @@
 
 var testSettings = Settings{SuspicionTime: 4 * time.Second, ForgetTime: time.Hour, RetransmitFactor: 3, ChangesPerMessage: 12}
 
-// simulated is a member of a modelled zone: probes are function calls that may be lost.
-type simulated struct {
-	table *Table
-	up    bool
-	life  uint64
+// simulatedMember is a member of a simulated cluster in which probes are function calls that may fail.
+type simulatedMember struct {
+	table  *Table
+	up     bool
+	starts uint64
 }
 
-// Members crash, come back, are cut off and suspect each other. After the failures end, all that are up see each other
-// alive and see no other alive, and nobody believes itself dead.
+// Members crash, restart, are partitioned and suspect each other. Once the failures end, each running member must see
+// exactly the running members as alive.
 func TestMembersAgreeOnceFailuresEnd(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		count := rapid.IntRange(2, 6).Draw(draw, "members")
 		random := rand.New(rand.NewPCG(uint64(count), 1))
 		now := time.Unix(0, 0)
-		members := make([]*simulated, count)
-		boot := func(index int, life uint64) *simulated {
-			self := Member{NodeID: fmt.Sprint(index), Address: fmt.Sprint(index), Zone: fmt.Sprint(index % 2), Incarnation: life << 20}
-			return &simulated{table: NewTable(self, testSettings, now), up: true, life: life}
+		members := make([]*simulatedMember, count)
+		start := func(index int, starts uint64) *simulatedMember {
+			self := Member{NodeID: fmt.Sprint(index), Address: fmt.Sprint(index), Zone: fmt.Sprint(index % 2), Incarnation: starts << 20}
+			return &simulatedMember{table: NewTable(self, testSettings, now), up: true, starts: starts}
 		}
 		for index := range members {
-			members[index] = boot(index, 1)
+			members[index] = start(index, 1)
 		}
 		cutOff := -1
-		reach := func(from, to int) bool { return members[to].up && from != cutOff && to != cutOff }
+		reachable := func(from, to int) bool { return members[to].up && from != cutOff && to != cutOff }
 		probe := func(from int, to Member) {
 			var index int
 			_, _ = fmt.Sscan(to.NodeID, &index)
-			if !reach(from, index) {
+			if !reachable(from, index) {
 				members[from].table.Suspect(to.NodeID, to.Incarnation, now)
 				return
 			}
-			news := append(members[from].table.Changes(), members[from].table.Self(), to)
-			members[index].table.Merge(news, now)
+			updates := append(members[from].table.Changes(), members[from].table.Self(), to)
+			members[index].table.Merge(updates, now)
 			answer := append(members[index].table.Changes(), members[index].table.Self())
 			members[from].table.Merge(answer, now)
 		}
@@ -58,9 +58,9 @@
 				if target, ok := members[from].table.NextTarget(random); ok {
 					probe(from, target)
 				}
-				// Joining and rejoining: whole lists from a random other.
+				// Join or rejoin: exchange full lists with a random member.
 				other := random.IntN(count)
-				if other != from && reach(from, other) {
+				if other != from && reachable(from, other) {
 					members[from].table.Merge(members[other].table.View().All, now)
 					members[other].table.Merge(members[from].table.View().All, now)
 				}
@@ -73,7 +73,7 @@
 				members[index].up = false
 			case 1:
 				if !members[index].up {
-					members[index] = boot(index, members[index].life+1)
+					members[index] = start(index, members[index].starts+1)
 				}
 			case 2:
 				cutOff = index
@@ -95,7 +95,7 @@
 				for _, live := range member.table.View().Live {
 					seen = seen || live.NodeID == fmt.Sprint(to) && live.State == StateAlive
 				}
-				must.Eq(draw, other.up, seen, must.Sprintf("%d sees %d", from, to))
+				must.Eq(draw, other.up, seen, must.Sprintf("member %d's view of member %d", from, to))
 			}
 		}
 	})
@@ -125,24 +125,24 @@
 }
 
 func TestANodeInDoubtIsPatient(t *testing.T) {
-	var doubting health
-	must.Eq(t, time.Second, doubting.stretch(time.Second))
-	doubting.note(false)
-	doubting.note(false)
-	must.Eq(t, 3*time.Second, doubting.stretch(time.Second))
+	var local health
+	must.Eq(t, time.Second, local.scale(time.Second))
+	local.record(false)
+	local.record(false)
+	must.Eq(t, 3*time.Second, local.scale(time.Second))
 	var probed int
 	for range 9 {
-		if doubting.due() {
+		if local.shouldProbe() {
 			probed++
 		}
 	}
-	must.Eq(t, 3, probed, must.Sprint("every third tick"))
+	must.Eq(t, 3, probed, must.Sprint("a score of 2 probes in every third tick"))
 	for range 20 {
-		doubting.note(false)
+		local.record(false)
 	}
-	must.Eq(t, (1+maximumHealth)*time.Second, doubting.stretch(time.Second))
-	for range maximumHealth {
-		doubting.note(true)
+	must.Eq(t, (1+maxHealthScore)*time.Second, local.scale(time.Second))
+	for range maxHealthScore {
+		local.record(true)
 	}
-	must.Eq(t, time.Second, doubting.stretch(time.Second))
+	must.Eq(t, time.Second, local.scale(time.Second))
 }
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -2,7 +2,7 @@
 
 import controlv1 "github.com/thistlewalk/thistlewalk/api/control/v1"
 
-// toMessage returns the form of a member between nodes.
+// toMessage encodes a member for transmission.
 func toMessage(member Member) *controlv1.Member {
 	return &controlv1.Member{
 		NodeId: member.NodeID, Address: member.Address, Zone: member.Zone, Region: member.Region,
@@ -10,7 +10,7 @@
 	}
 }
 
-// fromMessage reads a member; false when it has no identifier or state.
+// fromMessage decodes a member. It returns false if the identifier or address is missing or the state is unknown.
 func fromMessage(message *controlv1.Member) (Member, bool) {
 	state := State(message.GetState())
 	if message.GetNodeId() == "" || message.GetAddress() == "" || state < StateAlive || state > StateDead {
--- a/internal/membership/prober.go
+++ b/internal/membership/prober.go
@@ -13,33 +13,35 @@
 	"github.com/thistlewalk/thistlewalk/internal/peers"
 )
 
-// Revisions are the newest revisions that a node knows of what spreads beside the members.
+// Revisions are the newest revisions of the data that a node has, which members exchange with each probe.
 type Revisions struct {
 	Configuration uint64
 	Partitions    uint64
 	Machines      uint64
 }
 
-// Spread is told of revisions that others know.
+// Spread supplies this node's revisions and receives those of other nodes.
 type Spread interface {
 	Revisions() Revisions
 	// Heard is called with the revisions of the node at a control address.
 	Heard(address string, revisions Revisions)
 }
 
-// ProberSettings are the times of probing. The sum of both timeouts must be below the probe interval.
+// ProberSettings are the timing parameters of probing. ProbeTimeout plus IndirectTimeout must be below the probe
+// interval.
 type ProberSettings struct {
 	ProbeTimeout    time.Duration
 	IndirectTimeout time.Duration
-	// IndirectProbes is how many others are asked to probe a member that did not answer.
+	// IndirectProbes is the number of intermediaries that are asked to probe a member that did not answer.
 	IndirectProbes int
-	// SyncInterval is the least time between two exchanges of whole lists that differing digests cause.
+	// SyncInterval is the minimum interval between two exchanges of full lists caused by differing digests.
 	SyncInterval time.Duration
-	// RejoinInterval is the least time between two tries to reach a seed that is not a live member.
+	// RejoinInterval is the minimum interval between two attempts to reach a seed that is not a live member.
 	RejoinInterval time.Duration
 }
 
-// Prober probes one member a tick, answers the probes of others, and joins. It implements the Twirp service Membership.
+// Prober runs the membership protocol: it probes one member per tick, answers probes, and joins through seeds. It
+// implements the Twirp service Membership.
 type Prober struct {
 	settings  ProberSettings
 	table     *Table
@@ -49,25 +51,25 @@
 	logger    *log.Logger
 	health    health
 
-	mu       sync.Mutex // guards what follows
-	random   *rand.Rand
-	synced   time.Time
-	rejoined time.Time
+	mu         sync.Mutex // guards the fields below
+	random     *rand.Rand
+	lastSync   time.Time
+	lastRejoin time.Time
 }
 
-// NewProber returns a prober. seeds gives control addresses to join through.
+// NewProber returns a prober. The function seeds returns the control addresses through which this node joins.
 func NewProber(settings ProberSettings, table *Table, directory *peers.Directory, spread Spread, seeds func() []string, seed uint64, logger *log.Logger) *Prober {
 	return &Prober{settings: settings, table: table, directory: directory, spread: spread, seeds: seeds, logger: logger,
 		random: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// Tick probes the next member, and now and then a seed that is not a live member.
+// Tick probes the next member and, at most once per RejoinInterval, contacts a seed that is not a live member.
 func (prober *Prober) Tick(ctx context.Context) {
-	if !prober.health.due() {
+	if !prober.health.shouldProbe() {
 		return
 	}
 	now := time.Now()
-	for _, dead := range prober.table.Expire(now, prober.health.stretch(1)) {
+	for _, dead := range prober.table.Expire(now, prober.health.scale(1)) {
 		prober.logger.Warn("member dead", "node", dead.NodeID, "zone", dead.Zone, "incarnation", dead.Incarnation)
 	}
 	prober.rejoin(ctx)
@@ -78,11 +80,11 @@
 		return
 	}
 	if prober.probe(ctx, target) {
-		prober.health.note(true)
+		prober.health.record(true)
 		return
 	}
-	// A silent member or an own fault: both make this node more patient until probes succeed again.
-	prober.health.note(false)
+	// The failure may be this node's own, so its health score rises even if the member is dead.
+	prober.health.record(false)
 	if prober.probeIndirect(ctx, target) || ctx.Err() != nil {
 		return
 	}
@@ -90,11 +92,11 @@
 	prober.table.Suspect(target.NodeID, target.Incarnation, time.Now())
 }
 
-// rejoin exchanges lists with a random seed that is not a live member, at most once an interval: so a node joins, islands
-// that formed at the start merge, and the sides of a healed cut find each other.
+// rejoin exchanges full lists with a random seed that is not a live member, at most once per RejoinInterval. This lets a
+// new node join, and reunites parts of the cluster that started separately or were partitioned.
 func (prober *Prober) rejoin(ctx context.Context) {
 	prober.mu.Lock()
-	due := time.Since(prober.rejoined) >= prober.settings.RejoinInterval
+	due := time.Since(prober.lastRejoin) >= prober.settings.RejoinInterval
 	prober.mu.Unlock()
 	if !due {
 		return
@@ -113,13 +115,13 @@
 		return
 	}
 	prober.mu.Lock()
-	prober.rejoined = time.Now()
+	prober.lastRejoin = time.Now()
 	address := missing[prober.random.IntN(len(missing))]
 	prober.mu.Unlock()
 	prober.sync(ctx, address)
 }
 
-// sync exchanges whole lists with the node at an address.
+// sync exchanges full lists with the node at an address and reports whether it succeeded.
 func (prober *Prober) sync(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, prober.settings.ProbeTimeout+prober.settings.IndirectTimeout)
 	defer cancel()
@@ -138,14 +140,14 @@
 	before := prober.table.Self().Incarnation
 	prober.table.Merge(fromMessages(messages), time.Now())
 	if prober.table.Self().Incarnation != before {
-		// Others found this node silent: it may be slow itself.
-		prober.health.note(false)
+		// Others suspected this node, which may be overloaded.
+		prober.health.record(false)
 	}
 }
 
-// probe asks a member directly and exchanges changes.
+// probe sends a direct probe to a member, exchanges pending updates with it, and reports whether it answered.
 func (prober *Prober) probe(ctx context.Context, target Member) bool {
-	ctx, cancel := context.WithTimeout(ctx, prober.health.stretch(prober.settings.ProbeTimeout))
+	ctx, cancel := context.WithTimeout(ctx, prober.health.scale(prober.settings.ProbeTimeout))
 	defer cancel()
 	answer, err := prober.directory.At(target.Address).Membership.Probe(ctx, &controlv1.ProbeRequest{
 		Sender: toMessage(prober.table.Self()), TargetNodeId: target.NodeID, Changes: prober.changes(target),
@@ -155,12 +157,12 @@
 		return false
 	}
 	prober.merge(append(answer.GetChanges(), answer.GetResponder()))
-	prober.heard(target.Address, answer.GetRevisions())
+	prober.handleRevisions(target.Address, answer.GetRevisions())
 	prober.syncIfDifferent(target.Address, answer.GetMemberDigest())
 	return true
 }
 
-// changes returns pending news; a suspect is always told, so that it can refute.
+// changes returns pending updates. A suspect always receives the update about itself, so that it can refute it.
 func (prober *Prober) changes(target Member) []*controlv1.Member {
 	changes := prober.table.Changes()
 	if target.State == StateSuspect {
@@ -174,21 +176,21 @@
 	return &controlv1.Revisions{Configuration: known.Configuration, Partitions: known.Partitions, Machines: known.Machines}
 }
 
-func (prober *Prober) heard(address string, message *controlv1.Revisions) {
+func (prober *Prober) handleRevisions(address string, message *controlv1.Revisions) {
 	prober.spread.Heard(address, Revisions{
 		Configuration: message.GetConfiguration(), Partitions: message.GetPartitions(), Machines: message.GetMachines(),
 	})
 }
 
-// syncIfDifferent exchanges whole lists when digests differ while no news is pending, at most once an interval.
+// syncIfDifferent starts an exchange of full lists if the digests differ, at most once per SyncInterval.
 func (prober *Prober) syncIfDifferent(address string, digest uint64) {
 	if digest == prober.table.View().Digest {
 		return
 	}
 	prober.mu.Lock()
-	due := time.Since(prober.synced) >= prober.settings.SyncInterval
+	due := time.Since(prober.lastSync) >= prober.settings.SyncInterval
 	if due {
-		prober.synced = time.Now()
+		prober.lastSync = time.Now()
 	}
 	prober.mu.Unlock()
 	if due {
@@ -196,21 +198,21 @@
 	}
 }
 
-// probeIndirect asks some other members to probe the target.
+// probeIndirect asks other members to probe the target and reports whether any of them got an answer.
 func (prober *Prober) probeIndirect(ctx context.Context, target Member) bool {
-	ctx, cancel := context.WithTimeout(ctx, prober.health.stretch(prober.settings.IndirectTimeout))
+	ctx, cancel := context.WithTimeout(ctx, prober.health.scale(prober.settings.IndirectTimeout))
 	defer cancel()
-	helpers := prober.helpers(target)
-	answers := make(chan bool, len(helpers))
-	for _, helper := range helpers {
+	intermediaries := prober.intermediaries(target)
+	answers := make(chan bool, len(intermediaries))
+	for _, intermediary := range intermediaries {
 		go func() {
-			answer, err := prober.directory.At(helper.Address).Membership.ProbeIndirect(ctx, &controlv1.ProbeIndirectRequest{
+			answer, err := prober.directory.At(intermediary.Address).Membership.ProbeIndirect(ctx, &controlv1.ProbeIndirectRequest{
 				Sender: toMessage(prober.table.Self()), Target: toMessage(target),
 			})
 			answers <- err == nil && answer.GetAcknowledged()
 		}()
 	}
-	for range helpers {
+	for range intermediaries {
 		if <-answers {
 			return true
 		}
@@ -218,25 +220,25 @@
 	return false
 }
 
-// helpers picks random live members other than the target.
-func (prober *Prober) helpers(target Member) []Member {
+// intermediaries returns up to IndirectProbes random live members other than this node and the target.
+func (prober *Prober) intermediaries(target Member) []Member {
 	live := prober.table.View().Live
 	own := prober.table.Self().NodeID
 	prober.mu.Lock()
 	defer prober.mu.Unlock()
-	var helpers []Member
+	var chosen []Member
 	for _, index := range prober.random.Perm(len(live)) {
-		if len(helpers) >= prober.settings.IndirectProbes {
+		if len(chosen) >= prober.settings.IndirectProbes {
 			break
 		}
 		if candidate := live[index]; candidate.NodeID != target.NodeID && candidate.NodeID != own {
-			helpers = append(helpers, candidate)
+			chosen = append(chosen, candidate)
 		}
 	}
-	return helpers
+	return chosen
 }
 
-// Push probes some random members at once, so that a new revision spreads without waiting for the next tick.
+// Push probes up to count random members at once, so that a new revision spreads without waiting for the next tick.
 func (prober *Prober) Push(ctx context.Context, count int) {
 	live := prober.table.View().Live
 	own := prober.table.Self().NodeID
@@ -262,7 +264,7 @@
 	}
 	prober.merge(append(request.GetChanges(), request.GetSender()))
 	if sender, ok := fromMessage(request.GetSender()); ok {
-		prober.heard(sender.Address, request.GetRevisions())
+		prober.handleRevisions(sender.Address, request.GetRevisions())
 		prober.syncIfDifferent(sender.Address, request.GetMemberDigest())
 	}
 	return &controlv1.ProbeResponse{
@@ -286,15 +288,15 @@
 	return &controlv1.SyncResponse{Members: toMessages(prober.table.View().All)}, nil
 }
 
-// Leave tells some members at once that this node leaves as planned.
-func (prober *Prober) Leave(ctx context.Context, tell int) {
+// Leave marks this node as left and probes up to count random members to announce it.
+func (prober *Prober) Leave(ctx context.Context, count int) {
 	prober.table.Leave(time.Now())
 	live := prober.table.View().Live
 	var pending sync.WaitGroup
 	prober.mu.Lock()
 	order := prober.random.Perm(len(live))
 	prober.mu.Unlock()
-	for _, index := range order[:min(tell, len(order))] {
+	for _, index := range order[:min(count, len(order))] {
 		pending.Go(func() { prober.probe(ctx, live[index]) })
 	}
 	pending.Wait()
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -1,7 +1,7 @@
-// Package membership keeps the list of nodes by random probing with indirect probes, suspicion and incarnations.
-// Table is the pure core; Prober runs it.
-// Source: Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
-// Protocol", DSN 2002.
+// Package membership maintains the list of nodes by gossip: random probes, indirect probes, suspicion and incarnations.
+// Table holds the state without any I/O; Prober runs the protocol.
+// Source: Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol",
+// DSN 2002.
 package membership
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what is believed of a member. At one incarnation the greater state wins.
+// State is the assumed state of a member. Of two updates with the same incarnation, the one with the greater state wins.
 type State int
 
 // The states of a member.
@@ -27,7 +27,7 @@
 	StateDead    State = 4
 )
 
-// Member is one node as the others know it.
+// Member describes one node. An update about a node is a Member too.
 type Member struct {
 	NodeID      string
 	Address     string
@@ -38,8 +38,8 @@
 	StoreID     string
 }
 
-// wins reports whether the news replaces what is known.
-func (member Member) wins(known Member) bool {
+// supersedes reports whether this update replaces the known state of the member.
+func (member Member) supersedes(known Member) bool {
 	if member.Incarnation != known.Incarnation {
 		return member.Incarnation > known.Incarnation
 	}
@@ -49,41 +49,43 @@
 // Live reports whether the member may be given work.
 func (member Member) Live() bool { return member.State == StateAlive || member.State == StateSuspect }
 
-// Settings of the core. Times are real time.
+// Settings are the parameters of a Table.
 type Settings struct {
-	// SuspicionTime is how long a suspect may refute before it is declared dead.
+	// SuspicionTime is how long a suspect has to refute the suspicion before it is declared dead.
 	SuspicionTime time.Duration
-	// ForgetTime is how long a dead or left member is remembered, so that old news does not revive it.
+	// ForgetTime is the time for which a dead or left member is remembered, so that a stale update does not revive it.
 	ForgetTime time.Duration
-	// RetransmitFactor times the logarithm of the member count is how often each change is passed on.
+	// RetransmitFactor is multiplied by the binary logarithm of the member count to get the number of transmissions of
+	// each update.
 	RetransmitFactor int
-	// ChangesPerMessage bounds the changes on one message.
+	// ChangesPerMessage bounds the number of updates in one message.
 	ChangesPerMessage int
 }
 
 type entry struct {
-	member  Member
-	since   time.Time
-	sent    int // how often the present news was passed on
-	pending bool
+	member        Member
+	since         time.Time
+	transmissions int // of the current update
+	pending       bool
 }
 
-// Table is one node's list of members. It is safe for concurrent use.
-// Invariant: the own entry is alive at the greatest incarnation known of it, until Leave.
+// Table is one node's list of members. It is safe for concurrent use. Invariant: until Leave is called, the entry of
+// this node is alive and has the greatest incarnation seen for this node.
 type Table struct {
-	mu       sync.Mutex
-	settings Settings
-	self     Member
-	leaving  bool
-	entries  map[string]*entry
-	zone     round // the others of the own zone
-	far      round // the others of other zones
-	probes   int
-	view     *View // cached; nil after a change
-	counters Counters
+	mu          sync.Mutex
+	settings    Settings
+	self        Member
+	leaving     bool
+	entries     map[string]*entry
+	zoneRound   probeRound // members of this node's zone
+	remoteRound probeRound // members of other zones
+	probes      int
+	view        *View // cached; nil after a change
+	counters    Counters
 }
 
-// NewTable returns a table that knows only self, whose incarnation must be greater than in any earlier life.
+// NewTable returns a table that contains only self. The incarnation of self must exceed that of every earlier process of
+// this node.
 func NewTable(self Member, settings Settings, now time.Time) *Table {
 	self.State = StateAlive
 	table := &Table{settings: settings, self: self, entries: make(map[string]*entry)}
@@ -91,34 +93,34 @@
 	return table
 }
 
-// Self returns the own entry.
+// Self returns the entry of this node.
 func (table *Table) Self() Member {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	return table.entries[table.self.NodeID].member
 }
 
-// Merge takes news. News that the own node is not alive is refuted with a greater incarnation.
-func (table *Table) Merge(news []Member, now time.Time) {
+// Merge applies updates. An update that contradicts the entry of this node is refuted with a greater incarnation.
+func (table *Table) Merge(updates []Member, now time.Time) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	for _, member := range news {
+	for _, member := range updates {
 		table.merge(member, now)
 	}
 }
 
-// merge takes one piece of news; must hold mu.
+// merge applies one update. The caller must hold mu.
 func (table *Table) merge(member Member, now time.Time) {
 	if member.NodeID == table.self.NodeID {
 		table.refute(member, now)
 		return
 	}
 	known, ok := table.entries[member.NodeID]
-	if ok && !member.wins(known.member) {
+	if ok && !member.supersedes(known.member) {
 		return
 	}
 	if !ok && !member.Live() {
-		// Remember the death too: older news of the member may still be on its way.
+		// Record the death of an unknown member too: an older update that declares it alive may still arrive.
 		table.entries[member.NodeID] = &entry{member: member, since: now, pending: true}
 		table.view = nil
 		return
@@ -126,7 +128,7 @@
 	table.put(member, now)
 }
 
-// put stores news and makes it pending; must hold mu.
+// put stores an update and queues it for transmission. The caller must hold mu.
 func (table *Table) put(member Member, now time.Time) {
 	switch member.State {
 	case StateSuspect:
@@ -138,21 +140,22 @@
 	table.view = nil
 }
 
-// refute answers news of the own node; must hold mu.
-func (table *Table) refute(news Member, now time.Time) {
+// refute handles an update about this node. The caller must hold mu.
+func (table *Table) refute(update Member, now time.Time) {
 	own := table.entries[table.self.NodeID]
-	if table.leaving || !news.wins(own.member) {
+	if table.leaving || !update.supersedes(own.member) {
 		return
 	}
-	if news.State == StateDead {
+	if update.State == StateDead {
 		table.counters.RefutedDeaths++
 	}
-	own.member.Incarnation = news.Incarnation + 1
-	own.since, own.sent, own.pending = now, 0, true
+	own.member.Incarnation = update.Incarnation + 1
+	own.since, own.transmissions, own.pending = now, 0, true
 	table.view = nil
 }
 
-// Suspect notes that a member did not answer.
+// Suspect marks a member as suspect after a failed probe. It does nothing if the incarnation is stale or the member is
+// not alive.
 func (table *Table) Suspect(nodeID string, incarnation uint64, now time.Time) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -165,27 +168,27 @@
 	table.put(suspect, now)
 }
 
-// Leave marks the own node as leaving as planned; the news is passed on like any other.
+// Leave marks this node as left; the update spreads like any other.
 func (table *Table) Leave(now time.Time) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	table.leaving = true
 	own := table.entries[table.self.NodeID]
 	own.member.State = StateLeft
-	own.since, own.sent, own.pending = now, 0, true
+	own.since, own.transmissions, own.pending = now, 0, true
 	table.view = nil
 }
 
-// Expire declares suspects dead whose time is over, and forgets old deaths. It returns the newly dead. patience multiplies
-// the time that suspects have; one is none.
-func (table *Table) Expire(now time.Time, patience time.Duration) []Member {
+// Expire declares suspects dead that did not refute in time, and removes members whose ForgetTime is over. It returns
+// the newly dead members. SuspicionTime is multiplied by multiplier.
+func (table *Table) Expire(now time.Time, multiplier time.Duration) []Member {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	var dead []Member
 	for nodeID, known := range table.entries {
 		age := now.Sub(known.since)
 		switch {
-		case known.member.State == StateSuspect && age >= patience*table.settings.SuspicionTime:
+		case known.member.State == StateSuspect && age >= multiplier*table.settings.SuspicionTime:
 			member := known.member
 			member.State = StateDead
 			table.put(member, now)
@@ -198,7 +201,8 @@
 	return dead
 }
 
-// Changes returns pending news for one message, least sent first, and counts it as sent.
+// Changes returns the pending updates for one message, those with the fewest transmissions first, and counts them as
+// transmitted.
 func (table *Table) Changes() []Member {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -209,48 +213,48 @@
 		}
 	}
 	slices.SortFunc(pending, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(a.sent, b.sent), strings.Compare(a.member.NodeID, b.member.NodeID))
+		return cmp.Or(cmp.Compare(a.transmissions, b.transmissions), strings.Compare(a.member.NodeID, b.member.NodeID))
 	})
 	limit := table.settings.RetransmitFactor * int(math.Ceil(math.Log2(float64(len(table.entries)+1))))
 	changes := make([]Member, 0, min(len(pending), table.settings.ChangesPerMessage))
 	for _, known := range pending[:min(len(pending), table.settings.ChangesPerMessage)] {
 		changes = append(changes, known.member)
-		known.sent++
-		known.pending = known.sent < limit
+		known.transmissions++
+		known.pending = known.transmissions < limit
 	}
 	return changes
 }
 
-// round is one pass over members in an order that is shuffled anew for each pass.
-type round struct {
+// probeRound is one pass over a set of members. The order is shuffled again for each pass.
+type probeRound struct {
 	order    []string
 	position int
 }
 
-// farEvery is how many probes there are to one of a member in another zone. Probing stays inside the zone for the rest:
-// its few connections are kept, and each zone's members watch each other.
-const farEvery = 4
+// One in remoteProbeInterval probes goes to a member of another zone. The others stay in the zone, so that a node needs
+// few connections and the members of a zone monitor each other.
+const remoteProbeInterval = 4
 
-// NextTarget returns the member to probe next: each live other of the zone once a round, and now and then one of another
-// zone.
+// NextTarget returns the next member to probe, or false if there is no other live member. Each pass over the zone
+// returns each live member once.
 func (table *Table) NextTarget(random *rand.Rand) (Member, bool) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	table.probes++
-	rounds := []*round{&table.zone, &table.far}
-	if table.probes%farEvery == 0 {
-		rounds = []*round{&table.far, &table.zone}
+	rounds := []*probeRound{&table.zoneRound, &table.remoteRound}
+	if table.probes%remoteProbeInterval == 0 {
+		rounds = []*probeRound{&table.remoteRound, &table.zoneRound}
 	}
 	for _, current := range rounds {
-		if member, ok := table.next(current, current == &table.zone, random); ok {
+		if member, ok := table.nextInRound(current, current == &table.zoneRound, random); ok {
 			return member, true
 		}
 	}
 	return Member{}, false
 }
 
-// next returns the next live member of a round, starting it anew at its end; must hold mu.
-func (table *Table) next(current *round, ownZone bool, random *rand.Rand) (Member, bool) {
+// nextInRound returns the next live member of a round, and starts a new round at the end. The caller must hold mu.
+func (table *Table) nextInRound(current *probeRound, ownZone bool, random *rand.Rand) (Member, bool) {
 	for range 2 {
 		for current.position < len(current.order) {
 			nodeID := current.order[current.position]
@@ -264,13 +268,13 @@
 	return Member{}, false
 }
 
-// shuffle starts a round; must hold mu.
-func (table *Table) shuffle(current *round, ownZone bool, random *rand.Rand) {
+// shuffle starts a new round. The caller must hold mu.
+func (table *Table) shuffle(current *probeRound, ownZone bool, random *rand.Rand) {
 	current.order = current.order[:0]
 	current.position = 0
 	for nodeID, known := range table.entries {
-		inside := known.member.Zone == table.self.Zone
-		if nodeID != table.self.NodeID && known.member.Live() && inside == ownZone {
+		inOwnZone := known.member.Zone == table.self.Zone
+		if nodeID != table.self.NodeID && known.member.Live() && inOwnZone == ownZone {
 			current.order = append(current.order, nodeID)
 		}
 	}
@@ -278,17 +282,17 @@
 	random.Shuffle(len(current.order), func(i, j int) { current.order[i], current.order[j] = current.order[j], current.order[i] })
 }
 
-// View is the list of members at one moment; it must not be changed.
+// View is a snapshot of the member list. It must not be modified.
 type View struct {
-	// All is every remembered member by identifier.
+	// All holds every remembered member, ordered by identifier.
 	All []Member
-	// Live is those that may be given work, by identifier.
+	// Live holds the members that may be given work, ordered by identifier.
 	Live []Member
 	// Digest is equal for equal lists of live members.
 	Digest uint64
 }
 
-// View returns the present list.
+// View returns the current snapshot.
 func (table *Table) View() *View {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -319,15 +323,14 @@
 	return hash.Sum64()
 }
 
-// Counters are totals since the start.
+// Counters are totals since the process started.
 type Counters struct {
-	// Suspects and Deaths count the news of others that the table has taken.
+	// Suspects and Deaths count the suspicions and deaths of other members that this table has recorded.
 	Suspects, Deaths int
-	// RefutedDeaths counts how often this node, alive, heard of its own death.
+	// RefutedDeaths counts the updates that declared this node dead while it was alive.
 	RefutedDeaths int
 }
 
-// Counters returns the totals.
 func (table *Table) Counters() Counters {
 	table.mu.Lock()
 	defer table.mu.Unlock()
