--- a/internal/cluster/choice.go
+++ b/internal/cluster/choice.go
@@ -5,14 +5,15 @@
 	"slices"
 )
 
-// Preferred returns the name of the node of this node's zone and role that ranks first for a key, of the strong ones; the same at all of
-// these. Empty for none.
+// Preferred returns the name of the node that ranks first for a key among the strong nodes of this node's zone and role,
+// or an empty string if there is none. All these nodes compute the same name from the same registry.
 func (registry *Registry) Preferred(key string) string { return nth(registry.preferredOf(key), 0) }
 
-// Alternate returns the name of the node that Preferred would return without the one that it does.
+// Alternate returns the name of the node that ranks second, after Preferred, or an empty string if there is none.
 func (registry *Registry) Alternate(key string) string { return nth(registry.preferredOf(key), 1) }
 
-// Rank returns the place of this node, from 0, among the first nodes of its zone and role for a key; negative when it is not among them.
+// Rank returns the position of this node, from 0, among the nodes that rank highest for a key in its zone and role. It
+// returns a negative number if this node is not among them.
 func (registry *Registry) Rank(key string) int {
 	return slices.Index(registry.preferredOf(key), registry.self.GetName())
 }
@@ -24,13 +25,14 @@
 	return names[place]
 }
 
-// preferredNodes is how many nodes of a zone are ranked for a key.
-const preferredNodes = 3
+// preferredCount is the number of nodes of a zone that are ranked for a key.
+const preferredCount = 3
 
-// candidatesMost bounds the nodes that Candidates returns.
-const candidatesMost = 8
+// maxCandidates bounds the number of nodes that Candidates returns.
+const maxCandidates = 8
 
-// Candidates returns the names of nodes of this node's role: its successors, then others that are drawn, those of its zone first.
+// Candidates returns the names of nodes of this node's role: first its successors, then random nodes of its zone, then
+// random nodes of other zones.
 func (registry *Registry) Candidates() []string {
 	names := registry.Nearest()
 	registry.mu.Lock()
@@ -45,20 +47,20 @@
 			far = append(far, name)
 		}
 	}
-	drawn := func(list []string) []string {
+	shuffled := func(list []string) []string {
 		rand.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
 		return list
 	}
-	others := slices.Concat(drawn(near), drawn(far))
-	return append(names, others[:min(len(others), max(0, candidatesMost-len(names)))]...)
+	others := slices.Concat(shuffled(near), shuffled(far))
+	return append(names, others[:min(len(others), max(0, maxCandidates-len(names)))]...)
 }
 
-// Nearest returns the names of the node's successors that were heard of lately or are not watched, the nearest first.
+// Nearest returns the names of this node's successors on the ring that have its role, the nearest first.
 func (registry *Registry) Nearest() []string {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
 	var names []string
-	for _, record := range registry.ring.Successors(registry.self.GetName(), monitorsOfNode) {
+	for _, record := range registry.ring.Successors(registry.self.GetName(), monitorsPerNode) {
 		if record.GetRole() == registry.self.GetRole() {
 			names = append(names, record.GetName())
 		}
--- a/internal/cluster/datagrams.go
+++ b/internal/cluster/datagrams.go
@@ -10,12 +10,13 @@
 	clusterv1 "github.com/thistlewalk/thistlewalk/api/cluster/v1"
 )
 
+// datagramSize is the receive buffer's size; a larger datagram would be truncated.
 const datagramSize = 2048
 
-// Datagrams sends and receives what nodes tell each other by UDP.
+// Datagrams sends and receives the cluster's UDP messages.
 type Datagrams struct{ Conn net.PacketConn }
 
-// Send sends a datagram to nodes. A lost one is made up for by the next, or not needed.
+// Send sends a datagram to nodes. Delivery is best effort: the protocol tolerates lost datagrams.
 func (datagrams *Datagrams) Send(datagram *clusterv1.Datagram, nodes []*clusterv1.NodeRecord) {
 	payload, err := proto.Marshal(datagram)
 	if err != nil {
@@ -29,29 +30,28 @@
 	}
 }
 
-// SendTo sends a datagram to an address.
 func (datagrams *Datagrams) SendTo(datagram *clusterv1.Datagram, address net.Addr) {
 	if payload, err := proto.Marshal(datagram); err == nil {
 		_, _ = datagrams.Conn.WriteTo(payload, address)
 	}
 }
 
-// Handlers take datagrams by their kind.
+// Handlers holds a callback for each kind of datagram. Datagrams without a callback are ignored.
 type Handlers struct {
-	// Any is called before the handler of each datagram's kind.
+	// Any is called for every datagram, before the callback of its kind.
 	Any       func()
 	Heartbeat func(*clusterv1.Heartbeat)
 	Beacon    func(beacon *clusterv1.Beacon, from net.Addr)
 	JobOwner  func(*clusterv1.JobOwner)
 	Demand    func(*clusterv1.Demand)
 	Loads     func(*clusterv1.Loads)
-	// StoreAnswers is told that the metadata store answers another node again.
+	// StoreAnswers is called when another node announces that the metadata store answers again.
 	StoreAnswers func(*clusterv1.StoreAnswers)
 	Suspicions   func(*clusterv1.Suspicions)
 	RelayReport  func(*clusterv1.RelayReport)
 }
 
-// Receive hands datagrams to the handlers until the context ends or the connection is closed.
+// Receive dispatches datagrams to the handlers until the context ends or the connection is closed.
 func (datagrams *Datagrams) Receive(ctx context.Context, handlers Handlers) {
 	buffer := make([]byte, datagramSize)
 	for ctx.Err() == nil {
@@ -63,12 +63,11 @@
 		if proto.Unmarshal(buffer[:size], datagram) != nil {
 			continue
 		}
-		handlers.take(datagram, from)
+		handlers.dispatch(datagram, from)
 	}
 }
 
-// take hands a datagram to its handler; kinds without one are passed over.
-func (handlers *Handlers) take(datagram *clusterv1.Datagram, from net.Addr) {
+func (handlers *Handlers) dispatch(datagram *clusterv1.Datagram, from net.Addr) {
 	if handlers.Any != nil {
 		handlers.Any()
 	}
--- a/internal/cluster/monitor.go
+++ b/internal/cluster/monitor.go
@@ -11,36 +11,38 @@
 	"github.com/thistlewalk/thistlewalk/internal/wait"
 )
 
-// Intervals of failure detection.
+// Timing of failure detection.
 const (
 	HeartbeatInterval = 350 * time.Millisecond
-	// silenceLimit is how long a node is silent before it is asked directly.
-	silenceLimit = 1250 * time.Millisecond
-	// rankDelay is how much longer each further successor waits.
-	rankDelay = 900 * time.Millisecond
-	pingLimit = 300 * time.Millisecond
-	// isolationDelay is how much longer a node waits that hears of none of those it watches: it is likely cut off itself.
+	// heartbeatTimeout is the time without a heartbeat after which a node is suspected and pinged.
+	heartbeatTimeout = 1250 * time.Millisecond
+	// rankDelay is the additional delay per rank among a node's live successors, so that usually only one of them takes
+	// the node over.
+	rankDelay   = 900 * time.Millisecond
+	pingTimeout = 300 * time.Millisecond
+	// isolationDelay is the additional delay of a node that receives no datagrams at all and is probably partitioned
+	// itself.
 	isolationDelay = 2 * time.Second
 	checkPeriod    = 200 * time.Millisecond
-	// takeOverPause is the time before a take-over that failed is tried again; each try costs a call at least.
-	takeOverPause = 100 * time.Millisecond
+	// takeoverBackoff is the delay before a failed takeover is retried.
+	takeoverBackoff = 100 * time.Millisecond
 )
 
-// Monitor sends this node's heartbeats and watches those of its predecessors on the ring.
+// Monitor sends this node's heartbeats and watches the heartbeats of its predecessors on the ring.
 type Monitor struct {
 	Registry  *Registry
 	Datagrams *Datagrams
 	Logger    *log.Logger
-	// OnDead takes over what a dead node owned; an error has it tried again.
-	OnDead func(ctx context.Context, name string, life int64) error
-	// AwaitStore waits until the metadata store answers, without which nothing can be taken over; nil for no wait.
+	// OnDead takes over the work of a dead node. It is called again if it returns an error.
+	OnDead func(ctx context.Context, name string, incarnation int64) error
+	// AwaitStore blocks until the metadata store answers, because a takeover needs the store. Nil means no wait.
 	AwaitStore func(ctx context.Context)
 
-	mu      sync.Mutex
-	looking map[string]bool // silent nodes that are being looked at
+	mu       sync.Mutex
+	checking map[string]bool // suspects with a check in progress
 }
 
-// Run works until the context ends.
+// Run sends heartbeats and checks for failures until the context ends.
 func (monitor *Monitor) Run(ctx context.Context) {
 	go monitor.send(ctx)
 	ticker := time.NewTicker(checkPeriod)
@@ -51,10 +53,10 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			if now.Sub(last) > silenceLimit/2 {
-				monitor.Registry.forgiveSilence(now) // this process itself stood still
+			if now.Sub(last) > heartbeatTimeout/2 {
+				monitor.Registry.resetHeartbeats(now) // this process was paused and may have missed heartbeats
 			} else {
-				monitor.check(ctx, now)
+				monitor.checkHeartbeats(ctx, now)
 			}
 			last = time.Now()
 		}
@@ -76,65 +78,65 @@
 	}
 }
 
-// Heard takes a heartbeat.
-func (monitor *Monitor) Heard(heartbeat *clusterv1.Heartbeat) {
-	monitor.Registry.hear(heartbeat.GetName(), time.Now())
+// HandleHeartbeat records the arrival of a heartbeat.
+func (monitor *Monitor) HandleHeartbeat(heartbeat *clusterv1.Heartbeat) {
+	monitor.Registry.markHeard(heartbeat.GetName(), time.Now())
 }
 
-// check has silent nodes looked at, each by itself: a take-over may take seconds.
-func (monitor *Monitor) check(ctx context.Context, now time.Time) {
-	for _, silent := range monitor.Registry.silent(now) {
-		if monitor.begin(silent) {
+// checkHeartbeats starts a check of each suspect. The checks run concurrently because a takeover may take seconds.
+func (monitor *Monitor) checkHeartbeats(ctx context.Context, now time.Time) {
+	for _, suspect := range monitor.Registry.suspects(now) {
+		if monitor.beginCheck(suspect) {
 			go func() {
-				defer monitor.finish(silent)
-				monitor.look(ctx, silent)
+				defer monitor.endCheck(suspect)
+				monitor.checkSuspect(ctx, suspect)
 			}()
 		}
 	}
 }
 
-// begin reports whether a silent node is to be looked at, and is not yet.
-func (monitor *Monitor) begin(name string) bool {
+// beginCheck reports whether the caller should check a node; it returns false while another check of that node runs.
+func (monitor *Monitor) beginCheck(name string) bool {
 	monitor.mu.Lock()
 	defer monitor.mu.Unlock()
-	if monitor.looking[name] {
+	if monitor.checking[name] {
 		return false
 	}
-	if monitor.looking == nil {
-		monitor.looking = make(map[string]bool)
+	if monitor.checking == nil {
+		monitor.checking = make(map[string]bool)
 	}
-	monitor.looking[name] = true
+	monitor.checking[name] = true
 	return true
 }
 
-func (monitor *Monitor) finish(name string) {
+func (monitor *Monitor) endCheck(name string) {
 	monitor.mu.Lock()
 	defer monitor.mu.Unlock()
-	delete(monitor.looking, name)
+	delete(monitor.checking, name)
 }
 
-// look asks a silent node directly, and has it taken over if it is dead.
-func (monitor *Monitor) look(ctx context.Context, silent string) {
-	if monitor.ping(ctx, silent) {
-		monitor.Registry.hear(silent, time.Now())
+// checkSuspect pings a suspect and takes it over if it does not answer.
+func (monitor *Monitor) checkSuspect(ctx context.Context, suspect string) {
+	if monitor.ping(ctx, suspect) {
+		monitor.Registry.markHeard(suspect, time.Now())
 		return
 	}
-	monitor.Logger.Warn("node dead", "node", silent, "silent_ms", monitor.Registry.silence(silent, time.Now()).Milliseconds())
+	monitor.Logger.Warn("node dead", "node", suspect, "silent_ms", monitor.Registry.silence(suspect, time.Now()).Milliseconds())
 	if monitor.AwaitStore != nil {
 		monitor.AwaitStore(ctx)
 	}
-	if monitor.Registry.silence(silent, time.Now()) < silenceLimit {
-		return // it was heard again meanwhile
+	if monitor.Registry.silence(suspect, time.Now()) < heartbeatTimeout {
+		return // a heartbeat arrived during the wait
 	}
-	if err := monitor.OnDead(ctx, silent, monitor.Registry.life(silent)); err != nil {
-		monitor.Logger.Warn("take-over failed", "node", silent, "error", err)
-		wait.Pause(ctx, takeOverPause)
+	if err := monitor.OnDead(ctx, suspect, monitor.Registry.incarnation(suspect)); err != nil {
+		monitor.Logger.Warn("take-over failed", "node", suspect, "error", err)
+		wait.Pause(ctx, takeoverBackoff)
 		return
 	}
-	callCtx, cancel := context.WithTimeout(ctx, registerLimit)
+	callCtx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
-	monitor.Registry.removeDead(callCtx, silent)
-	monitor.Registry.hear(silent, time.Now())
+	monitor.Registry.removeDead(callCtx, suspect)
+	monitor.Registry.markHeard(suspect, time.Now())
 }
 
 func (monitor *Monitor) ping(ctx context.Context, name string) bool {
@@ -142,29 +144,29 @@
 	if client == nil {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, pingLimit)
+	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	response, err := client.Ping(ctx, &clusterv1.PingRequest{})
 	return err == nil && response.GetName() == name
 }
 
-// monitors returns the nodes that watch this one.
+// monitors returns the nodes that watch this node.
 func (registry *Registry) monitors() []*clusterv1.NodeRecord {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
-	return registry.ring.Successors(registry.self.GetName(), monitorsOfNode)
+	return registry.ring.Successors(registry.self.GetName(), monitorsPerNode)
 }
 
-func (registry *Registry) hear(name string, now time.Time) {
+func (registry *Registry) markHeard(name string, now time.Time) {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
 	if registry.nodes[name] != nil {
-		registry.heard[name] = now
+		registry.lastHeard[name] = now
 	}
 }
 
-// life returns the life of a node's process as registered; zero when it is not.
-func (registry *Registry) life(name string) int64 {
+// incarnation returns the registered incarnation of a node, or zero if the node is not registered.
+func (registry *Registry) incarnation(name string) int64 {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
 	return registry.nodes[name].GetLife()
@@ -173,85 +175,87 @@
 func (registry *Registry) silence(name string, now time.Time) time.Duration {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
-	return now.Sub(registry.heard[name])
+	return now.Sub(registry.lastHeard[name])
 }
 
-// forgiveSilence counts all nodes as heard of just now.
-func (registry *Registry) forgiveSilence(now time.Time) {
+// resetHeartbeats restarts the heartbeat timeout of every node.
+func (registry *Registry) resetHeartbeats(now time.Time) {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
-	for name := range registry.heard {
-		registry.heard[name] = now
+	for name := range registry.lastHeard {
+		registry.lastHeard[name] = now
 	}
 }
 
-// silent returns the nodes that this one watches and has not heard of for too long, by its rank among their live successors.
-func (registry *Registry) silent(now time.Time) []string {
+// suspects returns the watched nodes whose heartbeats are overdue. The timeout grows with this node's rank among their
+// live successors.
+func (registry *Registry) suspects(now time.Time) []string {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
 	var names []string
-	watched, limit := registry.watched(), silenceLimit
+	watched, limit := registry.watched(), heartbeatTimeout
 	if registry.isolated(watched, now) {
 		limit += isolationDelay
 	}
 	for name := range watched {
-		if now.Sub(registry.heard[name]) >= limit+time.Duration(registry.rankAmongLive(name, now))*rankDelay {
+		if now.Sub(registry.lastHeard[name]) >= limit+time.Duration(registry.rankAmongLive(name, now))*rankDelay {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// rankAmongLive returns this node's rank among the successors of a node, without those that this node watches too and that are silent:
-// they take nothing over. It must be called with mu held.
+// rankAmongLive returns this node's rank among the successors of a node. It skips successors that this node watches as
+// well and whose heartbeats are overdue, because they will not take the node over. The caller must hold mu.
 func (registry *Registry) rankAmongLive(name string, now time.Time) int {
 	rank := 0
-	for _, successor := range registry.ring.Successors(name, monitorsOfNode) {
+	for _, successor := range registry.ring.Successors(name, monitorsPerNode) {
 		if successor.GetName() == registry.self.GetName() {
 			break
 		}
-		heard, watched := registry.heard[successor.GetName()]
-		if registry.ring.Rank(registry.self.GetName(), successor.GetName()) < 0 || !watched || now.Sub(heard) < silenceLimit {
+		heard, watched := registry.lastHeard[successor.GetName()]
+		if registry.ring.Rank(registry.self.GetName(), successor.GetName()) < 0 || !watched || now.Sub(heard) < heartbeatTimeout {
 			rank++
 		}
 	}
 	return rank
 }
 
-// watched returns the nodes that this one watches, with its rank among their successors. It must be called with mu held. Its cost does not grow
-// with the nodes: it is asked for each checkPeriod at each of them.
+// watched returns the nodes that this node watches, with this node's rank among their successors. The caller must hold
+// mu. The cost must not grow with the number of nodes: every node calls it once per checkPeriod.
 func (registry *Registry) watched() map[string]int {
-	list := make(map[string]int, monitorsOfNode)
-	for rank, record := range registry.ring.Predecessors(registry.self.GetName(), monitorsOfNode) {
+	list := make(map[string]int, monitorsPerNode)
+	for rank, record := range registry.ring.Predecessors(registry.self.GetName(), monitorsPerNode) {
 		list[record.GetName()] = rank
 	}
 	return list
 }
 
-// Isolated reports whether nothing was heard of any other node lately, so that this one is likely cut off itself. With fewer than two
-// nodes to watch this can't be told from a node's death.
+// Isolated reports whether this node is probably partitioned, because no datagram has arrived from any node within the
+// heartbeat timeout. It always returns false with fewer than two watched nodes, where a partition cannot be
+// distinguished from the failure of a single node.
 func (registry *Registry) Isolated(now time.Time) bool {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
 	return registry.isolated(registry.watched(), now)
 }
 
-// isolated must be called with mu held.
+// The caller must hold mu.
 func (registry *Registry) isolated(watched map[string]int, now time.Time) bool {
-	if len(watched) < 2 || now.Sub(registry.heardAny) < silenceLimit {
+	if len(watched) < 2 || now.Sub(registry.lastContact) < heartbeatTimeout {
 		return false
 	}
 	for name := range watched {
-		if now.Sub(registry.heard[name]) < silenceLimit {
+		if now.Sub(registry.lastHeard[name]) < heartbeatTimeout {
 			return false
 		}
 	}
 	return true
 }
 
-// HeardAny notes that another node, watched or not, sent something.
-func (registry *Registry) HeardAny(now time.Time) {
+// RecordContact records that a datagram arrived from any node, whether or not this node watches it.
+func (registry *Registry) RecordContact(now time.Time) {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
-	registry.heardAny = now
+	registry.lastContact = now
 }
--- a/internal/cluster/monitor_test.go
+++ b/internal/cluster/monitor_test.go
@@ -19,7 +19,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata"
 )
 
-// ringOf returns the registry of one of some nodes, and the nodes that it watches, those first of which it is the first successor.
+// ringOf returns the registry of node-0 in a cluster and the nodes that node-0 watches, ordered by its rank among their
+// successors.
 func ringOf(t *testing.T, nodes int) (registry *Registry, watched []string) {
 	t.Helper()
 	var items []metadata.Item
@@ -41,94 +42,96 @@
 	return registry, watched
 }
 
-// A node that hears of nobody it watches holds itself for cut off, unless it hears of anybody else: then those have died.
+// A node without any heartbeats considers itself isolated and suspects nobody. A datagram from any other node shows that
+// the watched nodes have failed instead.
 func TestSilenceOfAllWatchedNodes(t *testing.T) {
 	now := time.Now()
 	registry, watched := ringOf(t, 9)
-	must.Len(t, monitorsOfNode, watched)
-	registry.forgiveSilence(now)
-	now = now.Add(silenceLimit + time.Millisecond)
+	must.Len(t, monitorsPerNode, watched)
+	registry.resetHeartbeats(now)
+	now = now.Add(heartbeatTimeout + time.Millisecond)
 	must.True(t, registry.Isolated(now))
-	must.SliceEmpty(t, registry.silent(now))
-	registry.HeardAny(now)
+	must.SliceEmpty(t, registry.suspects(now))
+	registry.RecordContact(now)
 	must.False(t, registry.Isolated(now))
-	must.SliceContains(t, registry.silent(now), watched[0])
+	must.SliceContains(t, registry.suspects(now), watched[0])
 }
 
-// A node waits for the successors before it only if these may be alive: it knows of those that it watches too.
+// A node does not wait for higher-ranked successors whose heartbeats it watches and that are overdue too.
 func TestSilentSuccessorsArePassedOver(t *testing.T) {
 	now := time.Now()
 	registry, watched := ringOf(t, 9)
 	last := watched[len(watched)-1]
-	must.Eq(t, monitorsOfNode-1, registry.ring.Rank("node-0", last))
-	registry.forgiveSilence(now)
-	later := now.Add(silenceLimit + time.Millisecond)
-	registry.HeardAny(later)
+	must.Eq(t, monitorsPerNode-1, registry.ring.Rank("node-0", last))
+	registry.resetHeartbeats(now)
+	later := now.Add(heartbeatTimeout + time.Millisecond)
+	registry.RecordContact(later)
 	for _, name := range watched[:len(watched)-1] {
-		registry.hear(name, later)
+		registry.markHeard(name, later)
 	}
-	must.SliceNotContains(t, registry.silent(later), last, must.Sprint("two successors before this one are alive"))
-	latest := now.Add(silenceLimit + (monitorsOfNode-1)*rankDelay)
-	registry.HeardAny(latest)
-	must.SliceContains(t, registry.silent(latest), last)
-	registry.forgiveSilence(now)
-	must.SliceContains(t, registry.silent(later), last, must.Sprint("the successors before this one are silent"))
+	must.SliceNotContains(t, registry.suspects(later), last, must.Sprint("two higher-ranked successors are alive"))
+	latest := now.Add(heartbeatTimeout + (monitorsPerNode-1)*rankDelay)
+	registry.RecordContact(latest)
+	must.SliceContains(t, registry.suspects(latest), last)
+	registry.resetHeartbeats(now)
+	must.SliceContains(t, registry.suspects(later), last, must.Sprint("the higher-ranked successors are silent"))
 }
 
-// Candidates are the successors of a node and some others, each once, without the node itself.
+// Candidates returns the node's successors and other nodes, each once, and never the node itself.
 func TestCandidatesGoBeyondSuccessors(t *testing.T) {
 	registry, _ := ringOf(t, 20)
 	candidates := registry.Candidates()
-	must.Len(t, candidatesMost, candidates)
-	must.Greater(t, monitorsOfNode, len(candidates))
-	must.Eq(t, registry.Nearest(), candidates[:monitorsOfNode])
+	must.Len(t, maxCandidates, candidates)
+	must.Greater(t, monitorsPerNode, len(candidates))
+	must.Eq(t, registry.Nearest(), candidates[:monitorsPerNode])
 	must.SliceNotContains(t, candidates, "node-0")
 	slices.Sort(candidates)
-	must.Len(t, candidatesMost, slices.Compact(candidates))
+	must.Len(t, maxCandidates, slices.Compact(candidates))
 	registry, _ = ringOf(t, 3)
 	must.Len(t, 2, registry.Candidates())
 }
 
-// A take-over begins as soon as the metadata store answers, and not at all if the node is heard again meanwhile: many may be frozen
-// while the store is lost.
+// A takeover waits for the metadata store, and is abandoned if a heartbeat arrives during the wait.
 func TestTakeOverWaitsForStore(t *testing.T) {
-	for _, back := range []bool{true, false} {
+	for _, recovers := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			registry, watched := ringOf(t, 9)
-			lost, dead := make(chan struct{}), make(chan string, 1)
+			storeAnswers, takeovers := make(chan struct{}), make(chan string, 1)
 			monitor := &Monitor{
-				Registry: registry, Logger: log.New(io.Discard), AwaitStore: func(context.Context) { <-lost },
+				Registry: registry, Logger: log.New(io.Discard), AwaitStore: func(context.Context) { <-storeAnswers },
 				OnDead: func(_ context.Context, name string, _ int64) error {
-					dead <- name
+					takeovers <- name
 					return errors.New("the test ends here")
 				},
 			}
-			registry.http = &http.Client{Transport: refusing{}}
-			registry.forgiveSilence(time.Now())
-			time.Sleep(silenceLimit)
+			registry.http = &http.Client{Transport: refusingTransport{}}
+			registry.resetHeartbeats(time.Now())
+			time.Sleep(heartbeatTimeout)
 			for _, name := range watched[1:] {
-				registry.hear(name, time.Now())
+				registry.markHeard(name, time.Now())
 			}
-			monitor.check(t.Context(), time.Now())
+			monitor.checkHeartbeats(t.Context(), time.Now())
 			time.Sleep(3 * time.Second)
-			must.Eq(t, 0, len(dead))
-			if back {
-				registry.hear(watched[0], time.Now())
+			must.Eq(t, 0, len(takeovers))
+			if recovers {
+				registry.markHeard(watched[0], time.Now())
 			}
-			close(lost)
+			close(storeAnswers)
 			synctest.Wait()
-			must.Eq(t, !back, len(dead) == 1)
-			time.Sleep(takeOverPause)
+			must.Eq(t, !recovers, len(takeovers) == 1)
+			time.Sleep(takeoverBackoff)
 		})
 	}
 }
 
-// refusing is a transport that reaches nobody.
-type refusing struct{}
+// refusingTransport fails every request.
+type refusingTransport struct{}
 
-func (refusing) RoundTrip(*http.Request) (*http.Response, error) { return nil, errors.New("refused") }
+func (refusingTransport) RoundTrip(*http.Request) (*http.Response, error) {
+	return nil, errors.New("refused")
+}
 
-// Work that any node could do goes to the strong ones, and to all where they are alike or do not say how strong they are.
+// Only strong nodes are preferred. All nodes are preferred if they have equal cores or do not report their cores.
 func TestStrongNodesArePreferred(t *testing.T) {
 	preferred := func(cores func(index int) float64) map[string]bool {
 		self := &clusterv1.NodeRecord{Name: "node-0", Role: "front", Zone: "z"}
--- a/internal/cluster/registry.go
+++ b/internal/cluster/registry.go
@@ -16,40 +16,40 @@
 	"github.com/thistlewalk/thistlewalk/internal/wait"
 )
 
-// Prefix is where the registry lies in the metadata store.
+// Prefix is the key prefix of node records in the metadata store.
 const Prefix = "cluster/nodes/"
 
 const (
-	registerLimit = time.Second
-	registerPause = 200 * time.Millisecond
+	registerTimeout = time.Second
+	registerBackoff = 200 * time.Millisecond
 )
 
-// Registry is the set of registered nodes. It is safe for concurrent use, and a metadata.Handler.
+// Registry is the set of registered nodes. It implements metadata.Handler and is safe for concurrent use.
 type Registry struct {
 	self   *clusterv1.NodeRecord
 	store  metadata.Store
 	http   *http.Client
 	logger *log.Logger
-	// OnExpelled is called when others have removed this node, because they held it for dead.
+	// OnExpelled is called when another node has removed this node's record because it considered this node dead.
 	OnExpelled func()
-	// Health is that of the metadata store; nil for unknown.
+	// Health is the health of the metadata store; nil if it is not tracked.
 	Health *metadata.Health
-	// LeftKey names the key that exists while a process of a node may have left something behind: it is removed with the node's record,
-	// which whoever takes a dead node over does last. Nil for the record itself.
+	// LeftKey returns the key that exists while an incarnation of a node may have left work behind. The key is deleted
+	// together with the node's record, as the last step of a takeover. If LeftKey is nil, the record's own key is used.
 	LeftKey func(node string) string
 
 	mu    sync.Mutex
 	nodes map[string]*clusterv1.NodeRecord
-	// revisions are those of the records of nodes.
+	// revisions holds the store revision of each node's record.
 	revisions map[string]metadata.Revision
 	clients   map[string]peerClient
-	heard     map[string]time.Time
-	// heardAny is when any other node was last heard of.
-	heardAny time.Time
-	ring     *Ring
-	views    views
-	joined   metadata.Revision // at which this process registered itself; zero before
-	leaving  bool
+	lastHeard map[string]time.Time
+	// lastContact is the arrival time of the last datagram from any other node.
+	lastContact    time.Time
+	ring           *Ring
+	views          views
+	joinedRevision metadata.Revision // revision of this process's own registration; zero before
+	leaving        bool
 }
 
 type peerClient struct {
@@ -58,48 +58,48 @@
 	nodes   clusterv1.Nodes
 }
 
-// NewRegistry returns an empty registry of this node. The HTTP client reaches other nodes.
+// NewRegistry returns an empty registry for the node self. The HTTP client is used for calls to other nodes.
 func NewRegistry(self *clusterv1.NodeRecord, store metadata.Store, client *http.Client, logger *log.Logger) *Registry {
 	return &Registry{
 		self: self, store: store, http: client, logger: logger, nodes: make(map[string]*clusterv1.NodeRecord), revisions: make(map[string]metadata.Revision),
-		clients: make(map[string]peerClient), heard: make(map[string]time.Time), ring: NewRing(nil), OnExpelled: func() {},
+		clients: make(map[string]peerClient), lastHeard: make(map[string]time.Time), ring: NewRing(nil), OnExpelled: func() {},
 	}
 }
 
-// Register writes this node's record until the store has taken it, and reports whether an earlier process of this node may have left
-// something behind.
+// Register writes this node's record, and retries until the store accepts it. It reports whether an earlier incarnation
+// of this node may have left work behind.
 func (registry *Registry) Register(ctx context.Context) (earlier bool) {
 	value, err := proto.Marshal(registry.self)
 	if err != nil {
 		registry.logger.Error("encode node record", "error", err)
 		return false
 	}
-	put := metadata.Txn{Puts: []metadata.Put{{Key: Prefix + registry.self.GetName(), Value: value}}}
-	first := put
-	first.Conditions = []metadata.Condition{{Key: registry.leftKey(registry.self.GetName())}}
+	unconditional := metadata.Txn{Puts: []metadata.Put{{Key: Prefix + registry.self.GetName(), Value: value}}}
+	conditional := unconditional
+	conditional.Conditions = []metadata.Condition{{Key: registry.leftKey(registry.self.GetName())}}
 	for ctx.Err() == nil {
-		txn := first
+		txn := conditional
 		if earlier {
-			txn = put
+			txn = unconditional
 		}
-		callCtx, cancel := context.WithTimeout(ctx, registerLimit)
+		callCtx, cancel := context.WithTimeout(ctx, registerTimeout)
 		revision, err := registry.store.Commit(callCtx, txn)
 		cancel()
 		if err == nil {
 			registry.mu.Lock()
-			registry.joined = revision
+			registry.joinedRevision = revision
 			registry.mu.Unlock()
 			registry.logger.Info("node registered", "node", registry.self.GetName(), "address", registry.self.GetAddress(), "life", registry.self.GetLife(), "earlier", earlier)
 			return earlier
 		}
 		var conflict *metadata.ConflictError
-		if errors.As(err, &conflict) { // also by an earlier try of this process whose answer was lost: then a look too many is made
+		if errors.As(err, &conflict) { // possibly with an own attempt whose answer was lost; the search is then needless
 			earlier = true
 			continue
 		}
 		registry.Health.Doubt()
-		wait.Pause(ctx, registerPause)
-		registry.Health.AwaitGood(ctx) // calls that a lost store refuses are paid for all the same
+		wait.Pause(ctx, registerBackoff)
+		registry.Health.AwaitGood(ctx) // calls that an unavailable store refuses are billed too
 	}
 	return earlier
 }
@@ -111,7 +111,7 @@
 	return registry.LeftKey(node)
 }
 
-// Leave removes this node's record, so that nobody takes its silence for a failure.
+// Leave removes this node's record, so that other nodes do not treat the shutdown as a failure.
 func (registry *Registry) Leave(ctx context.Context) {
 	registry.mu.Lock()
 	registry.leaving = true
@@ -119,7 +119,7 @@
 	registry.remove(ctx, nil, registry.self.GetName())
 }
 
-// removeDead removes the record of a node, unless another process of that node has written it since this node read it.
+// removeDead removes the record of a dead node, unless a newer incarnation of that node has rewritten it.
 func (registry *Registry) removeDead(ctx context.Context, name string) {
 	registry.mu.Lock()
 	condition := metadata.Condition{Key: Prefix + name, Revision: registry.revisions[name]}
@@ -148,7 +148,7 @@
 	}
 	expelled := registry.rebuild(revision)
 	registry.mu.Unlock()
-	registry.rejoin(expelled)
+	registry.reregister(expelled)
 }
 
 // Apply implements metadata.Handler.
@@ -164,10 +164,10 @@
 	}
 	expelled := registry.rebuild(revision)
 	registry.mu.Unlock()
-	registry.rejoin(expelled)
+	registry.reregister(expelled)
 }
 
-// put must be called with mu held.
+// The caller must hold mu.
 func (registry *Registry) put(item metadata.Item) {
 	record := &clusterv1.NodeRecord{}
 	if err := proto.Unmarshal(item.Value, record); err != nil || record.GetName() == "" {
@@ -176,21 +176,22 @@
 	}
 	known := registry.nodes[record.GetName()]
 	if known == nil || known.GetLife() != record.GetLife() {
-		registry.heard[record.GetName()] = time.Now()
+		registry.lastHeard[record.GetName()] = time.Now()
 	}
 	registry.nodes[record.GetName()] = record
 	registry.revisions[record.GetName()] = item.Revision
 }
 
-// rebuild must be called with mu held. It reports whether this node's own record is gone, as of a revision at which it was there.
+// rebuild recomputes the ring after a change of the records. It reports whether this node's own record is missing at a
+// revision at or after its registration. The caller must hold mu.
 func (registry *Registry) rebuild(revision metadata.Revision) (expelled bool) {
 	records := make([]*clusterv1.NodeRecord, 0, len(registry.nodes))
 	for _, record := range registry.nodes {
 		records = append(records, record)
 	}
-	for name := range registry.heard {
+	for name := range registry.lastHeard {
 		if registry.nodes[name] == nil {
-			delete(registry.heard, name)
+			delete(registry.lastHeard, name)
 		}
 	}
 	before := registry.watched()
@@ -198,13 +199,13 @@
 	registry.views = views{}
 	for name := range registry.watched() {
 		if _, known := before[name]; !known {
-			registry.heard[name] = time.Now() // its heartbeats begin to come here now
+			registry.lastHeard[name] = time.Now() // the node starts sending heartbeats to this node now
 		}
 	}
-	return registry.joined > 0 && revision >= registry.joined && !registry.leaving && registry.nodes[registry.self.GetName()] == nil
+	return registry.joinedRevision > 0 && revision >= registry.joinedRevision && !registry.leaving && registry.nodes[registry.self.GetName()] == nil
 }
 
-func (registry *Registry) rejoin(expelled bool) {
+func (registry *Registry) reregister(expelled bool) {
 	if !expelled {
 		return
 	}
@@ -213,7 +214,7 @@
 	go registry.Register(context.Background())
 }
 
-// Client returns the batch client of a node; nil when it is not registered.
+// Client returns the batch client of a node, or nil if the node is not registered.
 func (registry *Registry) Client(name string) batchv1.Batches {
 	if client, ok := registry.client(name); ok {
 		return client.batches
@@ -221,7 +222,7 @@
 	return nil
 }
 
-// NodeClient returns the client of a node; nil when it is not registered.
+// NodeClient returns the client of a node's Nodes service, or nil if the node is not registered.
 func (registry *Registry) NodeClient(name string) clusterv1.Nodes {
 	if client, ok := registry.client(name); ok {
 		return client.nodes
@@ -229,7 +230,7 @@
 	return nil
 }
 
-// ClientOf returns the client of a node that may not be registered as far as this one knows.
+// ClientOf returns the client for a node record, which need not be in this registry.
 func (registry *Registry) ClientOf(record *clusterv1.NodeRecord) clusterv1.Nodes {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
@@ -246,26 +247,26 @@
 	return registry.clientOf(record), true
 }
 
-// clientOf must be called with mu held.
+// The caller must hold mu.
 func (registry *Registry) clientOf(record *clusterv1.NodeRecord) peerClient {
 	if known, ok := registry.clients[record.GetName()]; ok && known.address == record.GetAddress() {
 		return known
 	}
 	base := "http://" + record.GetAddress()
-	made := peerClient{
+	client := peerClient{
 		address: record.GetAddress(), batches: batchv1.NewBatchesProtobufClient(base, registry.http),
 		nodes: clusterv1.NewNodesProtobufClient(base, registry.http),
 	}
-	registry.clients[record.GetName()] = made
-	return made
+	registry.clients[record.GetName()] = client
+	return client
 }
 
-// Runs reports whether a process of a node is registered.
-func (registry *Registry) Runs(node string, life int64) bool {
+// IsRegistered reports whether a node is registered with the given incarnation.
+func (registry *Registry) IsRegistered(node string, incarnation int64) bool {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
 	record := registry.nodes[node]
-	return record != nil && record.GetLife() == life
+	return record != nil && record.GetLife() == incarnation
 }
 
 // SameZone reports whether a node is registered in this node's zone.
@@ -276,17 +277,17 @@
 	return record != nil && record.GetZone() == registry.self.GetZone()
 }
 
-// Life returns the life of this node's process.
+// Life returns the incarnation of this node.
 func (registry *Registry) Life() int64 { return registry.self.GetLife() }
 
-// Count returns how many nodes are registered.
+// Count returns the number of registered nodes.
 func (registry *Registry) Count() int {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
 	return len(registry.nodes)
 }
 
-// Named returns the records of the registered nodes among some.
+// Named returns the records of those named nodes that are registered.
 func (registry *Registry) Named(names map[string]bool) []*clusterv1.NodeRecord {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
--- a/internal/cluster/registry_test.go
+++ b/internal/cluster/registry_test.go
@@ -21,7 +21,7 @@
 	return cluster.NewRegistry(&clusterv1.NodeRecord{Name: name, Address: "127.0.0.1:1", Role: "front"}, store, http.DefaultClient, log.New(io.Discard))
 }
 
-// A node that was removed by others registers again; what it reads of the time before its registration removes nothing.
+// A node whose record was removed registers again. Store contents from before its registration must not trigger this.
 func TestExpelledNodeRegistersAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, expelled := memstore.New(), 0
@@ -46,7 +46,7 @@
 	})
 }
 
-// Every node is watched by its successors, and by no others, whoever looks.
+// Each node is watched by exactly its successors, and all nodes compute the same ranks.
 func TestRingAgrees(t *testing.T) {
 	var records []*clusterv1.NodeRecord
 	for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
@@ -64,20 +64,20 @@
 	must.Eq(t, -1, ring.Rank("a", "a"))
 }
 
-// A process learns at its registration whether an earlier one may have left something behind, and registers without asking a lost store
-// again and again.
+// Register reports whether an earlier incarnation may have left work behind, and does not flood an unavailable store
+// with retries.
 func TestRegistrationTellsOfAnEarlierProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New()
-		left := func(node string) string { return "left/" + node }
+		leftKey := func(node string) string { return "left/" + node }
 		start := func() *cluster.Registry {
 			registry := newRegistry(store, "a")
-			registry.LeftKey = left
+			registry.LeftKey = leftKey
 			return registry
 		}
 		must.False(t, start().Register(t.Context()))
-		must.False(t, start().Register(t.Context()), must.Sprint("the one before has left nothing"))
-		_, err := store.Commit(t.Context(), metadata.Txn{Puts: []metadata.Put{{Key: left("a")}}})
+		must.False(t, start().Register(t.Context()), must.Sprint("the earlier incarnation left no work behind"))
+		_, err := store.Commit(t.Context(), metadata.Txn{Puts: []metadata.Put{{Key: leftKey("a")}}})
 		must.NoError(t, err)
 		last := start()
 		must.True(t, last.Register(t.Context()))
--- a/internal/cluster/ring.go
+++ b/internal/cluster/ring.go
@@ -1,5 +1,6 @@
-// Package cluster knows the nodes of the deployment: a registry in the metadata store, and heartbeats by which each node is
-// watched by its successors on a hash ring, so that the cost does not grow with the number of nodes.
+// Package cluster tracks the nodes of a deployment. It keeps a registry of nodes in the metadata store, and detects
+// failures by heartbeats. Each node is watched by its successors on a hash ring, so that the cost per node does not grow
+// with the size of the cluster.
 package cluster
 
 import (
@@ -11,8 +12,8 @@
 	clusterv1 "github.com/thistlewalk/thistlewalk/api/cluster/v1"
 )
 
-// monitorsOfNode is the number of successors that watch a node.
-const monitorsOfNode = 3
+// monitorsPerNode is the number of successors that watch each node.
+const monitorsPerNode = 3
 
 // Ring orders nodes by the hash of their names.
 type Ring struct{ nodes []ringNode }
@@ -22,7 +23,6 @@
 	record *clusterv1.NodeRecord
 }
 
-// NewRing returns the ring of the nodes.
 func NewRing(records []*clusterv1.NodeRecord) *Ring {
 	ring := &Ring{nodes: make([]ringNode, 0, len(records))}
 	for _, record := range records {
@@ -32,7 +32,8 @@
 	return ring
 }
 
-// Successors returns up to count nodes that follow a name, the nearest first. The node of that name is left out.
+// Successors returns up to count nodes that follow a name on the ring, the nearest first. The node of that name is
+// excluded.
 func (ring *Ring) Successors(name string, count int) []*clusterv1.NodeRecord {
 	hash := xxhash.Sum64String(name)
 	start, _ := slices.BinarySearchFunc(ring.nodes, hash, func(node ringNode, hash uint64) int { return cmp.Compare(node.hash, hash) })
@@ -46,8 +47,8 @@
 	return list
 }
 
-// Predecessors returns up to count nodes before a node of the ring, the nearest first: those among whose first count successors it is. It
-// returns none for a name that is not on the ring.
+// Predecessors returns up to count nodes that precede a node on the ring, the nearest first. These are the nodes that
+// have the given node among their first count successors. It returns nil if the name is not on the ring.
 func (ring *Ring) Predecessors(name string, count int) []*clusterv1.NodeRecord {
 	hash := xxhash.Sum64String(name)
 	place, found := slices.BinarySearchFunc(ring.nodes, hash, func(node ringNode, hash uint64) int { return cmp.Compare(node.hash, hash) })
@@ -61,9 +62,10 @@
 	return list
 }
 
-// Rank returns the place of a node among the successors of another, from 0; negative when it is not among them.
+// Rank returns the position of watcher, from 0, among the successors of watched, or a negative number if it is not among
+// them.
 func (ring *Ring) Rank(watcher, watched string) int {
-	return slices.IndexFunc(ring.Successors(watched, monitorsOfNode), func(record *clusterv1.NodeRecord) bool {
+	return slices.IndexFunc(ring.Successors(watched, monitorsPerNode), func(record *clusterv1.NodeRecord) bool {
 		return record.GetName() == watcher
 	})
 }
--- a/internal/cluster/ring_test.go
+++ b/internal/cluster/ring_test.go
@@ -10,7 +10,7 @@
 	clusterv1 "github.com/thistlewalk/thistlewalk/api/cluster/v1"
 )
 
-// A node's predecessors are those that have it among their successors, by its rank there.
+// Predecessors must be the inverse of Successors, with the same ranks.
 func TestPredecessorsAreWhoIsSucceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(0, 12).Draw(t, "nodes")
@@ -19,7 +19,7 @@
 			records = append(records, &clusterv1.NodeRecord{Name: fmt.Sprint("node-", index)})
 		}
 		ring := NewRing(records)
-		for index := range count + 1 { // the last is not on the ring
+		for index := range count + 1 { // the last name is not on the ring
 			self := fmt.Sprint("node-", index)
 			want := make(map[string]int)
 			for _, record := range records {
@@ -28,7 +28,7 @@
 				}
 			}
 			got := make(map[string]int)
-			for rank, record := range ring.Predecessors(self, monitorsOfNode) {
+			for rank, record := range ring.Predecessors(self, monitorsPerNode) {
 				got[record.GetName()] = rank
 			}
 			must.Eq(t, want, got)
@@ -36,7 +36,7 @@
 	})
 }
 
-// What a node does each checkPeriod: 0.5 ms with 985 nodes when each of them was asked for its successors.
+// Measures the work that every node does once per checkPeriod.
 func BenchmarkWatched(b *testing.B) {
 	for _, count := range []int{100, 985, 1970} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -53,7 +53,7 @@
 	}
 }
 
-// Who answers for a job, asked for at each read at a node that does not know: 0.75 ms with 985 nodes and 1.8 with 1,970 when all were ranked each time.
+// Measures the lookup of a job's directory node, for one key and for a new key each time.
 func BenchmarkPreferredAnywhere(b *testing.B) {
 	for _, count := range []int{100, 985, 1970} {
 		registry := NewRegistry(&clusterv1.NodeRecord{Name: "node-0"}, nil, nil, nil)
--- a/internal/cluster/views.go
+++ b/internal/cluster/views.go
@@ -9,45 +9,49 @@
 	clusterv1 "github.com/thistlewalk/thistlewalk/api/cluster/v1"
 )
 
-// views are what is derived from all records of a registry. Each is made when it is first asked for and dropped when the registry changes: who
-// asks ten times a second, or for each read of a job, does not go through all nodes each time.
+// views caches values derived from all records of a registry. Each value is computed on first use and dropped when the
+// registry changes, so that frequent lookups do not iterate over all nodes.
 type views struct {
 	others, neighbours []*clusterv1.NodeRecord
-	// strong are the names of the strong nodes of this node's role, in its zone and anywhere.
-	strongNear, strong []string
-	// preferred are the names that rank first for a key in this node's zone, preferredAnywhere the one in any zone.
+	// strongInZone and strongAnywhere are the names of the strong nodes of this node's role, in its zone and in all
+	// zones.
+	strongInZone, strongAnywhere []string
+	// preferred caches the highest-ranked names in this node's zone by key; preferredAnywhere caches the highest-ranked
+	// name of all zones by key.
 	preferred         map[string][]string
 	preferredAnywhere map[string]string
-	// elsewhere is the witness of this node, if it is known.
-	elsewhere      *clusterv1.NodeRecord
-	elsewhereKnown bool
+	// remotePeer is the result of RemotePeer; it is valid if remotePeerKnown is true, and may be nil.
+	remotePeer      *clusterv1.NodeRecord
+	remotePeerKnown bool
 }
 
-// keysKept bounds the keys for which a view keeps who ranks first.
-const keysKept = 256
+// maxCachedKeys bounds the number of keys in each cache; a full cache is cleared.
+const maxCachedKeys = 256
 
-// Others returns the records of all other nodes, ordered by name. The list must not be changed; it is the same one until the registry changes.
+// Others returns the records of all other nodes, ordered by name. The same slice is returned until the registry changes;
+// the caller must not modify it.
 func (registry *Registry) Others() []*clusterv1.NodeRecord {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
 	if registry.views.others == nil {
-		registry.views.others = registry.recordsBut(func(*clusterv1.NodeRecord) bool { return true })
+		registry.views.others = registry.otherRecords(func(*clusterv1.NodeRecord) bool { return true })
 	}
 	return registry.views.others
 }
 
-// Neighbours returns the records of the other nodes of this node's zone, as Others does.
+// Neighbours returns the records of the other nodes in this node's zone, ordered by name. The caller must not modify the
+// slice.
 func (registry *Registry) Neighbours() []*clusterv1.NodeRecord {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
 	if registry.views.neighbours == nil {
-		registry.views.neighbours = registry.recordsBut(registry.inZone)
+		registry.views.neighbours = registry.otherRecords(registry.inZone)
 	}
 	return registry.views.neighbours
 }
 
-// recordsBut returns the records of the eligible nodes without this one. It must be called with mu held.
-func (registry *Registry) recordsBut(eligible func(*clusterv1.NodeRecord) bool) []*clusterv1.NodeRecord {
+// otherRecords returns the records of the eligible nodes other than this node. The caller must hold mu.
+func (registry *Registry) otherRecords(eligible func(*clusterv1.NodeRecord) bool) []*clusterv1.NodeRecord {
 	list := make([]*clusterv1.NodeRecord, 0, len(registry.nodes))
 	for name, record := range registry.nodes {
 		if name != registry.self.GetName() && eligible(record) {
@@ -62,7 +66,8 @@
 	return record.GetZone() == registry.self.GetZone()
 }
 
-// preferredOf returns the names of the first nodes of this node's zone and role for a key.
+// preferredOf returns the names of the strong nodes of this node's zone and role that rank highest for a key, the
+// highest first.
 func (registry *Registry) preferredOf(key string) []string {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
@@ -70,17 +75,18 @@
 	if known, ok := views.preferred[key]; ok {
 		return known
 	}
-	if views.strongNear == nil {
-		views.strongNear = registry.strongOf(registry.inZone)
+	if views.strongInZone == nil {
+		views.strongInZone = registry.strongOf(registry.inZone)
 	}
-	if views.preferred == nil || len(views.preferred) >= keysKept {
+	if views.preferred == nil || len(views.preferred) >= maxCachedKeys {
 		views.preferred = make(map[string][]string)
 	}
-	views.preferred[key] = firstRanked(views.strongNear, key, preferredNodes)
+	views.preferred[key] = highestRanked(views.strongInZone, key, preferredCount)
 	return views.preferred[key]
 }
 
-// PreferredAnywhere returns the name of the node of this node's role, in any zone, that ranks first for a key; the same at all of these.
+// PreferredAnywhere returns the name of the node that ranks first for a key among the strong nodes of this node's role
+// in all zones, or an empty string if there is none.
 func (registry *Registry) PreferredAnywhere(key string) string {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
@@ -88,21 +94,21 @@
 	if known, ok := views.preferredAnywhere[key]; ok {
 		return known
 	}
-	if views.strong == nil {
-		views.strong = registry.strongOf(func(*clusterv1.NodeRecord) bool { return true })
+	if views.strongAnywhere == nil {
+		views.strongAnywhere = registry.strongOf(func(*clusterv1.NodeRecord) bool { return true })
 	}
-	if views.preferredAnywhere == nil || len(views.preferredAnywhere) >= keysKept {
+	if views.preferredAnywhere == nil || len(views.preferredAnywhere) >= maxCachedKeys {
 		views.preferredAnywhere = make(map[string]string)
 	}
-	views.preferredAnywhere[key] = nth(firstRanked(views.strong, key, 1), 0)
+	views.preferredAnywhere[key] = nth(highestRanked(views.strongAnywhere, key, 1), 0)
 	return views.preferredAnywhere[key]
 }
 
-// strongShare is the share of the processor time of the strongest node that a node must have to be given work that any could do. Machines
-// of one kind differ by a few hundredths; on deployments with several kinds the weakest have a quarter of the strongest.
+// strongShare is the fraction of the strongest node's cores that a node needs to count as strong. Work that any node can
+// do is given to strong nodes only.
 const strongShare = 0.75
 
-// strongOf returns the names of the nodes of this node's role that are strong among those that are eligible. It must be called with mu held.
+// strongOf returns the names of the strong nodes among the eligible nodes of this node's role. The caller must hold mu.
 func (registry *Registry) strongOf(eligible func(*clusterv1.NodeRecord) bool) []string {
 	var candidates []*clusterv1.NodeRecord
 	strongest := 0.0
@@ -121,41 +127,41 @@
 	return names
 }
 
-// firstRanked returns the names that rank first for a key, the first of them first.
-func firstRanked(names []string, key string, count int) []string {
+// highestRanked returns up to count names that rank highest for a key by rendezvous hashing, the highest first.
+func highestRanked(names []string, key string, count int) []string {
 	type ranked struct {
 		name string
 		rank uint64
 	}
-	var first []ranked
+	var best []ranked
 	for _, name := range names {
 		candidate := ranked{name, xxhash.Sum64String(name + "/" + key)}
-		place, _ := slices.BinarySearchFunc(first, candidate, func(a, b ranked) int { return cmp.Compare(b.rank, a.rank) })
+		place, _ := slices.BinarySearchFunc(best, candidate, func(a, b ranked) int { return cmp.Compare(b.rank, a.rank) })
 		if place < count {
-			first = slices.Insert(first, place, candidate)
-			first = first[:min(len(first), count)]
+			best = slices.Insert(best, place, candidate)
+			best = best[:min(len(best), count)]
 		}
 	}
-	list := make([]string, 0, len(first))
-	for _, entry := range first {
+	list := make([]string, 0, len(best))
+	for _, entry := range best {
 		list = append(list, entry.name)
 	}
 	return list
 }
 
-// Elsewhere returns the record of the node of this node's role in another zone that ranks first for this node, or in its own zone where
-// there is no other; nil for none. Few nodes change theirs when one comes or goes.
-func (registry *Registry) Elsewhere() *clusterv1.NodeRecord {
+// RemotePeer returns the record of another node of this node's role, preferably in another zone, or nil if there is
+// none. The choice uses rendezvous hashing, so that a change of the registry changes it for few nodes.
+func (registry *Registry) RemotePeer() *clusterv1.NodeRecord {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
-	if !registry.views.elsewhereKnown {
-		registry.views.elsewhere, registry.views.elsewhereKnown = registry.findElsewhere(), true
+	if !registry.views.remotePeerKnown {
+		registry.views.remotePeer, registry.views.remotePeerKnown = registry.findRemotePeer(), true
 	}
-	return registry.views.elsewhere
+	return registry.views.remotePeer
 }
 
-// findElsewhere must be called with mu held.
-func (registry *Registry) findElsewhere() *clusterv1.NodeRecord {
+// The caller must hold mu.
+func (registry *Registry) findRemotePeer() *clusterv1.NodeRecord {
 	var best *clusterv1.NodeRecord
 	var bestRank uint64
 	for name, record := range registry.nodes {
@@ -163,8 +169,8 @@
 			continue
 		}
 		rank := xxhash.Sum64String(registry.self.GetName() + "/" + name)
-		far, bestFar := !registry.inZone(record), best != nil && !registry.inZone(best)
-		if best == nil || (far && !bestFar) || (far == bestFar && rank > bestRank) {
+		remote, bestRemote := !registry.inZone(record), best != nil && !registry.inZone(best)
+		if best == nil || (remote && !bestRemote) || (remote == bestRemote && rank > bestRank) {
 			best, bestRank = record, rank
 		}
 	}
--- a/internal/role/front.go
+++ b/internal/role/front.go
@@ -141,8 +141,8 @@
 	go front.join()
 	monitor := &cluster.Monitor{Registry: front.Registry, Datagrams: front.datagrams, Logger: front.Logger, OnDead: front.Runner.TakeOverNode, AwaitStore: front.awaitStore}
 	go front.datagrams.Receive(front.ctx, cluster.Handlers{
-		Any:       func() { front.Registry.HeardAny(time.Now()) },
-		Heartbeat: monitor.Heard, Beacon: front.heardBeacon, RelayReport: front.heardReport, Loads: front.heardLoads,
+		Any:       func() { front.Registry.RecordContact(time.Now()) },
+		Heartbeat: monitor.HandleHeartbeat, Beacon: front.heardBeacon, RelayReport: front.heardReport, Loads: front.heardLoads,
 		StoreAnswers: func(*clusterv1.StoreAnswers) { front.health.Told() },
 		Suspicions:   func(told *clusterv1.Suspicions) { front.guard.Heard(decodeNotice(told)) },
 		JobOwner:     front.heardOwner,
--- a/internal/role/metering.go
+++ b/internal/role/metering.go
@@ -68,7 +68,7 @@
 
 // Witness implements metering.Listeners.
 func (listeners *listeners) Witness() *metering.Listener {
-	record := listeners.front.Registry.Elsewhere()
+	record := listeners.front.Registry.RemotePeer()
 	if record == nil {
 		return nil
 	}
@@ -77,5 +77,5 @@
 
 // Runs implements metering.Listeners.
 func (listeners *listeners) Runs(node string, life int64) bool {
-	return listeners.front.Registry.Runs(node, life)
+	return listeners.front.Registry.IsRegistered(node, life)
 }
