--- a/internal/role/front.go
+++ b/internal/role/front.go
@@ -1,4 +1,5 @@
-// Package role puts the parts of a node together, a file for each role. It knows no wire format: adapters are handed in.
+// Package role assembles the components of a node, by the node's role. It is independent of wire formats: adapters are
+// passed in as options.
 package role
 
 import (
@@ -28,34 +29,35 @@
 	"github.com/thistlewalk/thistlewalk/internal/telemetry"
 )
 
-// FrontOptions are what a front is made of.
+// FrontOptions are the settings and dependencies of a front.
 type FrontOptions struct {
 	Node, Zone, Role string
 	Life             int64
-	// Cores is the processor time that the machine's processes may use together; zero if that is not known.
+	// Cores is the CPU time, in cores, that the processes of the machine may use together; zero if unknown.
 	Cores float64
-	// PeerAddress is where other nodes reach this one, by TCP and UDP.
+	// PeerAddress is the address on which other nodes reach this front, by TCP and UDP.
 	PeerAddress string
 	Store       metadata.Store
 	Sender      backend.Sender
-	// Prober finds out whether the process of a replica is gone.
+	// Prober checks whether the process of a replica is gone.
 	Prober     quarantine.Prober
 	Decoder    batchrun.Decoder
 	PeerClient *http.Client
 	Logger     *log.Logger
 	Metrics    *telemetry.Metrics
-	// ConfigurationPrefix and ReplicaPrefix are the keys that the handlers follow; the handlers fill the catalog.
+	// ConfigurationPrefix and ReplicaPrefix are the key prefixes that the handlers follow. The handlers fill the
+	// catalog.
 	ConfigurationPrefix, ReplicaPrefix string
 	Catalog                            *catalog.Table
 	ConfigurationHandler               metadata.Handler
 	ReplicaHandler                     metadata.Handler
-	// Limits are how long this front puts up with what it misses of a publisher.
+	// Limits bound how long this front tolerates missing beacons and updates of a publisher.
 	Limits dissemination.Limits
-	// StartOrderer starts a candidate for giving orders in this process; nil for none.
+	// StartOrderer starts a candidate orderer in this process; nil if this front never stands for election.
 	StartOrderer func() (*Orderer, error)
-	// UsageWindow is the length of the windows of which usage is reported; zero for no reports.
+	// UsageWindow is the length of the windows for usage reports; zero disables them.
 	UsageWindow time.Duration
-	// Clock goes on while the machine is suspended; nil for a steady one.
+	// Clock keeps running while the machine is suspended; nil means the process's monotonic clock.
 	Clock clock.Clock
 }
 
@@ -69,32 +71,34 @@
 	datagrams  *cluster.Datagrams
 	subscriber *dissemination.Subscriber
 	relays     *dissemination.Relays
-	// reader publishes to this front's zone while it reads the store for that; nil otherwise.
-	reader   atomic.Pointer[dissemination.Publisher]
-	topics   topics
-	loads    *backend.Loads
-	owners   *owners
-	ctx      context.Context
-	cancel   context.CancelFunc
-	stopping atomic.Bool
-	// waiting is how many take-overs wait for the metadata store.
-	waiting atomic.Int64
-	calls   atomic.Int64
-	// usage is nil where none is reported.
+	// zonePublisher publishes to this front's zone while this front reads the store on behalf of the zone; nil
+	// otherwise.
+	zonePublisher atomic.Pointer[dissemination.Publisher]
+	topics        topics
+	loads         *backend.Loads
+	owners        *owners
+	ctx           context.Context
+	cancel        context.CancelFunc
+	stopping      atomic.Bool
+	// waitingTakeovers is the number of takeovers that wait for the metadata store.
+	waitingTakeovers atomic.Int64
+	activeCalls      atomic.Int64
+	// usage is nil if usage is not reported.
 	usage *usage
-	// guard sends all requests to replicas; archive has those that it sends no more outlive this process.
+	// guard sends all requests to replicas and blocks those in quarantine; archive stores the quarantine beyond the life
+	// of this process.
 	guard   *quarantine.Guard
 	archive *quarantine.Archive
 }
 
-// Times of a front.
+// Parameters of batch.FlushPolicy.
 const (
-	flushSpacing = 250 * time.Millisecond
-	flushLongest = 800 * time.Millisecond
-	flushFinal   = 60 * time.Millisecond
+	flushInterval      = 250 * time.Millisecond
+	flushMaxDelay      = 800 * time.Millisecond
+	flushFinalInterval = 60 * time.Millisecond
 )
 
-// NewFront returns a front that does not work yet.
+// NewFront returns a front. It does nothing until Start is called.
 func NewFront(options FrontOptions) *Front {
 	options.Clock = clock.OrSteady(options.Clock)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -107,13 +111,13 @@
 	front.Runner = batchrun.New(batchrun.Options{
 		Node: options.Node, Life: options.Life, Zone: options.Zone, Catalog: options.Catalog, Loads: loads, Sender: front.guard,
 		Decoder: options.Decoder, Log: &batchlog.Log{Store: options.Store, Health: front.health, Node: options.Node, Life: options.Life}, Peers: peers{front}, Logger: options.Logger, Metrics: options.Metrics,
-		Flush: batch.FlushPolicy{Spacing: flushSpacing, Longest: flushLongest, FinalSpacing: flushFinal},
+		Flush: batch.FlushPolicy{Spacing: flushInterval, Longest: flushMaxDelay, FinalSpacing: flushFinalInterval},
 	})
 	front.health.Nodes = front.Registry.Count
-	front.health.OnRegained = front.tellStoreAnswers
+	front.health.OnRegained = front.announceStoreAnswers
 	front.topics = newTopics(options.ConfigurationPrefix, options.ConfigurationHandler, options.ReplicaPrefix, options.ReplicaHandler, front.Registry, front.archive)
 	front.subscriber = front.newSubscriber()
-	front.health.Needed, front.health.Urgent = front.needsStore, front.waitsForStore
+	front.health.Needed, front.health.Urgent = front.storeNeeded, front.storeUrgent
 	front.Registry.LeftKey, front.Registry.Health = batchlog.LeftKey, front.health
 	if options.UsageWindow > 0 {
 		front.usage = front.newUsage(options.UsageWindow)
@@ -123,7 +127,7 @@
 	return front
 }
 
-// Start begins to follow the deployment, to watch other nodes and to run jobs.
+// Start opens the front's sockets, and starts to follow the deployment, monitor other nodes and run jobs.
 func (front *Front) Start() error {
 	packets, err := net.ListenPacket("udp4", front.PeerAddress)
 	if err != nil {
@@ -142,34 +146,34 @@
 	monitor := &cluster.Monitor{Registry: front.Registry, Datagrams: front.datagrams, Logger: front.Logger, OnDead: front.Runner.TakeOverNode, AwaitStore: front.awaitStore}
 	go front.datagrams.Receive(front.ctx, cluster.Handlers{
 		Any:       func() { front.Registry.RecordContact(time.Now()) },
-		Heartbeat: monitor.HandleHeartbeat, Beacon: front.heardBeacon, RelayReport: front.heardReport, Loads: front.heardLoads,
+		Heartbeat: monitor.HandleHeartbeat, Beacon: front.handleBeacon, RelayReport: front.handleRelayReport, Loads: front.handleLoads,
 		StoreAnswers: func(*clusterv1.StoreAnswers) { front.health.Told() },
-		Suspicions:   func(told *clusterv1.Suspicions) { front.guard.Heard(decodeNotice(told)) },
-		JobOwner:     front.heardOwner,
+		Suspicions:   func(suspicions *clusterv1.Suspicions) { front.guard.Heard(decodeNotice(suspicions)) },
+		JobOwner:     front.handleJobOwner,
 	})
 	go monitor.Run(front.ctx)
 	go front.guard.Run(front.ctx)
-	go (&clock.Watch{Clock: front.Clock, Logger: front.Logger, Metrics: front.Metrics, Woken: front.woken}).Run(front.ctx)
+	go (&clock.Watch{Clock: front.Clock, Logger: front.Logger, Metrics: front.Metrics, Woken: front.handleResume}).Run(front.ctx)
 	go subscriber.Run(front.ctx)
 	if front.StartOrderer != nil {
 		go front.standBy(front.ctx)
 	}
 	if front.usage != nil {
-		go front.usage.teller.Run(front.ctx)
+		go front.usage.tallySender.Run(front.ctx)
 	}
 	front.Runner.Start()
 	return nil
 }
 
-// woken has this front find out what became of it while its machine was suspended: others may have taken its jobs over, and connections that
-// it waits on may be dead.
-func (front *Front) woken(time.Duration) {
+// handleResume runs after the machine was suspended. Other nodes may have taken over this front's jobs in the meantime,
+// and its connections may be dead.
+func (front *Front) handleResume(time.Duration) {
 	front.health.Doubt()
 	front.health.CutWatches()
 	go front.Runner.Recheck(front.ctx)
 }
 
-// servePeers answers other nodes until the process ends.
+// servePeers answers calls of other nodes until the process ends.
 func (front *Front) servePeers(listener net.Listener, subscriber *dissemination.Subscriber) {
 	batches := batchv1.NewBatchesServer(batchrun.Service{Runner: front.Runner})
 	nodes := clusterv1.NewNodesServer(subscriber)
@@ -185,8 +189,8 @@
 	}()
 }
 
-// heardOwner takes another node's announcement of a job.
-func (front *Front) heardOwner(owner *clusterv1.JobOwner) {
+// handleJobOwner records another node's announcement that it runs a job.
+func (front *Front) handleJobOwner(owner *clusterv1.JobOwner) {
 	front.owners.note(owner.GetNode(), time.Now())
 	if owner.Tenant != nil {
 		front.Runner.RememberTenant(owner.GetJobId(), owner.GetTenant())
@@ -194,24 +198,25 @@
 	front.Runner.RememberOwner(owner.GetJobId(), owner.GetNode())
 }
 
-// heardLoads takes what another node has in flight, by the names of replicas, since nodes of other builds may not tell their lives apart.
-func (front *Front) heardLoads(told *clusterv1.Loads) {
+// handleLoads records the requests that another node has in flight. It matches replicas by name, because nodes of other
+// versions may not distinguish the incarnations of a replica.
+func (front *Front) handleLoads(loads *clusterv1.Loads) {
 	replicas := front.Catalog.Replicas()
-	inFlight := make(map[string]int, len(told.GetReplicas()))
-	for _, load := range told.GetReplicas() {
+	inFlight := make(map[string]int, len(loads.GetReplicas()))
+	for _, load := range loads.GetReplicas() {
 		if replica := replicas.FindNamed(load.GetId()); replica != nil {
 			inFlight[replica.ID] = int(load.GetInFlight())
 		}
 	}
-	front.loads.SetOthers(told.GetNode(), inFlight, time.Now())
+	front.loads.SetOthers(loads.GetNode(), inFlight, time.Now())
 }
 
-// Ready reports whether callers may be sent here.
+// Ready reports whether this front can serve callers.
 func (front *Front) Ready() bool {
 	return !front.stopping.Load() && front.Catalog.Configuration() != nil && front.Catalog.Replicas().All().Len() > 0
 }
 
-// UpToDate reports whether this front may say of a route or a key that the operator has none such.
+// UpToDate reports whether the configuration is current enough to reject an unknown route or API key.
 func (front *Front) UpToDate() bool {
 	return front.subscriber.UpToDate(front.ConfigurationPrefix, time.Now())
 }
@@ -219,53 +224,54 @@
 // Stopping reports whether a planned stop has begun.
 func (front *Front) Stopping() bool { return front.stopping.Load() }
 
-// Counted counts the calls in progress of a handler.
+// Counted wraps a handler so that Stop can wait for its calls in progress.
 func (front *Front) Counted(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		front.calls.Add(1)
-		defer front.calls.Add(-1)
+		front.activeCalls.Add(1)
+		defer front.activeCalls.Add(-1)
 		handler.ServeHTTP(writer, request)
 	})
 }
 
 const (
-	// quietTime is how long no call may have been in progress before a stopping front ends.
-	quietTime  = 600 * time.Millisecond
+	// idleTime is how long a stopping front must be without calls before it shuts its servers down.
+	idleTime   = 600 * time.Millisecond
 	stopPoll   = 50 * time.Millisecond
 	stopMargin = 2 * time.Second
-	// finishTime is kept of the grace to finish calls once no more are taken.
-	finishTime = 2 * time.Second
-	// stopLeast leaves callers time to notice that the front is not ready.
-	stopLeast = 2200 * time.Millisecond
+	// shutdownTime is the part of the grace period that is reserved for calls in progress after the servers stop
+	// accepting new ones.
+	shutdownTime = 2 * time.Second
+	// minimumStopTime gives load balancers time to notice that the front is not ready.
+	minimumStopTime = 2200 * time.Millisecond
 )
 
-// Stop ends the front as planned: it is not ready at once, hands its jobs over, serves until its callers are gone, has the
-// servers take no more and finish what they have, and returns well inside the grace.
+// Stop shuts the front down within the grace period. The front reports itself as not ready, hands its jobs over, and
+// serves calls until none arrive any more; then it shuts the servers down gracefully.
 func (front *Front) Stop(grace time.Duration, servers ...*http.Server) {
 	started := time.Now()
 	front.stopping.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), grace-stopMargin)
 	defer cancel()
-	taken := front.Runner.HandOver(ctx)
-	quiet := time.Now()
-	last := started.Add(grace - stopMargin - finishTime)
-	for time.Now().Before(last) && (time.Since(quiet) < quietTime || time.Since(started) < stopLeast) {
-		if front.calls.Load() > 0 {
-			quiet = time.Now()
+	handedOver := front.Runner.HandOver(ctx)
+	lastActive := time.Now()
+	deadline := started.Add(grace - stopMargin - shutdownTime)
+	for time.Now().Before(deadline) && (time.Since(lastActive) < idleTime || time.Since(started) < minimumStopTime) {
+		if front.activeCalls.Load() > 0 {
+			lastActive = time.Now()
 		}
 		time.Sleep(stopPoll)
 	}
 	var leaving sync.WaitGroup
-	if taken { // beside the last calls: a store that says nothing takes all the time that there is
+	if handedOver { // concurrently, because a store that does not answer would use up the grace period
 		leaving.Go(func() { front.Registry.Leave(ctx) })
 	}
 	for _, server := range servers {
 		if err := server.Shutdown(ctx); err != nil {
-			front.Logger.Warn("calls cut", "calls", front.calls.Load(), "error", err)
+			front.Logger.Warn("calls cut", "calls", front.activeCalls.Load(), "error", err)
 		}
 	}
 	leaving.Wait()
-	front.Logger.Info("stopped", "took_ms", time.Since(started).Milliseconds(), "calls_left", front.calls.Load())
+	front.Logger.Info("stopped", "took_ms", time.Since(started).Milliseconds(), "calls_left", front.activeCalls.Load())
 	front.Runner.Close()
 	front.cancel()
 }
--- a/internal/role/front_test.go
+++ b/internal/role/front_test.go
@@ -19,24 +19,24 @@
 	"github.com/thistlewalk/thistlewalk/internal/role"
 )
 
-type ignore struct{}
+// discardHandler is a metadata.Handler that ignores all changes.
+type discardHandler struct{}
 
-func (ignore) Reset([]metadata.Item, metadata.Revision)  {}
-func (ignore) Apply([]metadata.Event, metadata.Revision) {}
+func (discardHandler) Reset([]metadata.Item, metadata.Revision)  {}
+func (discardHandler) Apply([]metadata.Event, metadata.Revision) {}
 
-// A call that begins while a front is about to end has to be answered: the process ended in the middle of one that came
-// after its last look at the calls in progress.
+// A call that begins just before the front shuts down must be answered.
 func TestStopFinishesLateCalls(t *testing.T) {
 	stopUnderCalls(t, memstore.New(), 6*time.Second)
 }
 
-// silentWrites is a store that does not answer writes once it has been told to be silent.
-type silentWrites struct {
+// silentStore is a store that stops answering writes once silent is set.
+type silentStore struct {
 	*memstore.Store
 	silent atomic.Bool
 }
 
-func (store *silentWrites) Commit(ctx context.Context, txn metadata.Txn) (metadata.Revision, error) {
+func (store *silentStore) Commit(ctx context.Context, txn metadata.Txn) (metadata.Revision, error) {
 	if store.silent.Load() {
 		<-ctx.Done()
 		return 0, metadata.ErrUncertain
@@ -44,20 +44,19 @@
 	return store.Store.Commit(ctx, txn)
 }
 
-// A store that says nothing does not keep a stopping front from finishing its calls: the removal of its record took all the time that was
-// left, during which it took further calls, and the last ones were cut.
+// A store that does not answer must not use up the grace period and thereby cause the last calls to be cut.
 func TestStopFinishesCallsWhileTheStoreIsSilent(t *testing.T) {
-	store := &silentWrites{Store: memstore.New()}
+	store := &silentStore{Store: memstore.New()}
 	time.AfterFunc(time.Second, func() { store.silent.Store(true) })
 	stopUnderCalls(t, store, 7*time.Second)
 }
 
-// stopUnderCalls stops a front while calls come, and expects that none is cut.
+// stopUnderCalls stops a front under a stream of calls and requires that every call is answered.
 func stopUnderCalls(t *testing.T, store metadata.Store, grace time.Duration) {
 	t.Helper()
 	front := role.NewFront(role.FrontOptions{
 		Node: "front-1", PeerAddress: freeAddress(t), Store: store, PeerClient: http.DefaultClient, Logger: log.New(io.Discard),
-		Catalog: catalog.NewTable(), ConfigurationHandler: ignore{}, ReplicaHandler: ignore{},
+		Catalog: catalog.NewTable(), ConfigurationHandler: discardHandler{}, ReplicaHandler: discardHandler{},
 	})
 	must.NoError(t, front.Start())
 	server := &http.Server{Handler: front.Counted(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
@@ -66,11 +65,11 @@
 	}))}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	go func() { _ = server.Serve(listener) }() // ends with the server
+	go func() { _ = server.Serve(listener) }() // returns when the server is closed
 	stopped := make(chan struct{})
 	go func() {
 		front.Stop(grace, server)
-		server.Close() // as the end of the process does
+		server.Close() // as at the end of the process
 		close(stopped)
 	}()
 	answers := make(chan int64, 64)
@@ -95,7 +94,7 @@
 	}
 }
 
-// call sends a request and reports the length of its answer: negative when the connection was closed before it was read.
+// call sends a request and reports the length of the response, or -1 if the connection failed before any of it arrived.
 func call(connection net.Conn, answers chan<- int64) {
 	defer connection.Close()
 	_, err := io.WriteString(connection, "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
--- a/internal/role/metering.go
+++ b/internal/role/metering.go
@@ -9,30 +9,30 @@
 	"github.com/thistlewalk/thistlewalk/internal/metering"
 )
 
-// usage is what a front does to have the requests of tenants counted.
+// usage holds the components that count the requests of tenants.
 type usage struct {
-	ledger *metering.Ledger
-	meter  *metering.Meter
-	teller *metering.Teller
+	ledger      *metering.Ledger
+	meter       *metering.Meter
+	tallySender *metering.Teller
 }
 
-// newUsage returns the counting of a front, by windows of a length.
+// newUsage returns the usage components of a front for windows of the given length.
 func (front *Front) newUsage(window time.Duration) *usage {
 	windows, clock := metering.Windows{Length: window}, metering.NewClock(front.Clock)
 	ledger := metering.NewLedger(windows, clock)
 	meter := metering.NewMeter(front.Node, front.Life, windows, clock, ledger)
-	return &usage{ledger: ledger, meter: meter, teller: &metering.Teller{
+	return &usage{ledger: ledger, meter: meter, tallySender: &metering.Teller{
 		Meter: meter, Listeners: &listeners{front: front, clients: make(map[string]meteringv1.Collector)}, Logger: front.Logger, Metrics: front.Metrics,
 	}}
 }
 
-// collectorHandler returns the handler of calls that tell tallies.
+// collectorHandler returns the handler of the calls that deliver tallies.
 func collectorHandler(ledger *metering.Ledger) (path string, handler http.Handler) {
 	server := meteringv1.NewCollectorServer(metering.Service{Ledger: ledger})
 	return server.PathPrefix(), server
 }
 
-// listeners finds out to whom a front tells its tallies. It implements metering.Listeners.
+// listeners selects the nodes that receive a front's tallies. It implements metering.Listeners.
 type listeners struct {
 	front *Front
 
@@ -40,8 +40,8 @@
 	clients map[string]meteringv1.Collector // by address
 }
 
-// clientsMost bounds the clients that are kept: a collector and a witness change seldom.
-const clientsMost = 16
+// maxClients bounds the number of cached clients; a full cache is cleared.
+const maxClients = 16
 
 func (listeners *listeners) client(address string) meteringv1.Collector {
 	listeners.mu.Lock()
@@ -49,7 +49,7 @@
 	if client := listeners.clients[address]; client != nil {
 		return client
 	}
-	if len(listeners.clients) >= clientsMost {
+	if len(listeners.clients) >= maxClients {
 		clear(listeners.clients)
 	}
 	client := meteringv1.NewCollectorProtobufClient("http://"+address, listeners.front.PeerClient)
@@ -76,6 +76,6 @@
 }
 
 // Runs implements metering.Listeners.
-func (listeners *listeners) Runs(node string, life int64) bool {
-	return listeners.front.Registry.IsRegistered(node, life)
+func (listeners *listeners) Runs(node string, incarnation int64) bool {
+	return listeners.front.Registry.IsRegistered(node, incarnation)
 }
--- a/internal/role/operations_test.go
+++ b/internal/role/operations_test.go
@@ -12,11 +12,11 @@
 )
 
 var (
-	shownLine = regexp.MustCompile(`(?m)^msg=("([^"]+)"|(\S+))`)
-	shownSign = regexp.MustCompile("(?m)^\\| `([a-z][a-z ]+)`")
+	quotedMessage    = regexp.MustCompile(`(?m)^msg=("([^"]+)"|(\S+))`)
+	tabulatedMessage = regexp.MustCompile("(?m)^\\| `([a-z][a-z ]+)`")
 )
 
-// Each line that the operators' page shows or names has to be one that the code writes.
+// Guards against log messages on the operators' page that the code does not write.
 func TestOperationsPageShowsTrueLines(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "OPERATIONS.md"))
 	must.NoError(t, err)
@@ -24,19 +24,19 @@
 	must.True(t, found)
 	sources := readSources(t)
 	messages := make(map[string]bool)
-	for _, match := range shownLine.FindAllStringSubmatch(section, -1) {
+	for _, match := range quotedMessage.FindAllStringSubmatch(section, -1) {
 		messages[match[2]+match[3]] = true
 	}
-	for _, match := range shownSign.FindAllStringSubmatch(section, -1) {
+	for _, match := range tabulatedMessage.FindAllStringSubmatch(section, -1) {
 		messages[match[1]] = true
 	}
 	must.Greater(t, 12, len(messages))
 	for message := range messages {
-		must.True(t, strings.Contains(sources, `("`+message+`"`) || strings.Contains(sources, `\"`+message+`\"`), must.Sprint("no line says ", message))
+		must.True(t, strings.Contains(sources, `("`+message+`"`) || strings.Contains(sources, `\"`+message+`\"`), must.Sprint("no log line has the message ", message))
 	}
 }
 
-// readSources returns the text of all programs, tests left out.
+// readSources returns the source text of all programs, without tests.
 func readSources(t *testing.T) string {
 	t.Helper()
 	var sources strings.Builder
--- a/internal/role/orderer.go
+++ b/internal/role/orderer.go
@@ -23,12 +23,12 @@
 	"github.com/thistlewalk/thistlewalk/internal/weights"
 )
 
-// RetireReporter tells the operator that a machine holds nothing any more.
+// RetireReporter notifies the operator that a machine is empty.
 type RetireReporter interface {
 	PutRetired(ctx context.Context, node string) error
 }
 
-// OrdererOptions are what a candidate for giving orders is made of.
+// OrdererOptions are the settings and dependencies of an orderer.
 type OrdererOptions struct {
 	Node, Role  string
 	Life        int64
@@ -40,66 +40,69 @@
 	Logger      *log.Logger
 	Metrics     *telemetry.Metrics
 	Catalog     *catalog.Table
-	// OperatorPrefix and ReplicaPrefix are the keys that the handlers follow while this node holds the lease. The configuration, which
-	// lies among those of the operator, is published.
+	// OperatorPrefix and ReplicaPrefix are the key prefixes that the handlers follow while this node holds the lease.
+	// ConfigurationPrefix is the part of OperatorPrefix that is published.
 	OperatorPrefix, ConfigurationPrefix, ReplicaPrefix string
 	ReplicaHandler                                     metadata.Handler
 	Election                                           weights.ElectionSettings
 	// Retention is how long ended jobs are kept.
 	Retention time.Duration
-	// UsageWindow is the length of the windows of which usage is reported to UsageSink; zero for no reports.
+	// UsageWindow is the length of the windows for usage reports to UsageSink; zero disables them.
 	UsageWindow time.Duration
 	UsageSink   metering.Sink
-	// CallOverhang is how long after the end of a term a call of the cloud may last.
+	// CallOverhang is how long a call to the cloud may continue after the end of a term.
 	CallOverhang time.Duration
-	// Clock goes on while the machine is suspended, as the leases do; nil for a steady one.
+	// Clock keeps running while the machine is suspended, as the leases do; nil means the process's monotonic clock.
 	Clock clock.Clock
 }
 
-// Orderer is a candidate for bringing replicas to the versions that trainers name, and for spreading to the fronts what it
-// reads meanwhile. It keeps nothing on its machine: a request to empty the machine is answered at once.
+// Orderer is a candidate for the orderer's lease. While it holds the lease, it brings replicas to the versions that
+// trainers request, and publishes to the fronts what it reads from the metadata store. An orderer stores nothing on its
+// machine, so it confirms a request to empty the machine at once.
 type Orderer struct {
 	OrdererOptions
 	Weights  *weights.Orderer
 	operator metadata.Handler
 	registry *cluster.Registry
-	// topics outlive a term, so that a later one tells fronts only what has changed.
+	// topics are kept across terms, so that a later term publishes only what has changed.
 	topics    topics
 	datagrams *cluster.Datagrams
-	// publisher is the one of the present term.
+	// publisher is the publisher of the current term.
 	publisher atomic.Pointer[dissemination.Publisher]
-	// reporter reports usage while this node holds the lease; nil where none is reported.
+	// reporter reports usage while this node holds the lease; nil if usage is not reported.
 	reporter *metering.Reporter
 	ctx      context.Context
 	cancel   context.CancelFunc
 	done     sync.WaitGroup
 }
 
-// loadShare is the share of a service's replicas that load weights at the same time without slowing each other.
+// loadShare is the fraction of a service's replicas that may load weights at the same time without slowing each other
+// down.
 const loadShare = 0.2
 
-// Paces at which the holder of the lease looks at changes.
+// Timing of the lease holder's watches: the minimum intervals between two watches, and the duration of one watch.
 const (
-	ordererReplicaPace  = 150 * time.Millisecond
-	ordererRegistryPace = 250 * time.Millisecond
-	// replicaWait bounds how long a change of replicas can be missed in a compaction.
+	ordererReplicaInterval  = 150 * time.Millisecond
+	ordererRegistryInterval = 250 * time.Millisecond
+	// replicaWait bounds how long a change of replicas can go unnoticed if a compaction removed it from the store's
+	// history.
 	replicaWait = 3 * time.Second
-	// nodesWait does so for nodes: one that starts while its record is missed reads the store itself.
+	// nodesWait is the same bound for nodes. A node that starts while its record is missed reads the store itself.
 	nodesWait = 5 * time.Second
-	// quarantineWait does so for requests in quarantine, of which fronts tell each other besides.
+	// quarantineWait is the same bound for quarantined requests, which fronts also send to each other.
 	quarantineWait = 15 * time.Second
 )
 
-// NewOrderer returns a candidate that does not work yet.
+// NewOrderer returns a candidate. It does nothing until Start is called.
 func NewOrderer(options OrdererOptions) *Orderer {
 	options.Clock = clock.OrSteady(options.Clock)
 	ctx, cancel := context.WithCancel(context.Background())
 	self := &clusterv1.NodeRecord{Name: options.Node, Address: options.PeerAddress, Role: options.Role, Life: options.Life}
-	orders := weights.NewOrderer(options.Node, options.Catalog, options.Replicas, loadShare, options.Logger)
-	orders.Metrics = options.Metrics
+	weightsOrderer := weights.NewOrderer(options.Node, options.Catalog, options.Replicas, loadShare, options.Logger)
+	weightsOrderer.Metrics = options.Metrics
 	registry := cluster.NewRegistry(self, options.Store, options.PeerClient, options.Logger)
 	orderer := &Orderer{
-		OrdererOptions: options, ctx: ctx, cancel: cancel, Weights: orders, registry: registry,
+		OrdererOptions: options, ctx: ctx, cancel: cancel, Weights: weightsOrderer, registry: registry,
 		topics: newTopics(options.ConfigurationPrefix, metadata.Handlers{}, options.ReplicaPrefix, options.ReplicaHandler, registry, metadata.Handlers{}),
 	}
 	if options.UsageWindow > 0 {
@@ -112,7 +115,8 @@
 	return orderer
 }
 
-// Start begins to stand for election. The operator's keys go to the handler while this node holds the lease.
+// Start opens the orderer's sockets and stands for election. The handler receives the operator's keys while this node
+// holds the lease.
 func (orderer *Orderer) Start(operator metadata.Handler) error {
 	packets, err := net.ListenPacket("udp4", orderer.PeerAddress)
 	if err != nil {
@@ -145,7 +149,8 @@
 	return nil
 }
 
-// servePeers takes the tallies of usage that other nodes tell, until this candidate stops.
+// servePeers accepts the usage tallies of other nodes until this candidate stops. It does nothing if usage is not
+// reported.
 func (orderer *Orderer) servePeers() error {
 	if orderer.reporter == nil {
 		return nil
@@ -158,7 +163,7 @@
 	mux.Handle(collectorHandler(orderer.reporter.Ledger))
 	server := &http.Server{Handler: mux}
 	context.AfterFunc(orderer.ctx, func() {
-		_ = server.Close() // whoever tells is told of another collector
+		_ = server.Close() // senders learn of the next collector from its beacons
 	})
 	go func() {
 		err := server.Serve(listener)
@@ -167,29 +172,30 @@
 	return nil
 }
 
-// lead works while this node holds the lease.
+// lead runs one term: it returns when this node loses the lease or stops.
 func (orderer *Orderer) lead(ctx context.Context, term *weights.Term) {
 	orderer.publish(ctx, term.Fence)
-	go orderer.collect(ctx)
+	go orderer.collectGarbage(ctx)
 	var reporting sync.WaitGroup
 	if orderer.reporter != nil {
 		reporting.Go(func() { orderer.reporter.Run(ctx, term.Fence, term) })
 	}
 	orderer.Weights.Lead(ctx, term)
-	reporting.Wait() // before the next term begins
+	reporting.Wait() // the next term must not begin before the reporter has stopped
 }
 
-// standIn publishes while the lease of this node's former process has not lapsed: after a restart of all machines, nobody has to wait
-// for that to be told of the deployment.
+// standIn publishes before this node holds the lease, while the lease of its earlier process has not yet expired. After
+// a restart of all machines, fronts therefore need not wait for the lease to read the deployment's state.
 func (orderer *Orderer) standIn(ctx context.Context) {
 	orderer.Logger.Info("publishing ahead of the lease", "node", orderer.Node)
 	orderer.publish(ctx, noTerm)
 }
 
-// noTerm stands for the fence of a node that holds no lease.
+// noTerm is the fence of a node that holds no lease.
 const noTerm = 0
 
-// publish reads the store and tells the fronts what it reads, until the context ends. The fence is that of this node's term.
+// publish follows the topics in the store and publishes them until the context ends. The fence is that of this node's
+// term, or noTerm.
 func (orderer *Orderer) publish(ctx context.Context, fence int64) {
 	health := metadata.NewHealth(orderer.Store, orderer.Logger)
 	follow := func(follower metadata.Follower, wait time.Duration) {
@@ -200,8 +206,8 @@
 	topics := orderer.topics
 	go health.Run(ctx)
 	follow(metadata.Follower{Prefix: orderer.OperatorPrefix, Handler: metadata.Handlers{orderer.operator, topics.configuration}}, metadata.ShortWait)
-	follow(metadata.Follower{Prefix: topics.replicas.Prefix(), Handler: topics.replicas, From: topics.replicas.Revision, Pace: ordererReplicaPace}, replicaWait)
-	follow(metadata.Follower{Prefix: topics.nodes.Prefix(), Handler: topics.nodes, From: topics.nodes.Revision, Pace: ordererRegistryPace}, nodesWait)
+	follow(metadata.Follower{Prefix: topics.replicas.Prefix(), Handler: topics.replicas, From: topics.replicas.Revision, Pace: ordererReplicaInterval}, replicaWait)
+	follow(metadata.Follower{Prefix: topics.nodes.Prefix(), Handler: topics.nodes, From: topics.nodes.Revision, Pace: ordererRegistryInterval}, nodesWait)
 	follow(metadata.Follower{Prefix: topics.quarantine.Prefix(), Handler: topics.quarantine, From: topics.quarantine.Revision}, quarantineWait)
 	publisher := &dissemination.Publisher{
 		Node: orderer.Node, Life: orderer.Life, Clock: orderer.Clock, Topics: topics.published(), Registry: orderer.registry, Relay: fence == noTerm, Term: fence, Address: orderer.PeerAddress,
@@ -213,11 +219,12 @@
 
 const (
 	collectInterval = 30 * time.Second
-	collectLimit    = 20 * time.Second
+	collectTimeout  = 20 * time.Second
 )
 
-// collect removes ended jobs from the log once nobody may ask for them any more, and requests whose quarantine is over.
-func (orderer *Orderer) collect(ctx context.Context) {
+// collectGarbage periodically removes jobs that ended longer than Retention ago, and quarantined requests that have
+// expired.
+func (orderer *Orderer) collectGarbage(ctx context.Context) {
 	jobs := &batchlog.Log{Store: orderer.Store, Node: orderer.Node, Life: orderer.Life}
 	ticker := time.NewTicker(collectInterval)
 	defer ticker.Stop()
@@ -227,7 +234,7 @@
 			return
 		case <-ticker.C:
 		}
-		callCtx, cancel := context.WithTimeout(ctx, collectLimit)
+		callCtx, cancel := context.WithTimeout(ctx, collectTimeout)
 		count, err := jobs.Collect(callCtx, time.Now().Add(-orderer.Retention))
 		if count > 0 || err != nil {
 			orderer.Logger.Info("jobs collected", "count", count, "error", err)
@@ -240,9 +247,9 @@
 	}
 }
 
-const retireRetry = 300 * time.Millisecond
+const retireBackoff = 300 * time.Millisecond
 
-// Retired answers a request to empty a machine.
+// Retired confirms a request to empty a machine, and retries until the confirmation succeeds.
 func (orderer *Orderer) Retired(node string) {
 	go func() {
 		for orderer.ctx.Err() == nil {
@@ -251,12 +258,12 @@
 			if err == nil {
 				return
 			}
-			time.Sleep(retireRetry)
+			time.Sleep(retireBackoff)
 		}
 	}()
 }
 
-// Stop gives the lease up.
+// Stop releases the lease and waits until the election has ended.
 func (orderer *Orderer) Stop() {
 	orderer.cancel()
 	orderer.done.Wait()
--- a/internal/role/owners_test.go
+++ b/internal/role/owners_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// A node counts as running jobs for a while after it last announced one.
+// A node counts as running jobs until ownerTTL after its last announcement.
 func TestOwners(t *testing.T) {
 	owners, now := newOwners(), time.Now()
 	owners.note("a", now)
--- a/internal/role/peers.go
+++ b/internal/role/peers.go
@@ -12,7 +12,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/catalog"
 )
 
-// peers is the registry as the runner of batch jobs sees it.
+// peers implements batchrun.Peers for a front.
 type peers struct{ front *Front }
 
 // Client implements batchrun.Peers.
@@ -57,7 +57,8 @@
 	}
 }
 
-// ShareLoads implements batchrun.Peers: the nodes that run jobs are told, which are those that announced one, and those that tell of theirs.
+// ShareLoads implements batchrun.Peers. It sends to the nodes that run jobs, which are those that recently announced a
+// job or sent their own loads.
 func (peers peers) ShareLoads(inFlight map[string]int) {
 	front, now := peers.front, time.Now()
 	loads := &clusterv1.Loads{Node: front.Node}
--- a/internal/role/quarantine_test.go
+++ b/internal/role/quarantine_test.go
@@ -12,34 +12,34 @@
 	"github.com/thistlewalk/thistlewalk/internal/quarantine"
 )
 
-// The largest notice fits into a datagram, and comes out as it went in, to the millisecond.
+// The largest notice must fit into a datagram, and decoding must restore it within the precision of its timestamps.
 func TestNoticeFitsIntoADatagram(t *testing.T) {
 	const datagramSize, longName = 2048, 60
 	now := time.Now()
-	told := quarantine.Notice{Reporter: strings.Repeat("n", longName)}
+	sent := quarantine.Notice{Reporter: strings.Repeat("n", longName)}
 	for index := range quarantine.NoticeMost {
 		fingerprint := quarantine.Fingerprint{byte(index), 1}
-		told.Cleared = append(told.Cleared, fingerprint)
-		told.Crashes = append(told.Crashes, quarantine.Crash{Fingerprint: fingerprint, End: quarantine.End{
+		sent.Cleared = append(sent.Cleared, fingerprint)
+		sent.Crashes = append(sent.Crashes, quarantine.Crash{Fingerprint: fingerprint, End: quarantine.End{
 			Replica: strings.Repeat("r", longName), Broke: now.Add(-time.Duration(index) * time.Second),
 		}})
 	}
-	datagram := &clusterv1.Datagram{Kind: &clusterv1.Datagram_Suspicions{Suspicions: encodeNotice(told)}}
+	datagram := &clusterv1.Datagram{Kind: &clusterv1.Datagram_Suspicions{Suspicions: encodeNotice(sent)}}
 	must.LessEq(t, datagramSize, proto.Size(datagram))
-	heard := decodeNotice(datagram.GetSuspicions())
-	must.Eq(t, told.Cleared, heard.Cleared)
-	must.Eq(t, told.Reporter, heard.Reporter)
-	must.Len(t, len(told.Crashes), heard.Crashes)
-	for index, crash := range heard.Crashes {
-		must.Eq(t, told.Crashes[index].Fingerprint, crash.Fingerprint)
-		must.Eq(t, told.Crashes[index].Replica, crash.Replica)
-		must.Less(t, 100*time.Millisecond, crash.Broke.Sub(told.Crashes[index].Broke).Abs())
+	received := decodeNotice(datagram.GetSuspicions())
+	must.Eq(t, sent.Cleared, received.Cleared)
+	must.Eq(t, sent.Reporter, received.Reporter)
+	must.Len(t, len(sent.Crashes), received.Crashes)
+	for index, crash := range received.Crashes {
+		must.Eq(t, sent.Crashes[index].Fingerprint, crash.Fingerprint)
+		must.Eq(t, sent.Crashes[index].Replica, crash.Replica)
+		must.Less(t, 100*time.Millisecond, crash.Broke.Sub(sent.Crashes[index].Broke).Abs())
 	}
 }
 
-// Fingerprints of another length are passed over.
+// Fingerprints of an unexpected length must be skipped.
 func TestNoticeOfAnotherVersion(t *testing.T) {
-	heard := decodeNotice(&clusterv1.Suspicions{Reporter: "n", Crashes: []*clusterv1.Crash{{Fingerprint: []byte{1}, Replica: "r"}}, Cleared: [][]byte{{1, 2}}})
-	must.SliceEmpty(t, heard.Crashes)
-	must.SliceEmpty(t, heard.Cleared)
+	received := decodeNotice(&clusterv1.Suspicions{Reporter: "n", Crashes: []*clusterv1.Crash{{Fingerprint: []byte{1}, Replica: "r"}}, Cleared: [][]byte{{1, 2}}})
+	must.SliceEmpty(t, received.Crashes)
+	must.SliceEmpty(t, received.Cleared)
 }
--- a/internal/role/standby.go
+++ b/internal/role/standby.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// standbyAfter is how long nobody may have published before fronts stand for the election of the orderer: longer than an
-	// election takes among the nodes that do so always.
+	// standbyAfter is the time without a publisher after which fronts stand for election as orderer. It exceeds the
+	// duration of an election among the dedicated candidates.
 	standbyAfter = 7 * time.Second
-	// standbyCalm is how long the metadata store must have answered then.
-	standbyCalm   = 4 * time.Second
-	standbyPeriod = time.Second
-	// standbyKey ranks the fronts of a zone for standing by.
+	// standbyStoreStable is how long the metadata store must have been answering before a front stands for election.
+	standbyStoreStable = 4 * time.Second
+	standbyPeriod      = time.Second
+	// standbyKey is the key by which the fronts of a zone are ranked to choose the one that stands for election.
 	standbyKey = "orderer"
 )
 
-// standBy has this front stand for the election of the orderer, besides its own work, once the nodes that always do are all gone:
-// machines may be taken away for good. It does so until the front ends. One front of each zone is enough.
+// standBy lets this front stand for election as orderer, in addition to its own work, once all dedicated candidates are
+// gone: their machines may have been removed for good. Only one front of each zone does so. It returns when the front
+// ends.
 func (front *Front) standBy(ctx context.Context) {
 	ticker := time.NewTicker(standbyPeriod)
 	defer ticker.Stop()
@@ -42,5 +43,5 @@
 }
 
 func (front *Front) shouldStandBy(now time.Time) bool {
-	return front.subscriber.Silent(now) > standbyAfter && front.health.GoodFor(standbyCalm) && front.Registry.Preferred(standbyKey) == front.Node
+	return front.subscriber.Silent(now) > standbyAfter && front.health.GoodFor(standbyStoreStable) && front.Registry.Preferred(standbyKey) == front.Node
 }
--- a/internal/role/topics.go
+++ b/internal/role/topics.go
@@ -9,12 +9,12 @@
 	"github.com/thistlewalk/thistlewalk/internal/quarantine"
 )
 
-// topics are the keys of the metadata store that every front knows.
+// topics are the parts of the metadata store that every front mirrors.
 type topics struct {
 	configuration, replicas, nodes, quarantine *metadata.Mirror
 }
 
-// newTopics returns mirrors that know nothing yet, and pass what they learn to the handlers.
+// newTopics returns empty mirrors that pass each change to their handler.
 func newTopics(configurationPrefix string, configuration metadata.Handler, replicaPrefix string, replicas, nodes, quarantined metadata.Handler) topics {
 	return topics{
 		configuration: metadata.NewMirror(configurationPrefix, configuration),
@@ -24,16 +24,16 @@
 	}
 }
 
-// nodesPace is how often a front is told of other fronts that come and go. None is needed at once: whoever finds a node dead asks it
-// directly first, and a fleet that is rolled makes 20 changes a second.
-const nodesPace = time.Second
+// nodesInterval is the minimum interval between two pushes of changed nodes. It may be long, because a node is always
+// pinged before it is declared dead, and a rolling restart of a large fleet changes many records per second.
+const nodesInterval = time.Second
 
-// published returns the topics as a publisher pushes them.
+// published returns the topics with the options of their publication.
 func (topics topics) published() []dissemination.Topic {
 	return []dissemination.Topic{
 		{Mirror: topics.configuration},
 		{Mirror: topics.replicas, Bulk: true},
-		{Mirror: topics.nodes, Pace: nodesPace, Bulk: true},
+		{Mirror: topics.nodes, Pace: nodesInterval, Bulk: true},
 		{Mirror: topics.quarantine},
 	}
 }
