--- a/internal/capability/capability.go
+++ b/internal/capability/capability.go
@@ -1,6 +1,6 @@
-// Package capability says what a process reads and does for others. Processes of two builds run side by side while a deployment is upgraded, and
-// whoever sends what an earlier build does not have sends it to those only that have registered it: protocol buffers pass over fields that a receiver does
-// not know, in silence, so that it takes a message for another one. A process that registers nothing reads what no capability stands for.
+// Package capability describes which protocol features a process supports. Processes of two builds run side by side during an upgrade.
+// Protocol buffers silently ignore unknown fields, so a message in a newer form could be misread: a sender uses a feature only with
+// processes that have registered it. A process that registers nothing supports only what requires no capability.
 package capability
 
 import (
@@ -9,7 +9,7 @@
 	clusterv1 "github.com/thistlewalk/thistlewalk/api/cluster/v1"
 )
 
-// Own returns what processes of this build read and do, as they register it.
+// Own returns the capabilities of this build, as its processes register them.
 func Own() []clusterv1.Capability {
 	return []clusterv1.Capability{
 		clusterv1.Capability_CAPABILITY_PACKED_UPDATES,
@@ -18,12 +18,12 @@
 	}
 }
 
-// Holder is a message by which a process says what it reads and does.
+// Holder is a message in which a process lists its capabilities.
 type Holder interface {
 	GetCapabilities() []clusterv1.Capability
 }
 
-// Has reports whether a process has said that it has a capability.
+// Has reports whether a process lists a capability.
 func Has(process Holder, wanted clusterv1.Capability) bool {
 	return slices.Contains(process.GetCapabilities(), wanted)
 }
