--- a/internal/dissemination/fleet_test.go
+++ b/internal/dissemination/fleet_test.go
@@ -27,32 +27,32 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata/memstore"
 )
 
-// inForce is the time in which a change has to be in force in these histories.
+// inForce is the time in which a change has to take effect in these histories.
 const inForce = 2 * time.Second
 
-// fleet is nodes with a publisher over one store, in modelled time.
+// fleet is a publisher and nodes that share one store, in simulated time.
 type fleet struct {
 	store *memstore.Store
 	ctx   context.Context
-	// clock orders the beacons of a process, also of one that publishes again after a while.
+	// clock orders the beacons of a process, also when it publishes again later.
 	clock clock.Clock
 
 	mu    sync.Mutex
 	nodes map[string]*node // by address
-	// everyNode is each process that there ever was.
-	everyNode []*node
-	failure   string
-	versions  []version // that the operator wrote
-	lives     int64
-	// takes is how long a node is busy with all replicas, as a machine with a part of a core is.
-	takes time.Duration
+	// allNodes holds every process that was ever started.
+	allNodes        []*node
+	failure         string
+	written         []version // that the operator wrote
+	lastIncarnation int64
+	// loadTime is how long a node takes to load a snapshot of all replicas.
+	loadTime time.Duration
 	// fanOut bounds the nodes that publishers and relays serve themselves.
 	fanOut int
-	// padding is how many bytes a configuration has beside its version.
+	// padding is the width in bytes to which a written configuration is padded.
 	padding int
-	// production is the build that runs the nodes for which runsFormer holds; nil for none.
-	production *former.Build
-	runsFormer func(index int) bool
+	// formerBuild is the build that runs the nodes for which runsFormer returns true; nil for none.
+	formerBuild *former.Build
+	runsFormer  func(index int) bool
 	// publishesFormer reports whether the next publisher runs that build; nil for no.
 	publishesFormer func() bool
 }
@@ -72,22 +72,22 @@
 	relays     *dissemination.Relays
 	publisher  atomic.Pointer[dissemination.Publisher]
 	address    string
-	sent       traffic
+	sent       sentCounts
 	registry   *cluster.Registry
 	replicas   *metadata.Mirror
-	// former says that the node runs the build in production.
+	// former is true if the node runs the former build.
 	former bool
 
 	mu      sync.Mutex
 	version int64 // of the configuration in force
-	// Faults. deaf: nothing reaches it from other nodes; refused: the store refuses it.
-	deaf, refused bool
-	calm          time.Time             // since when it has had no fault
-	assigned      *clusterv1.Assignment // the newest
+	// isolated and storeRefused are faults: no traffic passes between the node and other nodes; the store refuses the node.
+	isolated, storeRefused bool
+	faultFreeSince         time.Time             // since when it has had no fault
+	lastAssignment         *clusterv1.Assignment // the newest
 }
 
-// traffic is what a node has sent: calls, their bytes and datagrams to others, and probes and other calls to the store.
-type traffic struct{ calls, bytes, datagrams, probes, asked atomic.Int64 }
+// sentCounts counts what a node has sent: calls, their bytes and datagrams to other nodes, and probes and other calls to the store.
+type sentCounts struct{ calls, bytes, datagrams, probes, storeCalls atomic.Int64 }
 
 func (fleet *fleet) fail(format string, arguments ...any) {
 	fleet.mu.Lock()
@@ -100,18 +100,18 @@
 // Reset implements metadata.Handler for the configuration.
 func (node *node) Reset(items []metadata.Item, _ metadata.Revision) {
 	for _, item := range items {
-		node.take(item)
+		node.applyItem(item)
 	}
 }
 
 // Apply implements metadata.Handler.
 func (node *node) Apply(events []metadata.Event, _ metadata.Revision) {
 	for _, event := range events {
-		node.take(event.Item)
+		node.applyItem(event.Item)
 	}
 }
 
-func (node *node) take(item metadata.Item) {
+func (node *node) applyItem(item metadata.Item) {
 	number, _ := strconv.ParseInt(strings.TrimSpace(string(item.Value)), 10, 64)
 	node.mu.Lock()
 	defer node.mu.Unlock()
@@ -121,35 +121,35 @@
 	node.version = number
 }
 
-func (node *node) set(deaf, refused bool) {
+func (node *node) setFaults(deaf, refused bool) {
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	if node.deaf || node.refused || deaf || refused {
-		node.calm = time.Now()
+	if node.isolated || node.storeRefused || deaf || refused {
+		node.faultFreeSince = time.Now()
 	}
-	node.deaf, node.refused = deaf, refused
+	node.isolated, node.storeRefused = deaf, refused
 }
 
-// assign takes an assignment, and notes it.
+// assign records an assignment and passes it to the relays.
 func (node *node) assign(assignment *clusterv1.Assignment) {
 	node.mu.Lock()
-	node.assigned = assignment
+	node.lastAssignment = assignment
 	node.mu.Unlock()
 	node.relays.Assign(assignment)
 }
 
-// lastAssigned returns the newest assignment with nodes; nil for none.
+// lastAssigned returns the newest assignment if it has nodes, otherwise nil.
 func (node *node) lastAssigned() *clusterv1.Assignment {
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	if len(node.assigned.GetNodes()) == 0 {
+	if len(node.lastAssignment.GetNodes()) == 0 {
 		return nil
 	}
-	return node.assigned
+	return node.lastAssignment
 }
 
-// heardReport takes what a relay of this node reports.
-func (node *node) heardReport(report *clusterv1.RelayReport) {
+// handleReport passes on the report of a relay of this node.
+func (node *node) handleReport(report *clusterv1.RelayReport) {
 	if publisher := node.publisher.Load(); publisher != nil {
 		publisher.Reported(report)
 	}
@@ -158,13 +158,13 @@
 	}
 }
 
-func (node *node) isDeaf() bool {
+func (node *node) isIsolated() bool {
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	return node.deaf
+	return node.isolated
 }
 
-func (fleet *fleet) at(address string) *node {
+func (fleet *fleet) nodeAt(address string) *node {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	return fleet.nodes[address]
@@ -173,10 +173,10 @@
 func (fleet *fleet) newNode(name, address string, former bool) (*node, *cluster.Registry, nodeStore, context.Context) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
-	fleet.lives++
-	created := &node{fleet: fleet, name: name, address: address, former: former, calm: time.Now()}
+	fleet.lastIncarnation++
+	created := &node{fleet: fleet, name: name, address: address, former: former, faultFreeSince: time.Now()}
 	store := nodeStore{fleet.store, created}
-	record := &clusterv1.NodeRecord{Name: name, Address: address, Zone: "z" + name[len(name)-1:], Role: "front", Life: fleet.lives}
+	record := &clusterv1.NodeRecord{Name: name, Address: address, Zone: "z" + name[len(name)-1:], Role: "front", Life: fleet.lastIncarnation}
 	if !former {
 		record.Capabilities = capability.Own()
 	}
@@ -186,24 +186,24 @@
 	return created, registry, store, ctx
 }
 
-// join has others reach a process, once it is put together.
+// join makes a process reachable for others.
 func (fleet *fleet) join(created *node) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	fleet.nodes[created.address] = created
-	fleet.everyNode = append(fleet.everyNode, created)
+	fleet.allNodes = append(fleet.allNodes, created)
 }
 
 func address(index int) string { return fmt.Sprint("127.0.0.1:", 1000+index) }
 
-// startAll begins the first process of each node.
+// startAll starts the first process of each node.
 func (fleet *fleet) startAll(nodes int) {
 	for index := range nodes {
 		fleet.start(index, true)
 	}
 }
 
-// start begins a process of a node, as the role of fronts does.
+// start starts a process of a node, with the parts that the front role runs.
 func (fleet *fleet) start(index int, first bool) {
 	former := fleet.runsFormer != nil && fleet.runsFormer(index)
 	created, registry, store, ctx := fleet.newNode(fmt.Sprint("front-", index, "-", index%3), address(index), former)
@@ -241,7 +241,7 @@
 	created.subscriber, created.registry, created.replicas = subscriber, registry, topics[1].Mirror
 	created.handler = clusterv1.NewNodesServer(subscriber)
 	if former {
-		created.becomeFormer()
+		created.useFormerBuild()
 	}
 	fleet.join(created)
 	go health.Run(ctx)
@@ -249,7 +249,7 @@
 	go registry.Register(ctx)
 }
 
-// registryPace is the least time between two watches of the registry by the publisher, as in service.
+// registryPace is the minimum time between two watches of the registry by the publisher.
 const registryPace = 250 * time.Millisecond
 
 func follow(ctx context.Context, store metadata.Store, health *metadata.Health, topics []dissemination.Topic) {
@@ -281,17 +281,17 @@
 	publisher.Run(ctx)
 }
 
-// publisherAt is the index of the address of the publisher.
-const publisherAt = 9000
+// publisherIndex is the index of the publisher's address.
+const publisherIndex = 9000
 
-// startPublisher begins a process that publishes, as the holder of the lease does.
+// startPublisher starts a process that publishes, as the holder of the lease does.
 func (fleet *fleet) startPublisher() *node {
-	return fleet.beginPublisher(fleet.publishesFormer != nil && fleet.publishesFormer())
+	return fleet.startPublisherOf(fleet.publishesFormer != nil && fleet.publishesFormer())
 }
 
-// beginPublisher begins one that may run the build in production.
-func (fleet *fleet) beginPublisher(former bool) *node {
-	created, registry, store, ctx := fleet.newNode("orderer-9", address(publisherAt), former)
+// startPublisherOf starts a publisher of the current or the former build.
+func (fleet *fleet) startPublisherOf(former bool) *node {
+	created, registry, store, ctx := fleet.newNode("orderer-9", address(publisherIndex), former)
 	health := metadata.NewHealth(store, log.New(io.Discard))
 	topics := []dissemination.Topic{
 		{Mirror: metadata.NewMirror("op/config", created)},
@@ -305,21 +305,21 @@
 	return created
 }
 
-// configure writes a version as the operator does.
+// configure writes a new version as the operator does.
 func (fleet *fleet) configure() {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
-	number := int64(len(fleet.versions) + 1)
-	fleet.versions = append(fleet.versions, version{number, time.Now()})
+	number := int64(len(fleet.written) + 1)
+	fleet.written = append(fleet.written, version{number, time.Now()})
 	_, _ = fleet.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: "op/config", Value: fmt.Appendf(nil, "%*d", fleet.padding, number)}}})
 }
 
-// due returns the newest version that has to be in force.
-func (fleet *fleet) due(now time.Time) int64 {
+// dueVersion returns the newest version that has to be in effect.
+func (fleet *fleet) dueVersion(now time.Time) int64 {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	number := int64(0)
-	for _, written := range fleet.versions {
+	for _, written := range fleet.written {
 		if now.Sub(written.at) > inForce {
 			number = written.number
 		}
@@ -327,42 +327,42 @@
 	return number
 }
 
-// check reports nodes that lack a version: those that the store has answered for a while, whatever became of the publisher.
+// check fails for each node that lacks a due version, unless the node or the store had a fault recently.
 func (fleet *fleet) check(nodes int, storeCalm time.Time) {
 	now := time.Now()
-	due := fleet.due(now)
+	due := fleet.dueVersion(now)
 	for index := range nodes {
-		node := fleet.at(address(index))
+		node := fleet.nodeAt(address(index))
 		node.mu.Lock()
-		inTouch := !node.refused && now.Sub(node.calm) > inForce+time.Second && now.Sub(storeCalm) > inForce+time.Second
+		settled := !node.storeRefused && now.Sub(node.faultFreeSince) > inForce+time.Second && now.Sub(storeCalm) > inForce+time.Second
 		known := node.version
 		node.mu.Unlock()
-		if inTouch && known < due {
+		if settled && known < due {
 			fleet.fail("%s is at version %d, %d is due", node.name, known, due)
 		}
 	}
 }
 
-// step is one event of a history, with the tenths of a second after it.
+// step is one event of a history, and the time after it in tenths of a second.
 type step struct {
 	event, node   int
 	deaf, refused bool
 	tenths        int
 }
 
-// stepEvents is how many kinds of events play knows.
-const stepEvents = 11
+// eventKinds is the number of kinds of events that play handles.
+const eventKinds = 11
 
 func drawSteps(t *rapid.T, nodes int) []step {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
 		return step{
-			event: rapid.IntRange(0, stepEvents-1).Draw(t, "event"), node: rapid.IntRange(0, nodes-1).Draw(t, "node"),
+			event: rapid.IntRange(0, eventKinds-1).Draw(t, "event"), node: rapid.IntRange(0, nodes-1).Draw(t, "node"),
 			deaf: rapid.Bool().Draw(t, "deaf"), refused: rapid.Bool().Draw(t, "refused"), tenths: rapid.IntRange(1, 40).Draw(t, "tenths"),
 		}
 	}), 3, 14).Draw(t, "steps")
 }
 
-// play plays a history on a fleet, and checks it each tenth of a second.
+// play runs a history on a fleet and checks the fleet every tenth of a second.
 func (fleet *fleet) play(nodes int, steps []step) {
 	publisher, storeCalm := fleet.startPublisher(), time.Now()
 	fleet.configure()
@@ -379,11 +379,11 @@
 			publisher.stop()
 			publisher = fleet.startPublisher()
 		case 5, 6:
-			publisher.set(step.deaf, step.refused)
+			publisher.setFaults(step.deaf, step.refused)
 		case 7:
-			fleet.at(address(step.node)).set(step.deaf, step.refused)
+			fleet.nodeAt(address(step.node)).setFaults(step.deaf, step.refused)
 		case 8: // a restart, planned or not
-			fleet.at(address(step.node)).stop()
+			fleet.nodeAt(address(step.node)).stop()
 			fleet.start(step.node, false)
 		case 9:
 			fleet.store.Compact()
@@ -399,17 +399,17 @@
 		}
 	}
 	for index := range nodes {
-		fleet.at(address(index)).set(false, false)
+		fleet.nodeAt(address(index)).setFaults(false, false)
 	}
 	fleet.configure()
 	time.Sleep(2*inForce + time.Second)
 	fleet.check(nodes, storeCalm)
 }
 
-// smallFanOut has the few nodes of a history form a tree of relays.
+// smallFanOut makes the few nodes of a history form a tree of relays.
 const smallFanOut = 3
 
-// run plays a history in modelled time and returns what was wrong.
+// runFleet runs play in simulated time and returns the first failure.
 func runFleet(t *testing.T, play func(fleet *fleet)) string {
 	var failure string
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/dissemination/former_test.go
+++ b/internal/dissemination/former_build_test.go
@@ -22,33 +22,33 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata"
 )
 
-// formerNodes is a node of the build in production as others reach it.
-type formerNodes struct {
+// formerNode is a node of the former build as seen by other nodes.
+type formerNode struct {
 	*dissemination.Subscriber
 	build *former.Build
 }
 
-func (nodes formerNodes) Publish(ctx context.Context, request *clusterv1.PublishRequest) (*clusterv1.PublishResponse, error) {
+func (nodes formerNode) Publish(ctx context.Context, request *clusterv1.PublishRequest) (*clusterv1.PublishResponse, error) {
 	if err := nodes.build.Read(request); err != nil {
 		return nil, err
 	}
 	return nodes.Subscriber.Publish(ctx, request)
 }
 
-// Snapshot is a call that the build in production does not have.
-func (nodes formerNodes) Snapshot(context.Context, *clusterv1.SnapshotRequest) (*clusterv1.SnapshotResponse, error) {
+// Snapshot is a call that the former build does not have.
+func (nodes formerNode) Snapshot(context.Context, *clusterv1.SnapshotRequest) (*clusterv1.SnapshotResponse, error) {
 	return nil, twirp.NewError(twirp.BadRoute, "no handler for path")
 }
 
-// becomeFormer has a node read what it is sent as the build in production does, and relay nothing.
-func (node *node) becomeFormer() {
+// useFormerBuild makes a node decode messages as the former build does, and relay nothing.
+func (node *node) useFormerBuild() {
 	node.subscriber.Assign = nil
-	node.handler = clusterv1.NewNodesServer(formerNodes{node.subscriber, node.fleet.production})
+	node.handler = clusterv1.NewNodesServer(formerNode{node.subscriber, node.fleet.formerBuild})
 }
 
-// hearAsFormer takes a datagram.
-func (node *node) hearAsFormer(datagram *clusterv1.Datagram, from net.Addr) error {
-	if err := node.fleet.production.Read(datagram); err != nil {
+// receiveAsFormer handles a datagram as the former build does.
+func (node *node) receiveAsFormer(datagram *clusterv1.Datagram, from net.Addr) error {
+	if err := node.fleet.formerBuild.Read(datagram); err != nil {
 		return err
 	}
 	if beacon := datagram.GetBeacon(); beacon != nil {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// sendAsFormer has a call be sent as a node of the build in production sends it: nothing is packed.
+// sendAsFormer unpacks the updates of a call, because the former build does not pack them.
 func sendAsFormer(request *http.Request) error {
 	if !strings.HasSuffix(request.URL.Path, "/Publish") {
 		return nil
@@ -93,18 +93,17 @@
 	return err
 }
 
-// mix has some nodes of the fleet run the build in production, with entries of the size that a deployment has: a configuration of 15 routes has
-// some 4 KB.
-func (fleet *fleet) mix(t *testing.T, runsFormer func(index int) bool) {
+// runFormerBuild makes some nodes of the fleet run the former build, with configurations of a realistic size.
+func (fleet *fleet) runFormerBuild(t *testing.T, runsFormer func(index int) bool) {
 	build, err := former.Load()
 	must.NoError(t, err)
-	fleet.production, fleet.runsFormer, fleet.padding = build, runsFormer, 4<<10
+	fleet.formerBuild, fleet.runsFormer, fleet.padding = build, runsFormer, 4<<10
 }
 
-// checkKnown reports nodes that lack replicas or nodes.
+// checkKnown fails for each node that lacks replicas or nodes.
 func (fleet *fleet) checkKnown(nodes, replicas int) {
 	for index := range nodes {
-		node := fleet.at(address(index))
+		node := fleet.nodeAt(address(index))
 		if known := node.replicas.Count(); known != replicas {
 			fleet.fail("%s knows %d replicas of %d", node.name, known, replicas)
 		}
@@ -114,27 +113,16 @@
 	}
 }
 
-// What users saw: while machines were started again on a newer build, one after the other, nodes that still ran the one in production went on
-// refusing a route with 404 that had been added 3.7 s before, and refused or failed everything else, since they knew no replica.
-//
-// The order of events: the publisher is the first to be started again, on the newer build. It sends every node all that it has read. Each node of
-// the build in production loses all replicas and all nodes with that, tells the publisher that it has reached its revision, and takes no
-// configuration from then on, but takes the change of a single replica.
-//
-// The cause: the newer publisher packs what has more than 1,024 bytes into a field that the build in production does not know, which passes
-// over it, and takes the update for one that says that there is nothing.
-//
-// The evidence: of nine nodes of the build in production each said "replicas read count=0" within 3 ms of the first push of the newer build, as
-// was recorded; nodes of the newer build said count=10 in the same second. Here, without the mend: no replica and no further version at the six
-// nodes of the build in production, where the three of this build have all.
+// Guards against packed updates for nodes of the former build: it ignores the unknown field, takes the update for an empty snapshot, drops
+// all replicas and nodes, and applies no later configuration.
 func TestNodesOfTheBuildInProductionAreServed(t *testing.T) {
 	const nodes, replicas = 9, 20
 	failure := runFleet(t, func(fleet *fleet) {
 		fleet.fanOut = 0
-		fleet.mix(t, func(index int) bool { return index%3 != 0 })
-		publisher := fleet.beginPublisher(true)
+		fleet.runFormerBuild(t, func(index int) bool { return index%3 != 0 })
+		publisher := fleet.startPublisherOf(true)
 		fleet.configure()
-		fleet.register(replicas)
+		fleet.registerReplicas(replicas)
 		fleet.startAll(nodes)
 		time.Sleep(5 * time.Second)
 		fleet.checkKnown(nodes, replicas)
@@ -153,10 +141,10 @@
 	must.Eq(t, "", failure)
 }
 
-// drawnBuilds draws the build of each life of each node: an upgrade that goes forth, back, or halts.
+// drawnBuilds holds the drawn build of each process: an upgrade that advances, is rolled back or halts.
 type drawnBuilds struct{ former []bool }
 
-// next returns whether the next life runs the build in production.
+// next reports whether the next process runs the former build.
 func (builds *drawnBuilds) next() bool {
 	if len(builds.former) == 0 {
 		return false
@@ -166,8 +154,7 @@
 	return first
 }
 
-// Whichever nodes run which build, and whichever build the publisher runs, a node that the store answers has each configuration in time, and none
-// goes back.
+// Guards against nodes that receive a configuration late or return to an older one while two builds run side by side.
 func TestChangesReachEveryNodeOfTwoBuilds(t *testing.T) {
 	rapid.Check(t, func(drawn *rapid.T) {
 		nodes := rapid.IntRange(3, 12).Draw(drawn, "nodes")
@@ -175,7 +162,7 @@
 		lives := &drawnBuilds{rapid.SliceOfN(rapid.Bool(), nodes, 2*nodes).Draw(drawn, "former lives")}
 		publishers := &drawnBuilds{rapid.SliceOfN(rapid.Bool(), 1, 6).Draw(drawn, "former publishers")}
 		failure := runFleet(t, func(fleet *fleet) {
-			fleet.mix(t, func(int) bool { return lives.next() })
+			fleet.runFormerBuild(t, func(int) bool { return lives.next() })
 			fleet.publishesFormer = publishers.next
 			fleet.play(nodes, steps)
 		})
--- a/internal/dissemination/links_test.go
+++ b/internal/dissemination/links_test.go
@@ -16,25 +16,25 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata/memstore"
 )
 
-// itemsOfPage is how many items a call of a listing brings.
-const itemsOfPage = 200
+// itemsPerPage is the number of items in one call of a listing.
+const itemsPerPage = 200
 
-// nodeStore refuses its node what the node's faults say.
+// nodeStore is the store as one node reaches it, subject to the node's faults.
 type nodeStore struct {
 	*memstore.Store
 	node *node
 }
 
-// refused counts a call, and refuses it as the node's faults say.
-func (store nodeStore) refused() error {
-	store.node.sent.asked.Add(1)
-	return store.refusal()
+// countCall counts a call and returns the error of the node's faults, if any.
+func (store nodeStore) countCall() error {
+	store.node.sent.storeCalls.Add(1)
+	return store.faultError()
 }
 
-func (store nodeStore) refusal() error {
+func (store nodeStore) faultError() error {
 	store.node.mu.Lock()
 	defer store.node.mu.Unlock()
-	if store.node.refused {
+	if store.node.storeRefused {
 		return metadata.ErrUnavailable
 	}
 	return nil
@@ -42,33 +42,33 @@
 
 func (store nodeStore) Probe(ctx context.Context) error {
 	store.node.sent.probes.Add(1)
-	return errors.CombineErrors(store.refusal(), store.Store.Probe(ctx))
+	return errors.CombineErrors(store.faultError(), store.Store.Probe(ctx))
 }
 
 func (store nodeStore) List(ctx context.Context, prefix string) (metadata.Listing, error) {
-	if err := store.refused(); err != nil {
+	if err := store.countCall(); err != nil {
 		return metadata.Listing{}, err
 	}
 	listing, err := store.Store.List(ctx, prefix)
-	store.node.sent.asked.Add(int64(len(listing.Items) / itemsOfPage))
+	store.node.sent.storeCalls.Add(int64(len(listing.Items) / itemsPerPage))
 	return listing, err
 }
 
 func (store nodeStore) Watch(ctx context.Context, prefix string, after metadata.Revision, wait time.Duration) (metadata.Changes, error) {
-	if err := store.refused(); err != nil {
+	if err := store.countCall(); err != nil {
 		return metadata.Changes{}, err
 	}
 	return store.Store.Watch(ctx, prefix, after, wait)
 }
 
 func (store nodeStore) Commit(ctx context.Context, txn metadata.Txn) (metadata.Revision, error) {
-	if err := store.refused(); err != nil {
+	if err := store.countCall(); err != nil {
 		return 0, err
 	}
 	return store.Store.Commit(ctx, txn)
 }
 
-// link carries what one node sends to others, by datagrams and calls, unless either is deaf.
+// link carries datagrams and calls from one node to others, unless either is isolated.
 type link struct {
 	net.PacketConn
 	from *node
@@ -76,8 +76,8 @@
 
 func (link link) WriteTo(payload []byte, address net.Addr) (int, error) {
 	link.from.sent.datagrams.Add(1)
-	to := link.from.fleet.at(address.String())
-	if to == nil || to.isDeaf() || link.from.isDeaf() {
+	to := link.from.fleet.nodeAt(address.String())
+	if to == nil || to.isIsolated() || link.from.isIsolated() {
 		return len(payload), nil
 	}
 	datagram := &clusterv1.Datagram{}
@@ -86,7 +86,7 @@
 	}
 	from := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(link.from.address))
 	if to.former {
-		return len(payload), to.hearAsFormer(datagram, from)
+		return len(payload), to.receiveAsFormer(datagram, from)
 	}
 	if beacon := datagram.GetBeacon(); beacon != nil && to.subscriber != nil {
 		if to.subscriber.Heard(beacon, from) {
@@ -94,27 +94,27 @@
 		}
 	}
 	if report := datagram.GetRelayReport(); report != nil {
-		to.heardReport(report)
+		to.handleReport(report)
 	}
 	return len(payload), nil
 }
 
-// largePush is less bytes than a push of all replicas, and more than one of changes.
-const largePush = 4 << 10
+// snapshotPushBytes separates pushes of all replicas, which are larger, from pushes of changes.
+const snapshotPushBytes = 4 << 10
 
 func (link link) RoundTrip(request *http.Request) (*http.Response, error) {
 	link.from.sent.calls.Add(1)
 	link.from.sent.bytes.Add(request.ContentLength)
-	to := link.from.fleet.at(request.URL.Host)
+	to := link.from.fleet.nodeAt(request.URL.Host)
 	if to == nil || to.handler == nil {
 		return nil, errors.New("refused")
 	}
-	if to.isDeaf() || link.from.isDeaf() {
+	if to.isIsolated() || link.from.isIsolated() {
 		<-request.Context().Done()
 		return nil, request.Context().Err()
 	}
-	if request.ContentLength > largePush {
-		time.Sleep(link.from.fleet.takes)
+	if request.ContentLength > snapshotPushBytes {
+		time.Sleep(link.from.fleet.loadTime)
 	}
 	if link.from.former {
 		if err := sendAsFormer(request); err != nil {
--- a/internal/dissemination/packing.go
+++ b/internal/dissemination/packing.go
@@ -12,18 +12,18 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata"
 )
 
-// form is how an update is sent.
-type form int
+// encoding is the form in which an update is sent.
+type encoding int
 
 const (
-	// plain is read by every build. It costs what packing saves: nine tenths of the bytes of a snapshot.
-	plain form = iota
-	// packed needs a capability.
+	// plain is understood by every build.
+	plain encoding = iota
+	// packed requires CAPABILITY_PACKED_UPDATES.
 	packed
 )
 
-// formFor returns the form in which a process is sent updates.
-func formFor(process capability.Holder) form {
+// encodingFor returns the encoding of updates that are sent to a process.
+func encodingFor(process capability.Holder) encoding {
 	if capability.Has(process, clusterv1.Capability_CAPABILITY_PACKED_UPDATES) {
 		return packed
 	}
@@ -31,21 +31,23 @@
 }
 
 const (
-	// packAbove is the size in bytes from which on an update is compressed: below, a change of a replica or two, it saves less than a packet.
-	packAbove = 1024
-	// mostUnpacked bounds the bytes that an update may take once it is unpacked: 100,000 entries of replicas take 48 MB.
-	mostUnpacked = 256 << 20
-	// packWindow is how far back repeated text is found. Entries repeat the text of their neighbours; 1 MB keeps the packer at some MB of memory.
+	// minPackedSize is the size in bytes from which an update is compressed. Below it, compression does not save a network packet.
+	minPackedSize = 1024
+	// maxUnpackedSize bounds the size in bytes of an update after decompression.
+	maxUnpackedSize = 256 << 20
+	// packWindow is the compression window. Entries mostly repeat their neighbours, so a small window suffices and bounds the memory of the
+	// encoder.
 	packWindow = 1 << 20
 )
 
-// packer compresses updates. Entries of replicas repeat most of their text: 10,001 regular ones, 4.8 MB, are packed into 0.13 MB (TestSnapshotIsSmall).
+// packer compresses updates. Entries of replicas repeat most of their text, so that a snapshot shrinks to less than a tenth
+// (TestSnapshotIsSmall).
 type packer struct{ encoder *zstd.Encoder }
 
-// pack returns an update with its items and removals compressed, if they are large.
+// pack returns an update with its items and removals compressed, or the update itself if it is small.
 func (packer *packer) pack(update *clusterv1.PrefixUpdate) (*clusterv1.PrefixUpdate, error) {
 	content := &clusterv1.PackedUpdate{Items: update.GetItems(), Removals: update.GetRemovals()}
-	if proto.Size(content) < packAbove {
+	if proto.Size(content) < minPackedSize {
 		return update, nil
 	}
 	plain, err := proto.Marshal(content)
@@ -63,39 +65,39 @@
 	}, nil
 }
 
-// unpacker undoes what a packer does. It is safe for concurrent use.
+// unpacker decompresses updates. It is safe for concurrent use.
 type unpacker struct {
 	once    sync.Once
 	decoder *zstd.Decoder
 	err     error
 }
 
-// errUnread is the cause when an update holds what this build does not know. Without it, the update would say something else: that there are no
-// items, where a newer build has them in a field of its own.
-var errUnread = errors.New("the update has fields that this build does not know")
+// errUnknownFields is returned for an update with fields that this build does not know. Protocol buffers ignore unknown fields: an update
+// whose items are in a newer field would otherwise be taken for an empty one.
+var errUnknownFields = errors.New("the update has fields that this build does not know")
 
-// checkRead returns errUnread unless all of an update is read.
-func checkRead(update *clusterv1.PrefixUpdate) error {
-	read := len(update.ProtoReflect().GetUnknown()) == 0
+// checkUnknownFields returns errUnknownFields if any part of an update has unknown fields.
+func checkUnknownFields(update *clusterv1.PrefixUpdate) error {
+	complete := len(update.ProtoReflect().GetUnknown()) == 0
 	for _, item := range update.GetItems() {
-		read = read && len(item.ProtoReflect().GetUnknown()) == 0
+		complete = complete && len(item.ProtoReflect().GetUnknown()) == 0
 	}
 	for _, removal := range update.GetRemovals() {
-		read = read && len(removal.ProtoReflect().GetUnknown()) == 0
+		complete = complete && len(removal.ProtoReflect().GetUnknown()) == 0
 	}
-	if !read {
-		return errUnread
+	if !complete {
+		return errUnknownFields
 	}
 	return nil
 }
 
-// unpack returns an update as it was before it was packed. One that this build can't read whole is an error.
+// unpack returns an update as it was before it was packed. It returns an error for an update that this build cannot read completely.
 func (unpacker *unpacker) unpack(update *clusterv1.PrefixUpdate) (*clusterv1.PrefixUpdate, error) {
 	if len(update.GetPacked()) == 0 {
-		return update, checkRead(update)
+		return update, checkUnknownFields(update)
 	}
 	unpacker.once.Do(func() {
-		unpacker.decoder, unpacker.err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(mostUnpacked))
+		unpacker.decoder, unpacker.err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxUnpackedSize))
 	})
 	if unpacker.err != nil {
 		return nil, errors.Wrap(unpacker.err, "prepare to unpack an update")
@@ -113,51 +115,51 @@
 		Items: content.GetItems(), Removals: content.GetRemovals(),
 	}
 	if len(update.ProtoReflect().GetUnknown()) > 0 || len(content.ProtoReflect().GetUnknown()) > 0 {
-		return nil, errUnread
+		return nil, errUnknownFields
 	}
-	return unpacked, checkRead(unpacked)
+	return unpacked, checkUnknownFields(unpacked)
 }
 
-// updates encodes differences once for all nodes that lack the same. It is safe for concurrent use.
-type updates struct {
+// updateCache encodes each difference once for all nodes that lack the same revisions. It is safe for concurrent use.
+type updateCache struct {
 	mu      sync.Mutex
 	packer  packer
 	encoded map[updateKey]encodedUpdate
 }
 
-// updateKey names what a node lacks of a topic.
+// updateKey identifies a difference of a topic in one encoding.
 type updateKey struct {
-	prefix string
-	base   metadata.Revision
-	form   form
+	prefix   string
+	base     metadata.Revision
+	encoding encoding
 }
 
-// encodedUpdate is an update with the newest change that it holds.
+// encodedUpdate is an update and the revision of the newest change that it holds.
 type encodedUpdate struct {
 	update    *clusterv1.PrefixUpdate
 	changedAt metadata.Revision
 }
 
-// updatesKept bounds the updates that are kept: nodes lack the same, but for those that begin or were cut off.
-const updatesKept = 32
+// maxCachedUpdates bounds the cache. Most nodes lack the same revisions, except for new and disconnected ones.
+const maxCachedUpdates = 32
 
-// of returns what brings a node that has reached a base of a topic to a wanted revision, or a later one, in a form that it reads.
-func (updates *updates) of(topic Topic, base, wanted metadata.Revision, form form) (*clusterv1.PrefixUpdate, error) {
+// get returns an update that brings a node from revision base of a topic to the wanted revision or a later one.
+func (updates *updateCache) get(topic Topic, base, wanted metadata.Revision, encoding encoding) (*clusterv1.PrefixUpdate, error) {
 	updates.mu.Lock()
 	defer updates.mu.Unlock()
-	key, changedAt := updateKey{topic.Prefix(), base, form}, topic.ChangedAt()
+	key, changedAt := updateKey{topic.Prefix(), base, encoding}, topic.ChangedAt()
 	if known, ok := updates.encoded[key]; ok && known.changedAt == changedAt && metadata.Revision(known.update.GetRevision()) >= wanted {
 		return known.update, nil
 	}
 	difference := topic.Difference(base)
 	update := encodeDifference(&difference)
-	if form == packed {
+	if encoding == packed {
 		var err error
 		if update, err = updates.packer.pack(update); err != nil {
 			return nil, err
 		}
 	}
-	if updates.encoded == nil || len(updates.encoded) >= updatesKept {
+	if updates.encoded == nil || len(updates.encoded) >= maxCachedUpdates {
 		updates.encoded = make(map[updateKey]encodedUpdate)
 	}
 	updates.encoded[key] = encodedUpdate{update, changedAt}
--- a/internal/dissemination/packing_test.go
+++ b/internal/dissemination/packing_test.go
@@ -13,8 +13,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata"
 )
 
-// entries returns entries of replicas as a store keeps them: eight models each, and some 400 bytes.
-func entries(count int) []metadata.Item {
+// replicaItems returns realistic entries of replicas with eight models each, some 400 bytes in size.
+func replicaItems(count int) []metadata.Item {
 	var models []string
 	for model := range 8 {
 		models = append(models, fmt.Sprintf(`{"name":"m%d","version":%d,"adapters":[]}`, model, 3))
@@ -28,13 +28,13 @@
 	return list
 }
 
-func snapshot(count int) metadata.Difference {
-	return metadata.Difference{Prefix: "servers/", Whole: true, Revision: metadata.Revision(count), Items: entries(count)}
+func replicaSnapshot(count int) metadata.Difference {
+	return metadata.Difference{Prefix: "servers/", Whole: true, Revision: metadata.Revision(count), Items: replicaItems(count)}
 }
 
-// A snapshot of all replicas of a large fleet is packed to a tenth at most: a node that begins is sent it, all of them at a time.
+// Guards against large snapshots, which many nodes load when they start at the same time.
 func TestSnapshotIsSmall(t *testing.T) {
-	difference := snapshot(10_001)
+	difference := replicaSnapshot(10_001)
 	plain := encodeDifference(&difference)
 	packed, err := (&packer{}).pack(plain)
 	must.NoError(t, err)
@@ -42,12 +42,12 @@
 	must.Less(t, proto.Size(plain)/10, proto.Size(packed))
 }
 
-// What is packed comes out as it was, whatever its size.
+// Guards against updates that unpack to something else, for any size.
 func TestPackedUpdates(t *testing.T) {
 	var packer packer
 	var unpacker unpacker
 	rapid.Check(t, func(t *rapid.T) {
-		difference := snapshot(rapid.IntRange(0, 40).Draw(t, "items"))
+		difference := replicaSnapshot(rapid.IntRange(0, 40).Draw(t, "items"))
 		for removal := range rapid.IntRange(0, 60).Draw(t, "removals") {
 			difference.Removals = append(difference.Removals, metadata.Removal{Key: fmt.Sprint("servers/", removal), Revision: metadata.Revision(removal)})
 		}
@@ -61,33 +61,33 @@
 	})
 }
 
-// A damaged update is refused.
+// Guards against damaged updates that are accepted.
 func TestDamagedUpdate(t *testing.T) {
 	_, err := (&unpacker{}).unpack(&clusterv1.PrefixUpdate{Prefix: "servers/", Packed: []byte("not compressed")})
 	must.Error(t, err)
 }
 
-// Nodes that lack the same share what is encoded, until something changes.
+// Guards against encoding the same update again without a change, and against returning it after a change.
 func TestUpdatesAreShared(t *testing.T) {
 	topic := Topic{Mirror: metadata.NewMirror("servers/", metadata.Handlers{})}
-	topic.Reset(entries(20), 20)
-	var updates updates
-	first, err := updates.of(topic, 0, topic.ChangedAt(), packed)
+	topic.Reset(replicaItems(20), 20)
+	var updates updateCache
+	first, err := updates.get(topic, 0, topic.ChangedAt(), packed)
 	must.NoError(t, err)
-	again, err := updates.of(topic, 0, topic.ChangedAt(), packed)
+	again, err := updates.get(topic, 0, topic.ChangedAt(), packed)
 	must.NoError(t, err)
 	must.True(t, first == again)
 	topic.Apply([]metadata.Event{{Item: metadata.Item{Key: "servers/new", Revision: 21}}}, 21)
-	later, err := updates.of(topic, 0, topic.ChangedAt(), packed)
+	later, err := updates.get(topic, 0, topic.ChangedAt(), packed)
 	must.NoError(t, err)
 	must.Eq(t, 21, later.GetRevision())
 }
 
-// A node takes a snapshot of all replicas, without the decoding of entries by its handler.
+// BenchmarkTakeSnapshot measures how a node applies a snapshot of all replicas, without decoding the entries.
 func BenchmarkTakeSnapshot(b *testing.B) {
 	for _, count := range []int{1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			difference := snapshot(count)
+			difference := replicaSnapshot(count)
 			packed, err := (&packer{}).pack(encodeDifference(&difference))
 			must.NoError(b, err)
 			var unpacker unpacker
@@ -100,11 +100,11 @@
 	}
 }
 
-// A neighbour packs all that it knows, for a node that begins while nobody publishes.
+// BenchmarkSnapshot measures how a neighbour packs a snapshot of all replicas.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, count := range []int{1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			difference := snapshot(count)
+			difference := replicaSnapshot(count)
 			for b.Loop() {
 				_, err := (&packer{}).pack(encodeDifference(&difference))
 				must.NoError(b, err)
--- a/internal/dissemination/publisher.go
+++ b/internal/dissemination/publisher.go
@@ -1,6 +1,6 @@
-// Package dissemination spreads what one node reads of the metadata store to the others, so that these need not each read it: the
-// publisher pushes the changes of some topics to some nodes, which relay them to others, and a beacon tells how new its knowledge is. A node
-// that hears no beacon, or lacks for long what one tells of, reads the store itself.
+// Package dissemination distributes what one node reads from the metadata store to the other nodes, so that they need not read it
+// themselves. A publisher pushes changes of topics to a bounded number of nodes, some of which relay them to others, and sends beacons that
+// announce its revisions. A node that receives no beacons, or lacks an announced revision for too long, reads the store itself.
 package dissemination
 
 import (
@@ -17,66 +17,67 @@
 	"github.com/thistlewalk/thistlewalk/internal/telemetry"
 )
 
-// beaconInterval is the time between two beacons without a change: short enough that the silence that a node puts up with holds two.
+// beaconInterval is the time between two beacons when nothing changes. It is short enough that Limits.Silence spans two beacons.
 const beaconInterval = 400 * time.Millisecond
 
-// Publisher pushes topics to nodes and sends beacons: to a bounded number of nodes itself, and to the others by relays, which are
-// publishers to their groups.
+// Publisher pushes topics to nodes and sends beacons. It serves a bounded number of nodes directly; the others are served by relays, each
+// of which runs a Publisher for its group.
 type Publisher struct {
-	// Node and Life are the process that reads what is published: this one, or that whose topics a relay passes on.
+	// Node and Life identify the process that reads the published topics from the store: this process, or the origin whose topics a relay
+	// passes on.
 	Node string
 	Life int64
-	// Clock orders the beacons of this process, and tells when one was sent, also after the machine was suspended; nil for a steady one.
+	// Clock orders and timestamps the beacons of this process, also after the machine was suspended; nil for a steady clock.
 	Clock    clock.Clock
 	Topics   []Topic
 	Registry *cluster.Registry
-	// Nodes returns the nodes to publish to, the same list until they change; nil for all others.
+	// Nodes returns the nodes to publish to, as the same slice until they change; nil for all other nodes of the registry.
 	Nodes func() []*clusterv1.NodeRecord
-	// Tree returns when the origin last changed who serves whom, by its clock, in microseconds; nil for a publisher that is the origin.
-	Tree func() int64
-	// Relay says that this node stands in for the publisher, and orders no replicas.
+	// TreeVersion returns when the origin last changed the topology, by its clock, in microseconds; nil if this publisher is the origin.
+	TreeVersion func() int64
+	// Relay is true for the reader of a zone that stands in for the publisher. It is not the orderer.
 	Relay bool
-	// Term is the fence of the term in which this node orders replicas and collects tallies of usage; zero for a relay.
+	// Term is the fence of the term in which this node is the orderer and collects usage tallies; zero for a relay.
 	Term int64
-	// Address is where this node's datagrams come from.
+	// Address is the address from which this node sends datagrams.
 	Address   string
 	Datagrams *cluster.Datagrams
 	Health    *metadata.Health
 	Logger    *log.Logger
 	Metrics   *telemetry.Metrics
-	// FanOut bounds the nodes that are served directly; zero for a default.
+	// FanOut bounds the nodes that are served directly; zero for the default.
 	FanOut int
 
-	updates updates
+	updates updateCache
 	wake    chan struct{}
-	pushes  [lanes]chan struct{}
-	retries [lanes]chan struct{}
+	pushes  [laneCount]chan struct{}
+	retries [laneCount]chan struct{}
 
-	mu       sync.Mutex
-	receiver map[process]*receiver
-	// announced are the revisions of the newest beacon, by prefix.
+	mu        sync.Mutex
+	receivers map[process]*receiver
+	// announced holds the revisions of the newest beacon, by prefix.
 	announced map[string]metadata.Revision
-	// spoke is when the last beacon was sent, and sent the same by the Clock, in microseconds.
-	spoke time.Time
-	sent  int64
-	// alone are processes that are served directly and relay nothing, until when.
-	alone map[process]time.Time
-	// begun is when processes were first to be served.
-	begun map[process]time.Time
-	// arranged is who serves whom, as it was worked out for a list of nodes; outdated says that relays have changed since.
-	arranged    arrangement
-	arrangedFor []*clusterv1.NodeRecord
-	outdated    bool
+	// lastBeaconAt is when the last beacon was sent, and lastSentUs its timestamp by Clock, in microseconds.
+	lastBeaconAt time.Time
+	lastSentUs   int64
+	// excludedUntil holds the processes that are served directly and do not relay, and when their exclusion ends.
+	excludedUntil map[process]time.Time
+	// firstSeen is when each process was first listed.
+	firstSeen map[process]time.Time
+	// topology was built for topologyNodes; topologyStale is true if relays have changed since.
+	topology      topology
+	topologyNodes []*clusterv1.NodeRecord
+	topologyStale bool
 }
 
-// prepare makes the publisher ready for rounds.
-func (publisher *Publisher) prepare() {
+// initialize prepares the publisher for rounds.
+func (publisher *Publisher) initialize() {
 	publisher.mu.Lock()
 	defer publisher.mu.Unlock()
-	publisher.receiver, publisher.alone, publisher.begun = make(map[process]*receiver), make(map[process]time.Time), make(map[process]time.Time)
+	publisher.receivers, publisher.excludedUntil, publisher.firstSeen = make(map[process]*receiver), make(map[process]time.Time), make(map[process]time.Time)
 	publisher.wake = make(chan struct{}, 1)
-	for lane := range lanes {
-		publisher.pushes[lane], publisher.retries[lane] = make(chan struct{}, pushesAtOnce), make(chan struct{}, retriesAtOnce)
+	for lane := range laneCount {
+		publisher.pushes[lane], publisher.retries[lane] = make(chan struct{}, maxConcurrentPushes), make(chan struct{}, maxConcurrentRetries)
 	}
 	publisher.Clock = clock.OrSteady(publisher.Clock)
 	if publisher.FanOut <= 0 {
@@ -84,15 +85,15 @@
 	}
 }
 
-// Run publishes until the context ends. It says nothing while the metadata store does not answer.
+// Run publishes until the context ends. It sends nothing while the metadata store does not answer.
 func (publisher *Publisher) Run(ctx context.Context) {
-	publisher.prepare()
-	publisher.follow(ctx)
+	publisher.initialize()
+	publisher.watchTopics(ctx)
 	ticker := time.NewTicker(beaconInterval)
 	defer ticker.Stop()
 	for {
-		if publisher.Health.Good() && complete(publisher.Topics) {
-			publisher.round(ctx, publisher.beacon())
+		if publisher.Health.Good() && allRead(publisher.Topics) {
+			publisher.round(ctx, publisher.nextBeacon())
 		}
 		select {
 		case <-ctx.Done():
@@ -103,22 +104,22 @@
 	}
 }
 
-// follow has a round begin, until the context ends, whenever nodes are to know more of a topic than before.
-func (publisher *Publisher) follow(ctx context.Context) {
+// watchTopics requests a round whenever the target revision of a topic advances, until the context ends.
+func (publisher *Publisher) watchTopics(ctx context.Context) {
 	for _, topic := range publisher.Topics {
-		go publisher.followTopic(ctx, topic)
+		go publisher.watchTopic(ctx, topic)
 	}
 }
 
-// followTopic begins rounds for a topic. A relay may be told of a revision, by a beacon, before it has reached it: when it does, it has something to push
-// although nothing may have changed.
-func (publisher *Publisher) followTopic(ctx context.Context, topic Topic) {
+// watchTopic requests rounds for one topic. A relay may receive a beacon that announces a revision before it reaches that revision. When it
+// does, it has something to push even if nothing has changed.
+func (publisher *Publisher) watchTopic(ctx context.Context, topic Topic) {
 	revision := metadata.Revision(0)
 	for {
 		advanced := topic.Advanced()
-		if wanted := publisher.wantedNow(topic); wanted > revision {
+		if wanted := publisher.targetRevision(topic); wanted > revision {
 			revision = wanted
-			publisher.nudge()
+			publisher.requestRound()
 		}
 		select {
 		case <-ctx.Done():
@@ -128,16 +129,16 @@
 	}
 }
 
-// nudge has the next round begin at once.
-func (publisher *Publisher) nudge() {
+// requestRound starts the next round immediately.
+func (publisher *Publisher) requestRound() {
 	select {
 	case publisher.wake <- struct{}{}:
 	default:
 	}
 }
 
-// complete reports whether all topics have been read.
-func complete(topics []Topic) bool {
+// allRead reports whether every topic has been read.
+func allRead(topics []Topic) bool {
 	for _, topic := range topics {
 		if topic.Revision() == 0 {
 			return false
@@ -146,88 +147,89 @@
 	return true
 }
 
-// beacon returns a beacon that is newer than all before, so that relays pass each on once. Only Run calls it.
-func (publisher *Publisher) beacon() *clusterv1.Beacon {
-	publisher.sent = max(publisher.sent+1, publisher.Clock.Elapsed().Microseconds())
+// nextBeacon returns a beacon with a higher timestamp than all before, so that relays pass each beacon on once. Only Run calls it.
+func (publisher *Publisher) nextBeacon() *clusterv1.Beacon {
+	publisher.lastSentUs = max(publisher.lastSentUs+1, publisher.Clock.Elapsed().Microseconds())
 	return &clusterv1.Beacon{
-		Name: publisher.Node, Life: publisher.Life, Relay: publisher.Relay, Term: publisher.Term, Address: publisher.Address, Changed: changedAt(publisher.Topics),
-		SentUs: publisher.sent,
+		Name: publisher.Node, Life: publisher.Life, Relay: publisher.Relay, Term: publisher.Term, Address: publisher.Address, Changed: changedRevisions(publisher.Topics),
+		SentUs: publisher.lastSentUs,
 	}
 }
 
-// origin is the process that reads what is published.
+// origin returns the process that reads the published topics from the store.
 func (publisher *Publisher) origin() process { return process{publisher.Node, publisher.Life} }
 
-// round pushes to whoever lacks something, and sends the beacon, if there is one.
+// round starts the pushes that are due and sends the beacon, if there is one.
 func (publisher *Publisher) round(ctx context.Context, beacon *clusterv1.Beacon) {
 	now := time.Now()
-	publisher.announce(beacon, now)
-	arranged := publisher.arrange(publisher.nodes(), now)
-	for _, due := range publisher.due(arranged.direct, now) {
+	publisher.recordAnnounced(beacon, now)
+	current := publisher.currentTopology(publisher.recipients(), now)
+	for _, due := range publisher.startDuePushes(current.direct, now) {
 		go publisher.push(ctx, due.to, due.lane)
 	}
 	if beacon != nil {
-		publisher.Datagrams.Send(&clusterv1.Datagram{Kind: &clusterv1.Datagram_Beacon{Beacon: beacon}}, publisher.listeners(arranged))
+		publisher.Datagrams.Send(&clusterv1.Datagram{Kind: &clusterv1.Datagram_Beacon{Beacon: beacon}}, publisher.beaconRecipients(current))
 	}
 }
 
-// announce notes what a beacon tells of.
-func (publisher *Publisher) announce(beacon *clusterv1.Beacon, now time.Time) {
+// recordAnnounced records the revisions that a beacon announces.
+func (publisher *Publisher) recordAnnounced(beacon *clusterv1.Beacon, now time.Time) {
 	if beacon == nil {
 		return
 	}
 	publisher.mu.Lock()
 	defer publisher.mu.Unlock()
-	if now.Sub(publisher.spoke) > relaySilence {
-		publisher.resume(now)
+	if now.Sub(publisher.lastBeaconAt) > relayReportTimeout {
+		publisher.resetRelays(now)
 	}
-	publisher.spoke = now
+	publisher.lastBeaconAt = now
 	publisher.announced = make(map[string]metadata.Revision, len(beacon.GetChanged()))
 	for _, changed := range beacon.GetChanged() {
 		publisher.announced[changed.GetPrefix()] = metadata.Revision(changed.GetRevision())
 	}
 }
 
-// resume has relays begin anew after a time without beacons, as an outage of the store is: they may have ended by themselves, and had nothing to
-// answer. It must be called with mu held.
-func (publisher *Publisher) resume(now time.Time) {
-	for _, state := range publisher.receiver {
-		if relay := &state.relay; !relay.since.IsZero() {
-			relay.since, relay.taken, relay.sent = now, 0, 0
+// resetRelays restarts the timeouts of all relays after a period without beacons, such as an outage of the store. Without beacons, relays
+// had nothing to answer, and their assignments may have expired. The caller holds mu.
+func (publisher *Publisher) resetRelays(now time.Time) {
+	for _, state := range publisher.receivers {
+		if relay := &state.relay; !relay.assignedSince.IsZero() {
+			relay.assignedSince, relay.acknowledged, relay.sentNumber = now, 0, 0
 		}
 	}
 }
 
-// wanted returns up to which revision nodes are to know a topic: that of the newest change here, or the one that the beacon tells of if it is
-// known here. A new publisher tells of the revision at which it read all, at which a relay may know of no change. It must be called with mu held.
-func (publisher *Publisher) wanted(topic Topic) metadata.Revision {
+// targetRevisionLocked returns the revision of a topic that nodes have to reach: that of the newest change in this process, or the
+// announced one if this process has reached it. A new publisher announces the revision at which it read the store, and a relay may know of
+// no change at that revision. The caller holds mu.
+func (publisher *Publisher) targetRevisionLocked(topic Topic) metadata.Revision {
 	return max(topic.ChangedAt(), min(topic.Revision(), publisher.announced[topic.Prefix()]))
 }
 
-func (publisher *Publisher) wantedNow(topic Topic) metadata.Revision {
+func (publisher *Publisher) targetRevision(topic Topic) metadata.Revision {
 	publisher.mu.Lock()
 	defer publisher.mu.Unlock()
-	return publisher.wanted(topic)
+	return publisher.targetRevisionLocked(topic)
 }
 
-func (publisher *Publisher) nodes() []*clusterv1.NodeRecord {
+func (publisher *Publisher) recipients() []*clusterv1.NodeRecord {
 	if publisher.Nodes != nil {
 		return publisher.Nodes()
 	}
 	return publisher.Registry.Others()
 }
 
-// Reported takes a relay's answer to a beacon; one to a beacon of another process is not meant.
+// Reported handles a relay's answer to a beacon. It ignores answers to beacons of other origins.
 func (publisher *Publisher) Reported(report *clusterv1.RelayReport) {
 	if originOf(report.GetOrigin()) != publisher.origin() {
 		return
 	}
 	publisher.mu.Lock()
 	defer publisher.mu.Unlock()
-	state := publisher.receiver[process{report.GetNode(), report.GetLife()}]
-	if state == nil || state.relay.since.IsZero() {
+	state := publisher.receivers[process{report.GetNode(), report.GetLife()}]
+	if state == nil || state.relay.assignedSince.IsZero() {
 		return
 	}
-	state.relay.reported, state.relay.taken = time.Now(), max(state.relay.taken, report.GetAssignment())
+	state.relay.lastReport, state.relay.acknowledged = time.Now(), max(state.relay.acknowledged, report.GetAssignment())
 	state.relay.unreached = append(state.relay.unreached, report.GetUnreached()...)
 }
--- a/internal/dissemination/receiver.go
+++ b/internal/dissemination/receiver.go
@@ -8,7 +8,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata"
 )
 
-// process is one life of a node.
+// process identifies one incarnation of a node.
 type process struct {
 	node string
 	life int64
@@ -18,40 +18,39 @@
 	return process{record.GetName(), record.GetLife()}
 }
 
-// receiver is what the publisher knows of a process that it serves itself.
+// receiver is the publisher's state of a process that it serves directly.
 type receiver struct {
 	record *clusterv1.NodeRecord
-	// known is the revision that the process has of the prefix of each topic that it follows, as it told; nil before it has.
+	// known holds the revision of each prefix that the process follows, as it reported; nil before its first response.
 	known map[string]metadata.Revision
-	// unread says that the process could not read an update in the form that it has registered: it is sent plain ones from then on.
-	unread bool
-	// lanes are the pushes to the process.
-	lanes [lanes]laneState
-	relay relayState
+	// plainOnly is true if the process could not read an update in the encoding that it registered. It is sent plain updates from then on.
+	plainOnly bool
+	lanes     [laneCount]laneState
+	relay     relayState
 }
 
-// laneState is what the publisher knows of the pushes to a process in one lane.
+// laneState is the state of the pushes to a process in one lane.
 type laneState struct {
-	pushing bool
-	// pushed is when the last push began, failed whether the last that ended did.
-	pushed time.Time
-	failed bool
+	inProgress bool
+	// lastPush is when the last push began; failed is true if the last push that ended has failed.
+	lastPush time.Time
+	failed   bool
 }
 
-// failed reports whether the process was not brought up to date by the last push of a lane.
+// failed reports whether the last push failed in any lane.
 func (state *receiver) failed() bool {
 	return slices.ContainsFunc(state.lanes[:], func(lane laneState) bool { return lane.failed })
 }
 
-// learn takes what the process tells after a push in a lane. Pushes of a lane follow each other, so that it is the newest word on the lane's own
-// topics; on the others a push beside it may have brought more since. A process that has less than it had is another one at the same address, and
-// has lost the others as well.
-func (state *receiver) learn(topics []Topic, lane lane, told []*clusterv1.PrefixRevision) {
-	revisions := make(map[string]metadata.Revision, len(told))
-	for _, known := range told {
+// recordKnown stores the revisions that a process reports after a push in a lane. Pushes in a lane are sequential, so the report is current
+// for the topics of the lane; for other topics, a concurrent push may have delivered more. A process that reports less than before is a new
+// process at the same address, and has lost the other topics as well.
+func (state *receiver) recordKnown(topics []Topic, lane lane, reported []*clusterv1.PrefixRevision) {
+	revisions := make(map[string]metadata.Revision, len(reported))
+	for _, known := range reported {
 		revisions[known.GetPrefix()] = metadata.Revision(known.GetRevision())
 	}
-	if state.known == nil || state.isAnother(topics, lane, revisions) {
+	if state.known == nil || state.restarted(topics, lane, revisions) {
 		state.known = revisions
 		return
 	}
@@ -62,64 +61,66 @@
 	}
 }
 
-// isAnother reports whether less is known of a lane's topics than before.
-func (state *receiver) isAnother(topics []Topic, lane lane, told map[string]metadata.Revision) bool {
+// restarted reports whether the reported revisions of a lane's topics are lower than before.
+func (state *receiver) restarted(topics []Topic, lane lane, reported map[string]metadata.Revision) bool {
 	return slices.ContainsFunc(topics, func(topic Topic) bool {
-		return topic.lane() == lane && told[topic.Prefix()] < state.known[topic.Prefix()]
+		return topic.lane() == lane && reported[topic.Prefix()] < state.known[topic.Prefix()]
 	})
 }
 
-// lacks reports whether the process follows a topic and has not reached a revision of it. One of a build that does not have the topic never does.
-func (state *receiver) lacks(topic Topic, wanted metadata.Revision) bool {
+// isBehind reports whether the process follows a topic and has not reached a revision of it. A process whose build lacks the topic does not
+// follow it.
+func (state *receiver) isBehind(topic Topic, wanted metadata.Revision) bool {
 	known, follows := state.known[topic.Prefix()]
 	return follows && known < wanted
 }
 
-// form returns the form in which the process is sent updates.
-func (state *receiver) form() form {
-	if state.unread {
+// encoding returns the encoding of updates that are sent to the process.
+func (state *receiver) encoding() encoding {
+	if state.plainOnly {
 		return plain
 	}
-	return formFor(state.record)
+	return encodingFor(state.record)
 }
 
-// relayState is what the publisher knows of a process as a relay.
+// relayState is the publisher's state of a process as a relay.
 type relayState struct {
-	// wanted is what the process is to relay to, sent the number of the assignment that it has taken; zero for none.
-	wanted *clusterv1.Assignment
-	sent   int64
-	// since is when it was first to relay anything; zero for a process that has nothing to.
-	since time.Time
-	// reported is when it last answered a beacon, and taken the newest assignment that it has told of.
-	reported  time.Time
-	taken     int64
-	unreached []string
+	// assignment lists the nodes that the process has to serve; sentNumber is the number of the last delivered assignment, zero for none.
+	assignment *clusterv1.Assignment
+	sentNumber int64
+	// assignedSince is when the process was first assigned nodes; zero if it has none.
+	assignedSince time.Time
+	// lastReport is when the process last answered a beacon; acknowledged is the newest assignment number in its answers.
+	lastReport   time.Time
+	acknowledged int64
+	unreached    []string
 }
 
 const (
-	// relayBegins is how long a process may take to begin to relay: two calls of a push, each within its limit, bring it up to date first.
-	relayBegins = 1200 * time.Millisecond
-	// relaySilence is how long a relay may leave beacons without an answer: it is found at the third beacon, when two in a row were lost or not
-	// answered. The nodes that it serves have another relay 1.2 s after the last beacon then, and read the store 1.5 s after it at the earliest,
-	// but for the first reader of the zone. A link that loses one datagram changes nothing.
-	relaySilence = time.Second
-	// aloneFor is how long a process that was found not to relay, or not to be reached by its relay, is served directly and relays nothing: ten
-	// beacons, so that one that is cut off moves its nodes once in that time and not at each beacon.
-	aloneFor = 4 * time.Second
+	// relayStartTimeout is how long a process may take to start relaying. It covers the calls of the push that first brings the process up
+	// to date.
+	relayStartTimeout = 1200 * time.Millisecond
+	// relayReportTimeout is how long a relay may leave beacons unanswered. It expires at the third beacon when two in a row were lost or
+	// not answered, so that a single lost datagram has no effect. The nodes behind the relay are then assigned another one before any of
+	// them reads the store, except for the first reader of a zone.
+	relayReportTimeout = time.Second
+	// exclusionPeriod is how long a process that did not relay, or that its relay did not reach, is served directly and does not relay. It
+	// spans ten beacons, so that an unreachable process moves its nodes once in that time and not at each beacon.
+	exclusionPeriod = 4 * time.Second
 )
 
-// assign sets the nodes that the process is to relay to, and reports whether these are others than before.
+// assign sets the nodes that the process has to serve, and reports whether they differ from the previous ones.
 func (state *relayState) assign(nodes []*clusterv1.NodeRecord, now time.Time) (changed bool) {
-	if sameNodes(state.wanted.GetNodes(), nodes) {
+	if sameNodes(state.assignment.GetNodes(), nodes) {
 		return false
 	}
-	if state.since.IsZero() {
-		state.since = now
+	if state.assignedSince.IsZero() {
+		state.assignedSince = now
 	}
 	if len(nodes) == 0 {
-		state.since, state.reported, state.taken = time.Time{}, time.Time{}, 0
+		state.assignedSince, state.lastReport, state.acknowledged = time.Time{}, time.Time{}, 0
 	}
-	state.wanted = &clusterv1.Assignment{Number: state.wanted.GetNumber() + 1, Nodes: nodes}
+	state.assignment = &clusterv1.Assignment{Number: state.assignment.GetNumber() + 1, Nodes: nodes}
 	return true
 }
 
@@ -139,21 +140,21 @@
 	return true
 }
 
-// relays reports whether the process has told that it relays to somebody.
-func (state *relayState) relays() bool { return state.taken > 0 }
+// active reports whether the process has acknowledged an assignment.
+func (state *relayState) active() bool { return state.acknowledged > 0 }
 
-// silent reports whether the process relays nothing although it is to.
+// silent reports whether the process has nodes assigned but does not relay.
 func (state *relayState) silent(now time.Time) bool {
 	switch {
-	case state.since.IsZero():
+	case state.assignedSince.IsZero():
 		return false
-	case !state.relays():
-		return now.Sub(state.since) > relayBegins
+	case !state.active():
+		return now.Sub(state.assignedSince) > relayStartTimeout
 	}
-	return now.Sub(state.reported) > relaySilence
+	return now.Sub(state.lastReport) > relayReportTimeout
 }
 
-// unsent reports whether the process has to be told what it is to relay to.
+// unsent reports whether the current assignment has not been delivered yet.
 func (state *relayState) unsent() bool {
-	return state.wanted != nil && state.sent != state.wanted.GetNumber()
+	return state.assignment != nil && state.sentNumber != state.assignment.GetNumber()
 }
--- a/internal/dissemination/relay.go
+++ b/internal/dissemination/relay.go
@@ -13,12 +13,12 @@
 	"github.com/thistlewalk/thistlewalk/internal/telemetry"
 )
 
-// relayLife is how long a node goes on bringing others up to date without a beacon of whoever assigned them to it: longer than it takes until
-// these rely on somebody else (Limits.Silence and Relay, 2 s at most).
-const relayLife = 3 * time.Second
+// assignmentExpiry is how long a node serves an assignment without a beacon of its sender. It exceeds the time after which the assigned
+// nodes turn to another source (the sum of Limits.Silence and Limits.Relay).
+const assignmentExpiry = 3 * time.Second
 
-// Relays has this node relay to others what publishers, or other relays, have it relay: it passes their beacons on at once, and brings the
-// nodes up to date from its own topics. It is safe for concurrent use.
+// Relays serves the nodes that publishers and other relays assign to this node. It forwards the beacons of these senders and pushes updates
+// from this node's own topics. It is safe for concurrent use.
 type Relays struct {
 	Node      string
 	Life      int64
@@ -28,26 +28,27 @@
 	Datagrams *cluster.Datagrams
 	Logger    *log.Logger
 	Metrics   *telemetry.Metrics
-	// FanOut bounds the nodes that are served directly; zero for a default.
+	// FanOut bounds the nodes that are served directly; zero for the default.
 	FanOut int
 
 	mu  sync.Mutex
 	ctx context.Context
-	// relayed is what this node relays, by the process that reads it.
-	relayed map[process]*relayed
-	// last is the newest beacon, and from whom it came: the one before an assignment may say what its nodes are to know.
-	last *clusterv1.Beacon
-	from string
+	// origins holds what this node relays, by origin.
+	origins map[process]*relayedOrigin
+	// lastBeacon is the newest beacon and lastSender the address that it came from. A beacon may arrive before the first assignment of its
+	// sender.
+	lastBeacon *clusterv1.Beacon
+	lastSender string
 }
 
-// Start has the node take assignments until the context ends.
+// Start accepts assignments until the context ends.
 func (relays *Relays) Start(ctx context.Context) {
 	relays.mu.Lock()
 	defer relays.mu.Unlock()
-	relays.ctx, relays.relayed = ctx, make(map[process]*relayed)
+	relays.ctx, relays.origins = ctx, make(map[process]*relayedOrigin)
 }
 
-// Assign takes an assignment. One without nodes ends what this node relays for its sender.
+// Assign handles an assignment. An assignment without nodes ends the relaying for its sender.
 func (relays *Relays) Assign(assignment *clusterv1.Assignment) {
 	relays.mu.Lock()
 	defer relays.mu.Unlock()
@@ -55,7 +56,7 @@
 		return
 	}
 	origin, sender, now := originOf(assignment.GetOrigin()), assignment.GetSender(), time.Now()
-	current := relays.relayed[origin]
+	current := relays.origins[origin]
 	if current != nil && !current.accepts(assignment, now) {
 		relays.Logger.Info("assignment of a former sender", "origin", origin.node, "sender", sender, "assignment", assignment.GetNumber())
 		return
@@ -63,7 +64,7 @@
 	relays.Logger.Info("relaying", "origin", origin.node, "sender", sender, "assignment", assignment.GetNumber(), "nodes", len(assignment.GetNodes()))
 	if len(assignment.GetNodes()) == 0 {
 		if current != nil {
-			relays.forget(origin, current)
+			relays.remove(origin, current)
 		}
 		return
 	}
@@ -71,94 +72,94 @@
 		current = relays.begin(origin)
 	}
 	current.assign(assignment, now)
-	if relays.last != nil && relays.from == sender && beaconOrigin(relays.last) == origin {
-		current.hear(relays.last, sender, now)
+	if relays.lastBeacon != nil && relays.lastSender == sender && beaconOrigin(relays.lastBeacon) == origin {
+		current.receiveBeacon(relays.lastBeacon, sender, now)
 	}
-	current.publisher.nudge()
+	current.publisher.requestRound()
 }
 
-// begin must be called with mu held.
-func (relays *Relays) begin(origin process) *relayed {
+// begin starts relaying for an origin. The caller holds mu.
+func (relays *Relays) begin(origin process) *relayedOrigin {
 	ctx, stop := context.WithCancel(relays.ctx)
-	created := &relayed{stop: stop}
+	created := &relayedOrigin{stop: stop}
 	created.publisher = &Publisher{
-		Node: origin.node, Life: origin.life, Topics: unpaced(relays.Topics), Registry: relays.Registry, Nodes: created.nodes, Tree: created.tree,
+		Node: origin.node, Life: origin.life, Topics: withoutPace(relays.Topics), Registry: relays.Registry, Nodes: created.nodes, TreeVersion: created.treeVersion,
 		Address: relays.Address, Datagrams: relays.Datagrams, Logger: relays.Logger, Metrics: relays.Metrics, FanOut: relays.FanOut,
 	}
-	created.publisher.prepare()
-	created.publisher.follow(ctx)
-	relays.relayed[origin] = created
+	created.publisher.initialize()
+	created.publisher.watchTopics(ctx)
+	relays.origins[origin] = created
 	go relays.run(ctx, origin, created)
 	return created
 }
 
-// forget must be called with mu held.
-func (relays *Relays) forget(origin process, served *relayed) {
-	served.stop()
-	if relays.relayed[origin] == served {
+// remove stops relaying for an origin. The caller holds mu.
+func (relays *Relays) remove(origin process, relayed *relayedOrigin) {
+	relayed.stop()
+	if relays.origins[origin] == relayed {
 		relays.Logger.Info("relaying ended", "origin", origin.node)
-		delete(relays.relayed, origin)
+		delete(relays.origins, origin)
 	}
 }
 
-// run brings nodes up to date until the context ends, or nothing is heard of whoever assigned them.
-func (relays *Relays) run(ctx context.Context, origin process, served *relayed) {
-	ticker := time.NewTicker(relayLife)
+// run pushes to the assigned nodes until the context ends or the assignment expires.
+func (relays *Relays) run(ctx context.Context, origin process, relayed *relayedOrigin) {
+	ticker := time.NewTicker(assignmentExpiry)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-served.publisher.wake:
-			served.publisher.round(ctx, served.takeBeacon())
+		case <-relayed.publisher.wake:
+			relayed.publisher.round(ctx, relayed.takePendingBeacon())
 		case <-ticker.C:
 		}
-		if relays.ended(origin, served) {
+		if relays.removeExpired(origin, relayed) {
 			return
 		}
 	}
 }
 
-// ended forgets what nobody has this node relay any more, and reports whether that is so.
-func (relays *Relays) ended(origin process, served *relayed) bool {
+// removeExpired removes an origin whose sender has been silent for assignmentExpiry, and reports whether it did.
+func (relays *Relays) removeExpired(origin process, relayed *relayedOrigin) bool {
 	relays.mu.Lock()
 	defer relays.mu.Unlock()
-	if served.heardLately(time.Now()) {
+	if relayed.senderActive(time.Now()) {
 		return false
 	}
-	relays.forget(origin, served)
+	relays.remove(origin, relayed)
 	return true
 }
 
-// Heard takes a beacon: one from a sender for whom this node relays is passed on and answered.
+// Heard handles a beacon. A beacon of a sender for which this node relays is forwarded and answered with a report.
 func (relays *Relays) Heard(beacon *clusterv1.Beacon, from net.Addr) {
 	if from == nil {
 		return
 	}
 	relays.mu.Lock()
-	relays.last, relays.from = beacon, from.String()
-	served := relays.relayed[beaconOrigin(beacon)]
+	relays.lastBeacon, relays.lastSender = beacon, from.String()
+	relayed := relays.origins[beaconOrigin(beacon)]
 	relays.mu.Unlock()
-	if served == nil {
+	if relayed == nil {
 		return
 	}
-	assignment := served.hear(beacon, from.String(), time.Now())
+	assignment := relayed.receiveBeacon(beacon, from.String(), time.Now())
 	if assignment == nil {
 		return
 	}
-	served.publisher.nudge()
+	relayed.publisher.requestRound()
 	report := &clusterv1.RelayReport{
-		Node: relays.Node, Life: relays.Life, Assignment: assignment.GetNumber(), Origin: assignment.GetOrigin(), Unreached: served.publisher.unreached(),
+		Node: relays.Node, Life: relays.Life, Assignment: assignment.GetNumber(), Origin: assignment.GetOrigin(), Unreached: relayed.publisher.unreached(),
 	}
 	relays.Datagrams.SendTo(&clusterv1.Datagram{Kind: &clusterv1.Datagram_RelayReport{RelayReport: report}}, from)
 }
 
-// Reported takes the answer of a relay to which this node has given some of its nodes.
+// Reported handles the report of a relay to which this node has assigned nodes.
 func (relays *Relays) Reported(report *clusterv1.RelayReport) {
 	relays.mu.Lock()
-	served := relays.relayed[originOf(report.GetOrigin())]
+	relayed := relays.origins[originOf(report.GetOrigin())]
 	relays.mu.Unlock()
-	if served != nil {
-		served.publisher.Reported(report)
+	if relayed != nil {
+		relayed.publisher.Reported(report)
 	}
 }
--- a/internal/dissemination/relays_test.go
+++ b/internal/dissemination/relays_test.go
@@ -9,29 +9,28 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata"
 )
 
-// relaysInLine returns a relay that the publisher has assigned nodes, and one below it that the first has.
-func (fleet *fleet) relaysInLine(nodes int) (upper, lower *node) {
+// stackedRelays returns a relay of the publisher and a relay below it.
+func (fleet *fleet) stackedRelays(nodes int) (upper, lower *node) {
 	for index := range nodes {
-		below := fleet.at(address(index)).lastAssigned()
-		if below == nil || below.GetSender() == address(publisherAt) {
+		below := fleet.nodeAt(address(index)).lastAssigned()
+		if below == nil || below.GetSender() == address(publisherIndex) {
 			continue
 		}
-		above := fleet.at(below.GetSender())
-		if assigned := above.lastAssigned(); assigned != nil && assigned.GetSender() == address(publisherAt) {
-			return above, fleet.at(address(index))
+		above := fleet.nodeAt(below.GetSender())
+		if assigned := above.lastAssigned(); assigned != nil && assigned.GetSender() == address(publisherIndex) {
+			return above, fleet.nodeAt(address(index))
 		}
 	}
 	return nil, nil
 }
 
-// without returns the nodes without one of some others.
-func without(nodes, others []*clusterv1.NodeRecord) []*clusterv1.NodeRecord {
+// withoutFirst returns nodes without the first of others.
+func withoutFirst(nodes, others []*clusterv1.NodeRecord) []*clusterv1.NodeRecord {
 	return slices.DeleteFunc(slices.Clone(nodes), func(node *clusterv1.NodeRecord) bool { return node.GetName() == others[0].GetName() })
 }
 
-// A relay whose place in the tree changed relays for a while for two senders, and each of its two publishers assigned nodes to the relays below
-// it, which took the one for the other: nodes of the first were served by nobody from then on, and read the store for ever. A relay has one sender at a
-// time now, and one that is given up for a former one is found silent, and assigned anew.
+// Guards against a relay that serves its former and its new sender at the same time: lower relays would receive conflicting assignments,
+// and nodes would be left unserved.
 func TestRelayOfTwoSenders(t *testing.T) {
 	for _, change := range []int64{-1, 0, 1} { // the sender goes by an older, the same or a newer tree
 		testTwoSenders(t, change)
@@ -46,20 +45,20 @@
 		_, _ = fleet.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: "servers/1"}}})
 		fleet.startAll(nodes)
 		time.Sleep(8 * time.Second)
-		upper, lower := fleet.relaysInLine(nodes)
+		upper, lower := fleet.stackedRelays(nodes)
 		if upper == nil {
 			fleet.fail("no relay below another one")
 			return
 		}
 		assigned := upper.lastAssigned()
 		upper.relays.Assign(&clusterv1.Assignment{
-			Number: 1, Sender: address(publisherAt + 5), Origin: assigned.GetOrigin(), TreeUs: assigned.GetTreeUs() + change, Nodes: without(assigned.GetNodes(), lower.lastAssigned().GetNodes()),
+			Number: 1, Sender: address(publisherIndex + 5), Origin: assigned.GetOrigin(), TreeUs: assigned.GetTreeUs() + change, Nodes: withoutFirst(assigned.GetNodes(), lower.lastAssigned().GetNodes()),
 		})
 		time.Sleep(8 * time.Second)
 		for range 30 {
 			time.Sleep(100 * time.Millisecond)
 			for index := range nodes {
-				if fleet.at(address(index)).subscriber.Doubts(time.Now()) {
+				if fleet.nodeAt(address(index)).subscriber.Doubts(time.Now()) {
 					fleet.fail("node %d hears no beacon after an assignment %+d", index, change)
 				}
 			}
--- a/internal/dissemination/scale_test.go
+++ b/internal/dissemination/scale_test.go
@@ -12,41 +12,41 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata/memstore"
 )
 
-// burden is what the publisher, and the busiest of the other nodes, sent in a time.
-type burden struct{ calls, bytes, datagrams int64 }
+// load is what one node sends in a phase, or the maximum over several nodes.
+type load struct{ calls, bytes, datagrams int64 }
 
-func (traffic *traffic) sum() burden {
-	return burden{traffic.calls.Load(), traffic.bytes.Load(), traffic.datagrams.Load()}
+func (traffic *sentCounts) load() load {
+	return load{traffic.calls.Load(), traffic.bytes.Load(), traffic.datagrams.Load()}
 }
 
-func (after burden) minus(before burden) burden {
-	return burden{after.calls - before.calls, after.bytes - before.bytes, after.datagrams - before.datagrams}
+func (after load) minus(before load) load {
+	return load{after.calls - before.calls, after.bytes - before.bytes, after.datagrams - before.datagrams}
 }
 
-func (burden burden) most(other burden) burden {
+func (burden load) max(other load) load {
 	burden.calls, burden.bytes, burden.datagrams = max(burden.calls, other.calls), max(burden.bytes, other.bytes), max(burden.datagrams, other.datagrams)
 	return burden
 }
 
-// burdens is what nodes sent in the phases of a play.
-type burdens struct {
-	publisher, busiest map[string]burden
-	// took is how long a change took to reach all nodes.
+// phaseLoads holds the loads of the publisher and of the other nodes, by phase.
+type phaseLoads struct {
+	publisher, busiest map[string]load
+	// took is how long a change took to reach all nodes, by phase.
 	took map[string]time.Duration
 }
 
-// measure plays a phase and notes what was sent in it.
-func (burdens *burdens) measure(fleet *fleet, publisher *node, nodes int, phase string, play func()) {
-	before := make([]burden, nodes)
+// measure runs a phase and records the loads in it.
+func (burdens *phaseLoads) measure(fleet *fleet, publisher *node, nodes int, phase string, play func()) {
+	before := make([]load, nodes)
 	for index := range nodes {
-		before[index] = fleet.at(address(index)).sent.sum()
+		before[index] = fleet.nodeAt(address(index)).sent.load()
 	}
-	own := publisher.sent.sum()
+	own := publisher.sent.load()
 	play()
-	burdens.publisher[phase] = publisher.sent.sum().minus(own)
-	busiest := burden{}
+	burdens.publisher[phase] = publisher.sent.load().minus(own)
+	busiest := load{}
 	for index := range nodes {
-		busiest = busiest.most(fleet.at(address(index)).sent.sum().minus(before[index]))
+		busiest = busiest.max(fleet.nodeAt(address(index)).sent.load().minus(before[index]))
 	}
 	burdens.busiest[phase] = busiest
 }
@@ -58,9 +58,9 @@
 	phaseRelay  = "a change as a relay dies"
 )
 
-// playScale has a fleet of some size begin, rest, and learn of changes.
-func playScale(t *testing.T, nodes int) burdens {
-	measured := burdens{publisher: make(map[string]burden), busiest: make(map[string]burden), took: make(map[string]time.Duration)}
+// playScale starts a fleet, leaves it idle, and applies changes.
+func playScale(t *testing.T, nodes int) phaseLoads {
+	measured := phaseLoads{publisher: make(map[string]load), busiest: make(map[string]load), took: make(map[string]time.Duration)}
 	failure := runFleet(t, func(fleet *fleet) {
 		fleet.fanOut = 0 // as in service
 		publisher := fleet.startPublisher()
@@ -72,11 +72,11 @@
 		measured.measure(fleet, publisher, nodes, phaseStart, func() { time.Sleep(4 * time.Second) })
 		fleet.check(nodes, time.Now().Add(-time.Minute))
 		measured.measure(fleet, publisher, nodes, phaseCalm, func() { time.Sleep(5 * time.Second) })
-		measured.measure(fleet, publisher, nodes, phaseChange, func() { measured.took[phaseChange] = fleet.spread(nodes) })
+		measured.measure(fleet, publisher, nodes, phaseChange, func() { measured.took[phaseChange] = fleet.timeChange(nodes) })
 		time.Sleep(time.Second)
 		measured.measure(fleet, publisher, nodes, phaseRelay, func() {
-			fleet.busiest(nodes).set(true, true)
-			measured.took[phaseRelay] = fleet.spread(nodes)
+			fleet.busiestNode(nodes).setFaults(true, true)
+			measured.took[phaseRelay] = fleet.timeChange(nodes)
 		})
 	})
 	if failure != "" {
@@ -86,27 +86,27 @@
 	return measured
 }
 
-// busiest returns the node that has sent the most datagrams: one that relays.
-func (fleet *fleet) busiest(nodes int) *node {
-	best := fleet.at(address(0))
+// busiestNode returns the node that has sent the most datagrams, which is a relay.
+func (fleet *fleet) busiestNode(nodes int) *node {
+	best := fleet.nodeAt(address(0))
 	for index := range nodes {
-		if node := fleet.at(address(index)); node.sent.datagrams.Load() > best.sent.datagrams.Load() {
+		if node := fleet.nodeAt(address(index)); node.sent.datagrams.Load() > best.sent.datagrams.Load() {
 			best = node
 		}
 	}
 	return best
 }
 
-// spread writes a configuration and returns how long it took to reach all nodes but those that are cut off.
-func (fleet *fleet) spread(nodes int) time.Duration {
+// timeChange writes a configuration and returns how long it takes to reach all nodes that are not isolated.
+func (fleet *fleet) timeChange(nodes int) time.Duration {
 	fleet.configure()
 	written := time.Now()
 	for ; time.Since(written) < inForce; time.Sleep(10 * time.Millisecond) {
 		late := 0
 		for index := range nodes {
-			node := fleet.at(address(index))
+			node := fleet.nodeAt(address(index))
 			node.mu.Lock()
-			if !node.deaf && node.version < int64(len(fleet.versions)) {
+			if !node.isolated && node.version < int64(len(fleet.written)) {
 				late++
 			}
 			node.mu.Unlock()
@@ -119,45 +119,44 @@
 	return inForce
 }
 
-// What the publisher sends does not grow as the fleet does, and neither does what the busiest relay sends: the publisher used to call every node
-// at each change, and to send a beacon to each. A start costs
-// the publisher a few calls for each relay and a few datagrams for each node, whatever the moments at which these register.
+// Guards against a load on the publisher or on a relay that grows with the fleet in the idle state and during changes, and against a start
+// that costs the publisher more than a few calls for each relay and a few datagrams for each node.
 func TestBurdenOfPublisherIsBounded(t *testing.T) {
 	const most = 1200
 	many := playScale(t, most)
 	for _, size := range []int{100, 300, 600} {
 		few, factor := playScale(t, size), float64(most)/float64(size)
 		for _, phase := range []string{phaseCalm, phaseChange, phaseRelay} {
-			must.LessEq(t, mostGrowth, grown(few.publisher[phase], many.publisher[phase], factor), must.Sprint("publisher from ", size, ", ", phase))
-			must.LessEq(t, mostGrowth, grown(few.busiest[phase], many.busiest[phase], factor), must.Sprint("busiest node from ", size, ", ", phase))
+			must.LessEq(t, maxGrowthExponent, growthExponent(few.publisher[phase], many.publisher[phase], factor), must.Sprint("publisher from ", size, ", ", phase))
+			must.LessEq(t, maxGrowthExponent, growthExponent(few.busiest[phase], many.busiest[phase], factor), must.Sprint("busiest node from ", size, ", ", phase))
 		}
 	}
-	must.LessEq(t, mostCallsOfStart, many.publisher[phaseStart].calls)
-	must.LessEq(t, mostDatagramsOfStart*most, many.publisher[phaseStart].datagrams)
+	must.LessEq(t, maxStartCalls, many.publisher[phaseStart].calls)
+	must.LessEq(t, maxStartDatagramsPerNode*most, many.publisher[phaseStart].datagrams)
 	must.LessEq(t, 100*time.Millisecond, many.took[phaseChange])
 	must.LessEq(t, 1200*time.Millisecond, many.took[phaseRelay])
 }
 
 const (
-	// mostCallsOfStart is eight calls for each of 32 relays: each is asked what it has, brought up to date, and told of its nodes as they come.
-	mostCallsOfStart = 8 * 32
-	// mostDatagramsOfStart is how many beacons a node may be sent by the publisher itself before its relay relays.
-	mostDatagramsOfStart = 6
+	// maxStartCalls allows eight calls for each of 32 relays: the request for its revisions, the updates, and its assignments while nodes
+	// join.
+	maxStartCalls = 8 * 32
+	// maxStartDatagramsPerNode is the number of beacons that the publisher may send to a node itself before the node's relay is active.
+	maxStartDatagramsPerNode = 6
 )
 
-// mostGrowth is the power in the number of nodes with which calls, bytes and datagrams may grow.
-const mostGrowth = 1.1
+// maxGrowthExponent bounds the exponent with which calls, bytes and datagrams may grow with the number of nodes.
+const maxGrowthExponent = 1.1
 
-// grown returns the power with which the most grown of the figures grows as the nodes become more by a factor.
-func grown(few, many burden, factor float64) float64 {
+// growthExponent returns the largest growth exponent of the counts while the number of nodes grows by factor.
+func growthExponent(few, many load, factor float64) float64 {
 	power := func(few, many int64) float64 {
 		return math.Log(float64(max(many, 1))/float64(max(few, 1))) / math.Log(factor)
 	}
 	return max(power(few.calls, many.calls), power(few.bytes, many.bytes), power(few.datagrams, many.datagrams))
 }
 
-// A new publisher has read all at a revision that no node has told of, and knows of no change since. Nodes behind relays, which lack nothing,
-// learn so from these: each of them read the store, four calls in 1.5 s, while the relay had no change to push either.
+// Guards against nodes behind relays that read the store when a new publisher announces a revision without a change since the last one.
 func TestNewPublisherLeavesNobodyBehindRelays(t *testing.T) {
 	const nodes = 200
 	failure := runFleet(t, func(fleet *fleet) {
@@ -173,12 +172,12 @@
 		for range 40 {
 			time.Sleep(100 * time.Millisecond)
 			for index := range nodes {
-				if fleet.at(address(index)).subscriber.Doubts(time.Now()) {
+				if fleet.nodeAt(address(index)).subscriber.Doubts(time.Now()) {
 					fleet.fail("node %d reads the store", index)
 				}
 			}
 		}
-		took := fleet.spread(nodes)
+		took := fleet.timeChange(nodes)
 		if took > 100*time.Millisecond {
 			fleet.fail("a change took %s", took)
 		}
@@ -188,8 +187,7 @@
 	}
 }
 
-// An outage of the store silences the publisher for longer than relays relay without it. Once it is over nobody reads the store, whatever the
-// number of nodes: the publisher goes on where it was.
+// Guards against nodes that read the store after an outage of the store that lasted longer than relays serve without beacons.
 func TestOutageLeavesNobodyBehind(t *testing.T) {
 	calls := func(nodes int, outage time.Duration) (after int) {
 		failure := runFleet(t, func(fleet *fleet) {
@@ -207,7 +205,7 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 			after = fleet.store.Calls() - before
-			if took := fleet.spread(nodes); took > 200*time.Millisecond {
+			if took := fleet.timeChange(nodes); took > 200*time.Millisecond {
 				fleet.fail("a change took %s", took)
 			}
 		})
@@ -223,6 +221,5 @@
 	}
 }
 
-// callsAfterOutage is how many calls the publisher's own watches and probes make in the time after an outage, 18 to 21 as counted; each node
-// makes one probe.
+// callsAfterOutage allows the publisher's own watches and probes after an outage. Each node makes one probe in addition.
 const callsAfterOutage = 40
--- a/internal/dissemination/starts_test.go
+++ b/internal/dissemination/slow_machines_test.go
@@ -7,27 +7,27 @@
 	"github.com/shoenig/test/must"
 )
 
-// As TestStartsBesideChangesCostTheStoreLittle, on machines that take all replicas in just less than a push may last. Relays that had begun themselves had
-// nothing to pass on until then, so that the nodes behind them waited twice as long, and read the store: 1,144 to 1,180 calls.
+// Guards against restarted processes on slow machines that are chosen as relays before they have loaded all replicas, so that the nodes
+// behind them read the store.
 func TestStartsOnWeakMachinesCostTheStoreLittle(t *testing.T) {
 	const nodes, replicas = 600, 1000
 	failure := runFleet(t, func(fleet *fleet) {
-		fleet.fanOut, fleet.takes = 0, 550*time.Millisecond
+		fleet.fanOut, fleet.loadTime = 0, 550*time.Millisecond
 		fleet.startPublisher()
 		fleet.configure()
-		fleet.register(replicas)
+		fleet.registerReplicas(replicas)
 		fleet.startAll(nodes)
 		time.Sleep(8 * time.Second)
-		before := fleet.asked()
-		fleet.restart(nodes, 2, 500*time.Millisecond)
+		before := fleet.storeCalls()
+		fleet.restartEach(nodes, 2, 500*time.Millisecond)
 		for range 16 {
 			fleet.configure()
 			time.Sleep(250 * time.Millisecond)
 		}
 		time.Sleep(6 * time.Second)
-		asked := fleet.asked() - before
+		asked := fleet.storeCalls() - before
 		t.Logf("%d calls", asked)
-		if most := int64(nodes/2*callsOfRestart + callsOfReaders); asked > most {
+		if most := int64(nodes/2*callsPerRestart + callsOfZoneReaders); asked > most {
 			fleet.fail("%d calls, %d are allowed", asked, most)
 		}
 	})
--- a/internal/dissemination/snapshot.go
+++ b/internal/dissemination/snapshot.go
@@ -16,23 +16,22 @@
 )
 
 const (
-	// snapshotTries is how many neighbours a node asks: with 55 of 100 processes killed at a time, none of four knows anything in 9 of 100 cases.
-	snapshotTries = 4
-	// snapshotLimit bounds one of the calls. Packing 10,000 entries takes 13 ms of a core (BenchmarkSnapshot), of which the weakest machines have
-	// a fifth; a neighbour that does not answer costs the time that reading the store takes.
-	snapshotLimit = 400 * time.Millisecond
-	// snapshotsLimit bounds all of the calls together: callers get 503 until the replicas are known, and neighbours that are dark would cost 1.6 s. Two of
-	// them leave as much time as reading the store takes.
-	snapshotsLimit = 2 * snapshotLimit
-	// neighboursWait bounds the wait for the registry: five pages at 985 nodes, 4 ms each.
-	neighboursWait = 500 * time.Millisecond
+	// maxSnapshotAttempts bounds the neighbours that a node asks. When many processes restart at the same time, several neighbours have no
+	// data.
+	maxSnapshotAttempts = 4
+	// snapshotCallTimeout bounds one call. A neighbour that does not answer costs about as much time as reading the store.
+	snapshotCallTimeout = 400 * time.Millisecond
+	// snapshotTimeout bounds all calls together. Callers get 503 until the replicas are known, so unresponsive neighbours must not delay a
+	// start for long.
+	snapshotTimeout = 2 * snapshotCallTimeout
+	// registryTimeout bounds the wait for the registry.
+	registryTimeout = 500 * time.Millisecond
 )
 
-// Snapshots has a node that reads the metadata store itself, and knows nothing of a large topic yet, take it from a neighbour, and read from the
-// store only what has changed since. Listing 10,001 entries takes 51 calls; with half of 835 nodes started at a time while nobody publishes,
-// 21,000 of them, where the store answers 16,000 a second.
+// Snapshots copies a large topic from a neighbour when a node reads the metadata store itself and has no data of the topic yet. The node
+// then reads only later changes from the store, which cannot serve full listings to many nodes that start at the same time.
 type Snapshots struct {
-	// Topic is what is taken, Nodes the registry's own topic, without which no neighbour is known.
+	// Topic is the topic to copy. Nodes is the topic of the registry, which lists the neighbours.
 	Topic, Nodes Topic
 	Registry     *cluster.Registry
 	Logger       *log.Logger
@@ -42,28 +41,28 @@
 	unpacker unpacker
 }
 
-// Take asks neighbours until one has told what it knows, and reports whether the topic is known then.
+// Take asks neighbours until one of them returns a snapshot, and reports whether the topic has data afterwards.
 func (snapshots *Snapshots) Take(ctx context.Context) bool {
-	if !snapshots.awaitNeighbours(ctx) {
+	if !snapshots.awaitRegistry(ctx) {
 		return snapshots.Topic.Revision() > 0
 	}
 	neighbours := slices.DeleteFunc(slices.Clone(snapshots.Registry.Neighbours()), func(neighbour *clusterv1.NodeRecord) bool {
 		return !capability.Has(neighbour, clusterv1.Capability_CAPABILITY_SNAPSHOTS)
 	})
-	ctx, cancel := context.WithTimeout(ctx, snapshotsLimit)
+	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
 	rand.Shuffle(len(neighbours), func(a, b int) { neighbours[a], neighbours[b] = neighbours[b], neighbours[a] })
-	for _, neighbour := range neighbours[:min(len(neighbours), snapshotTries)] {
-		if ctx.Err() != nil || snapshots.Topic.Revision() > 0 || snapshots.takeFrom(ctx, neighbour) {
+	for _, neighbour := range neighbours[:min(len(neighbours), maxSnapshotAttempts)] {
+		if ctx.Err() != nil || snapshots.Topic.Revision() > 0 || snapshots.fetchFrom(ctx, neighbour) {
 			break
 		}
 	}
 	return snapshots.Topic.Revision() > 0
 }
 
-// awaitNeighbours waits until the registry is known.
-func (snapshots *Snapshots) awaitNeighbours(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, neighboursWait)
+// awaitRegistry waits until the registry has been read, and reports whether it has.
+func (snapshots *Snapshots) awaitRegistry(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
 	for {
 		changed := snapshots.Nodes.Changed()
@@ -78,16 +77,16 @@
 	}
 }
 
-// takeFrom reports whether a neighbour has told what it knows.
-func (snapshots *Snapshots) takeFrom(ctx context.Context, neighbour *clusterv1.NodeRecord) bool {
+// fetchFrom copies the topic from a neighbour, and reports whether the neighbour returned a readable snapshot.
+func (snapshots *Snapshots) fetchFrom(ctx context.Context, neighbour *clusterv1.NodeRecord) bool {
 	started := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, snapshotLimit)
+	ctx, cancel := context.WithTimeout(ctx, snapshotCallTimeout)
 	defer cancel()
 	prefix := snapshots.Topic.Prefix()
 	response, err := snapshots.Registry.ClientOf(neighbour).Snapshot(ctx, &clusterv1.SnapshotRequest{Prefix: prefix, Capabilities: capability.Own()})
 	if err == nil && response.GetUpdate() == nil {
 		snapshots.Metrics.Snapshot("unknown")
-		snapshots.Logger.Info("snapshot not known", "prefix", prefix, "from", neighbour.GetName(), "took_ms", time.Since(started).Milliseconds())
+		snapshots.Logger.Info("neighbour has no snapshot", "prefix", prefix, "from", neighbour.GetName(), "took_ms", time.Since(started).Milliseconds())
 		return false
 	}
 	var update *clusterv1.PrefixUpdate
@@ -106,13 +105,13 @@
 	return true
 }
 
-// Snapshot tells a neighbour all that this node knows of a prefix.
+// Snapshot returns all items of a prefix that this node has.
 func (subscriber *Subscriber) Snapshot(_ context.Context, request *clusterv1.SnapshotRequest) (*clusterv1.SnapshotResponse, error) {
 	for _, topic := range subscriber.Topics {
 		if topic.Prefix() != request.GetPrefix() || topic.Revision() == 0 {
 			continue
 		}
-		update, err := subscriber.updates.of(topic, nothingKnown, topic.ChangedAt(), formFor(request))
+		update, err := subscriber.updates.get(topic, noRevision, topic.ChangedAt(), encodingFor(request))
 		if err != nil {
 			subscriber.Logger.Error("update not encoded", "prefix", topic.Prefix(), "error", err)
 			return nil, err
@@ -122,5 +121,5 @@
 	return &clusterv1.SnapshotResponse{}, nil
 }
 
-// nothingKnown is the base of a difference that holds everything.
-const nothingKnown = metadata.Revision(0)
+// noRevision is the base of a difference that holds everything.
+const noRevision = metadata.Revision(0)
--- a/internal/dissemination/snapshot_test.go
+++ b/internal/dissemination/snapshot_test.go
@@ -14,26 +14,26 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata"
 )
 
-// A node that begins while nobody publishes takes the replicas from a neighbour; one that reaches no other reads them from the store.
+// Guards against a start without a publisher that lists all replicas from the store although a neighbour has them.
 func TestSnapshotsOfNeighbours(t *testing.T) {
-	const nodes, replicas = 9, 10 * itemsOfPage
+	const nodes, replicas = 9, 10 * itemsPerPage
 	for _, alone := range []bool{false, true} {
 		failure := runFleet(t, func(fleet *fleet) {
 			publisher := fleet.startPublisher()
 			fleet.configure()
-			fleet.register(replicas)
+			fleet.registerReplicas(replicas)
 			fleet.startAll(nodes)
 			time.Sleep(4 * time.Second)
 			publisher.stop()
 			for index := range nodes {
-				fleet.at(address(index)).set(alone, false)
+				fleet.nodeAt(address(index)).setFaults(alone, false)
 			}
-			fleet.at(address(0)).stop()
+			fleet.nodeAt(address(0)).stop()
 			fleet.start(0, false)
 			time.Sleep(2500 * time.Millisecond)
-			begun := fleet.at(address(0))
+			begun := fleet.nodeAt(address(0))
 			must.Eq(t, replicas, begun.subscriber.Topics[1].Count())
-			must.Eq(t, alone, begun.sent.asked.Load() > replicas/itemsOfPage, must.Sprint(begun.sent.asked.Load(), " calls"))
+			must.Eq(t, alone, begun.sent.storeCalls.Load() > replicas/itemsPerPage, must.Sprint(begun.sent.storeCalls.Load(), " calls"))
 			_, _ = fleet.store.CommitDirectly(registration("servers/new"))
 			time.Sleep(time.Second)
 			must.Eq(t, replicas+1, begun.subscriber.Topics[1].Count(), must.Sprint("it goes on from there"))
@@ -42,18 +42,18 @@
 	}
 }
 
-// Neighbours that are dark hold up a start for 0.8 s at most, all together; asking four of them took 1.6 s.
+// Guards against unresponsive neighbours that delay a start for longer than the total limit of 0.8 s.
 func TestDarkNeighboursHoldUpAStartForALimitedTime(t *testing.T) {
 	failure := runFleet(t, func(fleet *fleet) {
 		fleet.startPublisher()
 		fleet.configure()
-		fleet.register(1)
+		fleet.registerReplicas(1)
 		fleet.startAll(15) // five of each zone
 		time.Sleep(4 * time.Second)
 		for index := range 15 {
-			fleet.at(address(index)).set(index != 0, false)
+			fleet.nodeAt(address(index)).setFaults(index != 0, false)
 		}
-		begun := fleet.at(address(0))
+		begun := fleet.nodeAt(address(0))
 		unknown := dissemination.Topic{Mirror: metadata.NewMirror("servers/", metadata.Handlers{})}
 		snapshots := &dissemination.Snapshots{Topic: unknown, Nodes: begun.subscriber.Topics[2], Registry: begun.registry, Logger: log.New(io.Discard)}
 		must.Eq(t, cluster.Prefix, snapshots.Nodes.Prefix())
--- a/internal/dissemination/spread_test.go
+++ b/internal/dissemination/spread_test.go
@@ -9,7 +9,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata"
 )
 
-// Whatever becomes of the publisher, a node that the store answers has each configuration in time, and none goes back.
+// Guards against nodes that receive a configuration late or return to an older one, whatever happens to the publisher.
 func TestChangesReachEveryNodeInTime(t *testing.T) {
 	rapid.Check(t, func(drawn *rapid.T) {
 		nodes := rapid.IntRange(3, 12).Draw(drawn, "nodes")
@@ -20,7 +20,7 @@
 	})
 }
 
-// With a publisher, the calls of all nodes are as many as their starts, beside those of the publisher: none watches or lists.
+// Guards against nodes that watch or list the store although there is a publisher: only their registrations may cost calls.
 func TestFleetAsksTheStoreOncePerStart(t *testing.T) {
 	calls := func(nodes int) (calm, rolled int) {
 		failure := runFleet(t, func(fleet *fleet) {
@@ -33,7 +33,7 @@
 			time.Sleep(10 * time.Second)
 			calm = fleet.store.Calls() - before
 			for index := range nodes {
-				fleet.at(address(index)).stop()
+				fleet.nodeAt(address(index)).stop()
 				fleet.start(index, false)
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -56,7 +56,7 @@
 	}
 }
 
-// Histories that failed once.
+// Replays histories that failed before.
 func TestFailedFleetHistories(t *testing.T) {
 	cases := []struct {
 		cause string
@@ -78,8 +78,8 @@
 	}
 }
 
-// A publisher that was cut from the store, and superseded, comes back for a moment after it has read all again: nobody lacks anything
-// because of that, and nobody reads the store for ever after.
+// Guards against nodes that read the store because a superseded publisher, which was cut off from the store, announces a newer revision for
+// a moment.
 func TestFormerPublisherLeavesNobodyBehind(t *testing.T) {
 	failure := runFleet(t, func(fleet *fleet) {
 		former := fleet.startPublisher()
@@ -87,21 +87,21 @@
 		_, _ = fleet.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: "servers/1"}}})
 		fleet.startAll(12)
 		time.Sleep(3 * time.Second)
-		former.set(true, true)
+		former.setFaults(true, true)
 		fleet.mu.Lock()
-		fleet.nodes[address(publisherAt+1)] = former // its successor takes its address in the fleet
+		fleet.nodes[address(publisherIndex+1)] = former // its successor takes its address in the fleet
 		fleet.mu.Unlock()
 		fleet.startPublisher()
 		fleet.configure()
 		time.Sleep(4 * time.Second)
 		fleet.store.Compact()
 		_, _ = fleet.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: "unrelated"}}})
-		former.set(false, false)
+		former.setFaults(false, false)
 		time.Sleep(150 * time.Millisecond)
 		former.stop()
 		time.Sleep(3 * time.Second)
 		for index := range 12 {
-			if subscriber := fleet.at(address(index)).subscriber; subscriber.Doubts(time.Now()) {
+			if subscriber := fleet.nodeAt(address(index)).subscriber; subscriber.Doubts(time.Now()) {
 				fleet.fail("front %d reads the store", index)
 			}
 		}
@@ -111,5 +111,5 @@
 	}
 }
 
-// callsOfPhase is how many more calls the publisher's own watches and probes make in ten seconds that begin at another moment.
+// callsOfPhase allows for the publisher's watches and probes in ten seconds that start at another moment.
 const callsOfPhase = 5
--- a/internal/dissemination/subscriber.go
+++ b/internal/dissemination/subscriber.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	checkPeriod = 100 * time.Millisecond
-	// calmTime is how long nothing must have been missing before a node that reads the store relies on beacons again: three beacons.
-	calmTime = 1500 * time.Millisecond
-	// pauseLimit is how long this process may stand still before it expects to have missed beacons.
-	pauseLimit = 600 * time.Millisecond
-	// doubtAfter is how long no beacon must have come before this node has to know whether the store answers: two beacons are late, and
+	checkInterval = 100 * time.Millisecond
+	// recoveryPeriod is how long nothing may have been missing before a node that reads the store relies on beacons again. It spans three
+	// beacons.
+	recoveryPeriod = 1500 * time.Millisecond
+	// pauseThreshold is how long this process may be paused before it assumes that it has missed beacons.
+	pauseThreshold = 600 * time.Millisecond
+	// probeAfter is how long no beacon may arrive before this node has to know whether the store answers. Two beacons are late by then, and
 	// a probe still ends before the node would read the store.
-	doubtAfter = 800 * time.Millisecond
-	// startDoubt is how long before the end of its wait for a publisher a process that has just begun has to know that.
-	startDoubt = 100 * time.Millisecond
-	// wakeWait is how long a process that stood still waits for a beacon: one comes every 400 ms.
-	wakeWait = 500 * time.Millisecond
-	// firstReading is how long a node that has begun to read the store may lack something: a call that the store answers within its usual
-	// 4 ms, or fifty times as late, and as much again for a call that fails first.
-	firstReading = 500 * time.Millisecond
+	probeAfter = 800 * time.Millisecond
+	// startProbeLead is how long before the end of Limits.Start a new process has to know whether the store answers.
+	startProbeLead = 100 * time.Millisecond
+	// resumeTimeout is how long a process waits for a beacon after a pause. It exceeds beaconInterval.
+	resumeTimeout = 500 * time.Millisecond
+	// firstReadTimeout is how long a node that has started to read the store may still lack data. It covers a failed call and a slow one.
+	firstReadTimeout = 500 * time.Millisecond
 )
 
-// Subscriber takes what a publisher spreads, and reads the metadata store itself while that is not enough. It implements
+// Subscriber applies the updates of a publisher, and reads the metadata store itself while these do not suffice. It implements
 // clusterv1.Nodes.
 type Subscriber struct {
 	Node   string
@@ -46,92 +46,93 @@
 	Metrics *telemetry.Metrics
 	// Follow reads all topics from the store until its context ends.
 	Follow func(context.Context)
-	// ReaderRank returns this node's place, from 0, among the readers of its zone: the first relays what it reads while no publisher is
-	// heard, each further one while nobody is; negative for the other nodes of the zone. Relay does so until its context ends. Nil for a
-	// node that waits for no reader.
+	// ReaderRank returns this node's rank, from 0, among the readers of its zone; negative if it is not one of them. While no publisher is
+	// heard, the reader with rank 0 relays what it reads; a reader with a higher rank does so while no sender is heard at all. Nil for a
+	// node that does not wait for readers. Relay publishes what this node reads until its context ends.
 	ReaderRank func() int
 	Relay      func(context.Context)
-	// Assign takes what this node is to relay to others; nil for a node that relays nothing.
+	// Assign handles assignments of nodes to relay to; nil for a node that does not relay.
 	Assign func(*clusterv1.Assignment)
-	// Clock tells how old what this node knows is, also after its machine was suspended; nil for a steady one.
+	// Clock measures the age of this node's data, including the time for which the machine was suspended; nil for a steady clock.
 	Clock clock.Clock
 
 	unpacker unpacker
-	updates  updates
-
-	mu    sync.Mutex
-	begun time.Time
-	heard time.Time // a beacon of anybody
-	led   time.Time // a beacon of the publisher itself
-	told  *clusterv1.Beacon
-	ages  beaconAges
-	from  net.Addr
-	// publisher is the name of the node that sent the last beacon of a publisher, term the fence that it told; zero for none.
+	updates  updateCache
+
+	mu                    sync.Mutex
+	startedAt             time.Time
+	lastBeaconAt          time.Time // of any sender
+	lastPublisherBeaconAt time.Time // issued by a publisher, not by the reader of a zone
+	lastBeacon            *clusterv1.Beacon
+	delays                beaconDelays
+	publisherAddress      net.Addr
+	// publisher is the name of the node that issued the last beacon of a publisher, and term its fence; zero for none.
 	publisher string
 	term      int64
-	// excused is until when missing beacons mean nothing: this process stood still, or the store did not answer.
-	excused time.Time
-	checked time.Time
-	// heardAt and checkedAt are when a beacon was last heard, and when this process last looked for what it misses, by the Clock.
-	heardAt, checkedAt time.Duration
-	behind             map[string]lag // by prefix
-	missed             time.Time      // when something was missing last; zero for never
-	reading            bool
-	// readingSince is when this node last began to read the store.
+	// silenceFrom is the earliest time from which missing beacons count. It advances while the store does not answer and when this process
+	// was paused.
+	silenceFrom time.Time
+	lastCheckAt time.Time
+	// lastBeaconElapsed and lastCheckElapsed are the times of the last beacon and of the last check, by Clock.
+	lastBeaconElapsed, lastCheckElapsed time.Duration
+	lags                                map[string]lag // by prefix
+	lastMissedAt                        time.Time      // zero for never
+	reading                             bool
+	// readingSince is when this node last started to read the store.
 	readingSince time.Time
 }
 
-// lag is a revision of a topic that a beacon told of, and since when this node has not reached it.
+// lag is an announced revision of a topic that this node has not reached, and since when it lacks the revision.
 type lag struct {
 	revision metadata.Revision
 	since    time.Time
 }
 
-// Publish takes updates, and tells what this node knows then.
+// Publish applies updates and returns the revisions that this node has afterwards.
 func (subscriber *Subscriber) Publish(_ context.Context, request *clusterv1.PublishRequest) (*clusterv1.PublishResponse, error) {
 	response := &clusterv1.PublishResponse{}
 	for _, update := range request.GetUpdates() {
-		if err := subscriber.take(update); err != nil {
+		if err := subscriber.applyUpdate(update); err != nil {
 			response.Unread = append(response.Unread, update.GetPrefix())
 		}
 	}
 	if request.GetAssignment() != nil && subscriber.Assign != nil {
 		subscriber.Assign(request.GetAssignment())
 	}
-	response.Known = known(subscriber.Topics)
+	response.Known = knownRevisions(subscriber.Topics)
 	return response, nil
 }
 
-// take takes an update. One that can't be read changes nothing, and this node knows that it lacks what it was to bring: it denies nothing meanwhile
-// that may have been added, and reads the store itself if nothing better comes.
-func (subscriber *Subscriber) take(packed *clusterv1.PrefixUpdate) error {
+// applyUpdate applies an update. An update that cannot be read changes nothing and is recorded as a lag: this node is not up to date, and
+// so rejects nothing that may have been added, and it reads the store itself if no readable update follows.
+func (subscriber *Subscriber) applyUpdate(packed *clusterv1.PrefixUpdate) error {
 	update, err := subscriber.unpacker.unpack(packed)
 	if err != nil {
 		subscriber.Logger.Error("update not readable", "prefix", packed.GetPrefix(), "revision", packed.GetRevision(), "error", err)
 		subscriber.Metrics.UpdateUnread(packed.GetPrefix())
-		subscriber.noteLack(packed.GetPrefix(), metadata.Revision(packed.GetRevision()))
+		subscriber.recordLag(packed.GetPrefix(), metadata.Revision(packed.GetRevision()))
 		return err
 	}
 	for _, topic := range subscriber.Topics {
 		if topic.Prefix() == update.GetPrefix() {
 			topic.Take(decodeDifference(update))
-			subscriber.tellTaken(packed, update, topic.Revision())
+			subscriber.logUpdate(packed, update, topic.Revision())
 		}
 	}
 	return nil
 }
 
-// noteLack notes that there is a revision of a prefix which this node has not reached.
-func (subscriber *Subscriber) noteLack(prefix string, revision metadata.Revision) {
+// recordLag records a revision of a prefix that this node has not reached.
+func (subscriber *Subscriber) recordLag(prefix string, revision metadata.Revision) {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
-	if _, already := subscriber.behind[prefix]; !already && subscriber.behind != nil {
-		subscriber.behind[prefix] = lag{revision, time.Now()}
+	if _, already := subscriber.lags[prefix]; !already && subscriber.lags != nil {
+		subscriber.lags[prefix] = lag{revision, time.Now()}
 	}
 }
 
-// tellTaken says what an update brought, as it came and as it was unpacked. Updates of single changes have no line, as at the publisher.
-func (subscriber *Subscriber) tellTaken(packed, update *clusterv1.PrefixUpdate, known metadata.Revision) {
+// logUpdate logs snapshots and packed updates. Updates of single changes are too frequent to log.
+func (subscriber *Subscriber) logUpdate(packed, update *clusterv1.PrefixUpdate, known metadata.Revision) {
 	isPacked := len(packed.GetPacked()) > 0
 	subscriber.Metrics.UpdateTaken(update.GetPrefix(), update.GetWhole(), isPacked)
 	if !update.GetWhole() && !isPacked {
@@ -141,80 +142,80 @@
 		"whole", update.GetWhole(), "packed", isPacked, "items", len(update.GetItems()), "removals", len(update.GetRemovals()), "known", int64(known))
 }
 
-// Ping tells who answers.
+// Ping returns the identity of this process.
 func (subscriber *Subscriber) Ping(context.Context, *clusterv1.PingRequest) (*clusterv1.PingResponse, error) {
 	return &clusterv1.PingResponse{Name: subscriber.Node, Life: subscriber.Life}, nil
 }
 
-// Publisher returns the address of the publisher whose beacon came last; nil when none has come lately.
+// Publisher returns the address of the publisher that issued the last beacon; nil if none arrived within Limits.Silence.
 func (subscriber *Subscriber) Publisher() net.Addr {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
-	if time.Since(subscriber.led) > subscriber.Limits.Silence {
+	if time.Since(subscriber.lastPublisherBeaconAt) > subscriber.Limits.Silence {
 		return nil
 	}
-	return subscriber.from
+	return subscriber.publisherAddress
 }
 
-// Collector is the node that collects tallies of usage, with the fence of its term.
+// Collector is the node that collects usage tallies, with the fence of its term.
 type Collector struct {
 	Node, Address string
 	Term          int64
 }
 
-// Collector returns the collector whose beacon came last; nil when none has come lately.
+// Collector returns the collector that issued the last beacon; nil if none arrived within Limits.Silence.
 func (subscriber *Subscriber) Collector() *Collector {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
-	if subscriber.term == 0 || subscriber.from == nil || time.Since(subscriber.led) > subscriber.Limits.Silence {
+	if subscriber.term == 0 || subscriber.publisherAddress == nil || time.Since(subscriber.lastPublisherBeaconAt) > subscriber.Limits.Silence {
 		return nil
 	}
-	return &Collector{Node: subscriber.publisher, Address: subscriber.from.String(), Term: subscriber.term}
+	return &Collector{Node: subscriber.publisher, Address: subscriber.publisherAddress.String(), Term: subscriber.term}
 }
 
-// Silent returns how long no beacon of a publisher has come, counted from the start of this process at most.
+// Silent returns the time since the last beacon of a publisher, or since the start of this process if none has arrived.
 func (subscriber *Subscriber) Silent(now time.Time) time.Duration {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
-	if subscriber.begun.IsZero() {
+	if subscriber.startedAt.IsZero() {
 		return 0
 	}
-	return now.Sub(later(subscriber.led, subscriber.begun))
+	return now.Sub(later(subscriber.lastPublisherBeaconAt, subscriber.startedAt))
 }
 
-// Doubts reports whether this node has to know whether the store answers it, because beacons are late.
+// Doubts reports whether this node has to know if the store answers, because beacons are late or it reads the store.
 func (subscriber *Subscriber) Doubts(now time.Time) bool {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
 	switch {
 	case subscriber.reading:
 		return true
-	case subscriber.begun.IsZero():
+	case subscriber.startedAt.IsZero():
 		return false
-	case subscriber.heard.IsZero():
-		return now.Sub(subscriber.begun) > subscriber.Limits.Start-startDoubt
+	case subscriber.lastBeaconAt.IsZero():
+		return now.Sub(subscriber.startedAt) > subscriber.Limits.Start-startProbeLead
 	}
-	return now.Sub(subscriber.heard) > doubtAfter
+	return now.Sub(subscriber.lastBeaconAt) > probeAfter
 }
 
-// UpToDate reports whether this node knows of nothing that it lacks of a topic: it has read the store for some time, which answers, or a
-// beacon came lately that told of nothing newer. A node that stood still, itself or with its machine, can't tell until it has heard anew: it
-// would deny what the operator has added meanwhile.
+// UpToDate reports whether this node knows of no missing revision of a topic: it has read a store that answers for some time, or a recent
+// beacon announced nothing newer. After a pause of the process or a suspension of the machine it returns false until the node has new data.
+// Otherwise the node would reject what the operator has added in the meantime.
 func (subscriber *Subscriber) UpToDate(prefix string, now time.Time) bool {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
 	elapsed := subscriber.elapsed()
-	if elapsed-subscriber.checkedAt > pauseLimit {
+	if elapsed-subscriber.lastCheckElapsed > pauseThreshold {
 		return false
 	}
 	if subscriber.reading {
-		return subscriber.Health.Good() && now.Sub(subscriber.readingSince) > firstReading
+		return subscriber.Health.Good() && now.Sub(subscriber.readingSince) > firstReadTimeout
 	}
-	if subscriber.heard.IsZero() || elapsed-subscriber.heardAt > subscriber.Limits.Silence {
+	if subscriber.lastBeaconAt.IsZero() || elapsed-subscriber.lastBeaconElapsed > subscriber.Limits.Silence {
 		return false
 	}
 	for _, topic := range subscriber.Topics {
-		if _, lacks := subscriber.lacks(topic, now); lacks && topic.Prefix() == prefix {
+		if _, lagging := subscriber.laggingSince(topic, now); lagging && topic.Prefix() == prefix {
 			return false
 		}
 	}
@@ -228,63 +229,63 @@
 	return b
 }
 
-// Heard takes a beacon, from its publisher or passed on by a relay, and reports whether it is new: an old one, which lay somewhere while a
-// process or machine stood still, counts for nothing.
+// Heard handles a beacon of a publisher, received directly or through a relay, and reports whether it is fresh. It ignores a beacon that
+// was delayed while a process or machine stood still.
 func (subscriber *Subscriber) Heard(beacon *clusterv1.Beacon, from net.Addr) (fresh bool) {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
 	elapsed := subscriber.elapsed()
-	if subscriber.ages.late(beacon, elapsed) {
+	if subscriber.delays.stale(beacon, elapsed) {
 		subscriber.Metrics.OldBeacon()
 		return false
 	}
-	subscriber.heard, subscriber.heardAt = time.Now(), elapsed
-	subscriber.told = beacon
+	subscriber.lastBeaconAt, subscriber.lastBeaconElapsed = time.Now(), elapsed
+	subscriber.lastBeacon = beacon
 	if !beacon.GetRelay() {
-		subscriber.led = subscriber.heard
-		subscriber.from = publisherOf(beacon, from)
+		subscriber.lastPublisherBeaconAt = subscriber.lastBeaconAt
+		subscriber.publisherAddress = publisherAddressOf(beacon, from)
 		subscriber.publisher, subscriber.term = beacon.GetName(), beacon.GetTerm()
 	}
 	return true
 }
 
-// publisherOf returns the address of the publisher of a beacon that came from another one, if that was told.
-func publisherOf(beacon *clusterv1.Beacon, from net.Addr) net.Addr {
+// publisherAddressOf returns the publisher's address that a beacon carries, or the address of its sender if it carries none.
+func publisherAddressOf(beacon *clusterv1.Beacon, from net.Addr) net.Addr {
 	if address, err := netip.ParseAddrPort(beacon.GetAddress()); err == nil {
 		return net.UDPAddrFromAddrPort(address)
 	}
 	return from
 }
 
-// elapsed must be called with mu held.
+// elapsed returns the time of Clock. The caller holds mu.
 func (subscriber *Subscriber) elapsed() time.Duration {
 	subscriber.Clock = clock.OrSteady(subscriber.Clock)
 	return subscriber.Clock.Elapsed()
 }
 
-// Run decides, until the context ends, whether this node relies on beacons or reads the store itself.
+// Run switches between relying on beacons and reading the store, until the context ends.
 func (subscriber *Subscriber) Run(ctx context.Context) {
 	subscriber.mu.Lock()
-	subscriber.begun = time.Now()
-	subscriber.checked, subscriber.checkedAt = subscriber.begun, subscriber.elapsed()
-	subscriber.behind = make(map[string]lag)
+	subscriber.startedAt = time.Now()
+	subscriber.lastCheckAt, subscriber.lastCheckElapsed = subscriber.startedAt, subscriber.elapsed()
+	subscriber.lags = make(map[string]lag)
 	subscriber.mu.Unlock()
-	ticker := time.NewTicker(checkPeriod)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
-	var own *ownReading
+	var reader *storeReader
 	for {
 		reading, changed, reason := subscriber.check(time.Now())
 		switch {
 		case changed && reading:
 			subscriber.Logger.Warn("reading the store", "reason", reason)
 			subscriber.Metrics.Reading(reason)
-			own = subscriber.beginReading(ctx)
+			reader = subscriber.beginReading(ctx)
 		case changed:
-			subscriber.Logger.Info("store not read", "store_answers", subscriber.Health.Good())
-			own.stop()
+			subscriber.Logger.Info("stopped reading the store", "store_answers", subscriber.Health.Good())
+			reader.stop()
 		}
 		if reading {
-			own.relayAsReader()
+			reader.relayAsReader()
 		}
 		select {
 		case <-ctx.Done():
@@ -294,39 +295,39 @@
 	}
 }
 
-// ownReading is a time in which this node reads the store itself.
-type ownReading struct {
+// storeReader is a period in which this node reads the store itself.
+type storeReader struct {
 	subscriber *Subscriber
 	ctx        context.Context
 	stop       context.CancelFunc
 	relaying   bool
 }
 
-func (subscriber *Subscriber) beginReading(ctx context.Context) *ownReading {
+func (subscriber *Subscriber) beginReading(ctx context.Context) *storeReader {
 	readCtx, stop := context.WithCancel(ctx)
 	go subscriber.Follow(readCtx)
-	return &ownReading{subscriber: subscriber, ctx: readCtx, stop: stop}
+	return &storeReader{subscriber: subscriber, ctx: readCtx, stop: stop}
 }
 
-// relayAsReader relays what is read once this node is the reader of its zone, of which it may learn late, and knows that the store answers
-// it: others would wait for a relay that has nothing to say.
-func (own *ownReading) relayAsReader() {
-	if own.relaying || !own.subscriber.isReader(time.Now()) || !own.subscriber.Health.AnsweredAfter(own.subscriber.lastLed()) {
+// relayAsReader starts relaying once this node is the reader of its zone, which may happen late, and the store has answered since the last
+// beacon of a publisher. Otherwise other nodes would wait for a relay that has no data.
+func (reader *storeReader) relayAsReader() {
+	if reader.relaying || !reader.subscriber.isReader(time.Now()) || !reader.subscriber.Health.AnsweredAfter(reader.subscriber.lastPublisherBeacon()) {
 		return
 	}
-	own.relaying = true
-	own.subscriber.Logger.Info("relay begun", "node", own.subscriber.Node)
-	go own.subscriber.Relay(own.ctx)
+	reader.relaying = true
+	reader.subscriber.Logger.Info("relaying started", "node", reader.subscriber.Node)
+	go reader.subscriber.Relay(reader.ctx)
 }
 
-// lastLed returns when the last beacon of a publisher came; zero for never.
-func (subscriber *Subscriber) lastLed() time.Time {
+// lastPublisherBeacon returns when the last beacon of a publisher arrived; zero for never.
+func (subscriber *Subscriber) lastPublisherBeacon() time.Time {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
-	return subscriber.led
+	return subscriber.lastPublisherBeaconAt
 }
 
-// isReader reports whether it is this node's turn to relay what it reads.
+// isReader reports whether this node has to relay what it reads.
 func (subscriber *Subscriber) isReader(now time.Time) bool {
 	if subscriber.ReaderRank == nil {
 		return false
@@ -334,76 +335,77 @@
 	rank := subscriber.ReaderRank()
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
-	return rank == 0 || (rank > 0 && now.Sub(subscriber.heard) > subscriber.Limits.Silence)
+	return rank == 0 || (rank > 0 && now.Sub(subscriber.lastBeaconAt) > subscriber.Limits.Silence)
 }
 
-// check decides whether this node reads the store, and why.
+// check decides whether this node reads the store. reason is what it lacks, empty for nothing.
 func (subscriber *Subscriber) check(now time.Time) (reading, changed bool, reason string) {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
 	elapsed := subscriber.elapsed()
-	if pause := elapsed - subscriber.checkedAt; pause > pauseLimit {
-		subscriber.age(pause - now.Sub(subscriber.checked))
-		subscriber.excuse(now.Add(wakeWait - subscriber.Limits.Silence))
-		subscriber.readingSince = now // what is read may be as old as the pause
-	}
-	subscriber.checked, subscriber.checkedAt = now, elapsed
-	answers := subscriber.Health.Good()
-	if !answers {
-		subscriber.excuse(now)
-		subscriber.missed = time.Time{}
-	}
-	reason = subscriber.missing(now)
+	if pause := elapsed - subscriber.lastCheckElapsed; pause > pauseThreshold {
+		subscriber.shiftTimes(pause - now.Sub(subscriber.lastCheckAt))
+		subscriber.restartSilence(now.Add(resumeTimeout - subscriber.Limits.Silence))
+		subscriber.readingSince = now // data read so far may be as old as the pause
+	}
+	subscriber.lastCheckAt, subscriber.lastCheckElapsed = now, elapsed
+	storeAnswers := subscriber.Health.Good()
+	if !storeAnswers {
+		subscriber.restartSilence(now)
+		subscriber.lastMissedAt = time.Time{}
+	}
+	reason = subscriber.missingReason(now)
 	if reason != "" {
-		subscriber.missed = now
+		subscriber.lastMissedAt = now
 	}
 	before := subscriber.reading
-	subscriber.reading = answers && !subscriber.missed.IsZero() && now.Sub(subscriber.missed) <= calmTime
+	subscriber.reading = storeAnswers && !subscriber.lastMissedAt.IsZero() && now.Sub(subscriber.lastMissedAt) <= recoveryPeriod
 	if subscriber.reading && !before {
 		subscriber.readingSince = now
 	}
 	return subscriber.reading, subscriber.reading != before, reason
 }
 
-// age has what was before count as older by the time for which the machine was suspended. It must be called with mu held.
-func (subscriber *Subscriber) age(suspended time.Duration) {
-	subscriber.begun = subscriber.begun.Add(-suspended)
-	if !subscriber.heard.IsZero() {
-		subscriber.heard = subscriber.heard.Add(-suspended)
+// shiftTimes moves timestamps back by the time for which the machine was suspended, which the monotonic clock does not count. The caller
+// holds mu.
+func (subscriber *Subscriber) shiftTimes(suspended time.Duration) {
+	subscriber.startedAt = subscriber.startedAt.Add(-suspended)
+	if !subscriber.lastBeaconAt.IsZero() {
+		subscriber.lastBeaconAt = subscriber.lastBeaconAt.Add(-suspended)
 	}
-	if !subscriber.led.IsZero() {
-		subscriber.led = subscriber.led.Add(-suspended)
+	if !subscriber.lastPublisherBeaconAt.IsZero() {
+		subscriber.lastPublisherBeaconAt = subscriber.lastPublisherBeaconAt.Add(-suspended)
 	}
 }
 
-// excuse has silence count from a moment at the earliest, and forgets since when anything was lacking. It must be called with mu held.
-func (subscriber *Subscriber) excuse(from time.Time) {
-	subscriber.excused = later(subscriber.excused, from)
-	clear(subscriber.behind)
+// restartSilence counts missing beacons from a given time at the earliest, and clears all lags. The caller holds mu.
+func (subscriber *Subscriber) restartSilence(from time.Time) {
+	subscriber.silenceFrom = later(subscriber.silenceFrom, from)
+	clear(subscriber.lags)
 }
 
-// missing returns what this node misses for too long; empty for nothing. It must be called with mu held.
-func (subscriber *Subscriber) missing(now time.Time) string {
-	if subscriber.silent(now) {
+// missingReason returns what this node has lacked for too long; empty for nothing. The caller holds mu.
+func (subscriber *Subscriber) missingReason(now time.Time) string {
+	if subscriber.beaconsMissing(now) {
 		return "no beacon"
 	}
 	for _, topic := range subscriber.Topics {
-		if since, lacks := subscriber.lacks(topic, now); lacks && now.Sub(since) > subscriber.Limits.Behind+topic.allowance() {
+		if since, lagging := subscriber.laggingSince(topic, now); lagging && now.Sub(since) > subscriber.Limits.Lag+topic.allowance() {
 			return "behind on " + topic.Prefix()
 		}
 	}
 	return ""
 }
 
-// readersOfZone is how many nodes of a zone read the store, one after the other, before all others do: with a third of the nodes refused by
-// the store, three fail in one zone of 27. Each node that reads makes four calls in 1.5 s.
-const readersOfZone = 3
+// readersPerZone is how many nodes of a zone read the store, one after the other, before all other nodes of the zone do.
+const readersPerZone = 3
 
-// silent reports whether beacons have been missing for too long: those of the publisher for the first reader of a zone, any for the rest,
-// which wait for the readers before them unless they have heard of nobody yet. It must be called with mu held.
-func (subscriber *Subscriber) silent(now time.Time) bool {
-	since := later(subscriber.excused, subscriber.begun)
-	if subscriber.heard.IsZero() {
+// beaconsMissing reports whether beacons have been missing for too long. For the first reader of a zone, only beacons of the publisher
+// count. Other nodes count beacons of any sender and wait for the readers of lower rank, unless they have never received a beacon. The
+// caller holds mu.
+func (subscriber *Subscriber) beaconsMissing(now time.Time) bool {
+	since := later(subscriber.silenceFrom, subscriber.startedAt)
+	if subscriber.lastBeaconAt.IsZero() {
 		return now.Sub(since) > subscriber.Limits.Start
 	}
 	rank := 0
@@ -412,28 +414,28 @@
 	}
 	switch {
 	case subscriber.ReaderRank == nil:
-		return now.Sub(later(subscriber.heard, since)) > subscriber.Limits.Silence
+		return now.Sub(later(subscriber.lastBeaconAt, since)) > subscriber.Limits.Silence
 	case rank == 0:
-		return now.Sub(later(subscriber.led, since)) > subscriber.Limits.Silence
+		return now.Sub(later(subscriber.lastPublisherBeaconAt, since)) > subscriber.Limits.Silence
 	case rank < 0:
-		rank = readersOfZone
+		rank = readersPerZone
 	}
-	turn := subscriber.Limits.Relay * time.Duration(rank) / readersOfZone
-	return now.Sub(later(subscriber.heard, since)) > subscriber.Limits.Silence+turn
+	delay := subscriber.Limits.Relay * time.Duration(rank) / readersPerZone
+	return now.Sub(later(subscriber.lastBeaconAt, since)) > subscriber.Limits.Silence+delay
 }
 
-// lacks reports whether beacons told of a revision of a topic that this node has not reached, and since when. While changes go on, it
-// always lacks the last ones: what counts is how long it lacks any one. It must be called with mu held.
-func (subscriber *Subscriber) lacks(topic Topic, now time.Time) (since time.Time, lacks bool) {
+// laggingSince reports whether this node has not reached an announced revision of a topic, and since when. It tracks one revision until it
+// is reached: during continuous changes the newest revision is always missing, and only the delay of each one matters. The caller holds mu.
+func (subscriber *Subscriber) laggingSince(topic Topic, now time.Time) (since time.Time, lagging bool) {
 	known := topic.Revision()
-	lagging, lacks := subscriber.behind[topic.Prefix()]
-	if lacks && known < lagging.revision {
-		return lagging.since, true
-	}
-	delete(subscriber.behind, topic.Prefix())
-	for _, told := range subscriber.told.GetChanged() {
-		if told.GetPrefix() == topic.Prefix() && metadata.Revision(told.GetRevision()) > known {
-			subscriber.behind[topic.Prefix()] = lag{metadata.Revision(told.GetRevision()), now}
+	current, lagging := subscriber.lags[topic.Prefix()]
+	if lagging && known < current.revision {
+		return current.since, true
+	}
+	delete(subscriber.lags, topic.Prefix())
+	for _, announced := range subscriber.lastBeacon.GetChanged() {
+		if announced.GetPrefix() == topic.Prefix() && metadata.Revision(announced.GetRevision()) > known {
+			subscriber.lags[topic.Prefix()] = lag{metadata.Revision(announced.GetRevision()), now}
 			return now, true
 		}
 	}
--- a/internal/dissemination/subscriber_test.go
+++ b/internal/dissemination/subscriber_test.go
@@ -25,7 +25,7 @@
 	prefixNodes         = "nodes/"
 )
 
-// keys is a handler that holds the keys which a node knows.
+// keys is a handler that records the keys of a topic.
 type keys struct {
 	mu   sync.Mutex
 	list map[string]metadata.Revision
@@ -58,7 +58,7 @@
 	return len(keys.list)
 }
 
-// fixture is a subscriber whose reading of the store is counted.
+// fixture is a subscriber that records whether it reads the store.
 type fixture struct {
 	*dissemination.Subscriber
 	store    *memstore.Store
@@ -68,7 +68,7 @@
 
 const nodesPace = time.Second
 
-// limits are those of deployments on which a change has to be in force within two seconds.
+// limits returns the limits of deployments in which a change has to take effect within two seconds.
 func limits() dissemination.Limits { return dissemination.LimitsFor(2*time.Second, false) }
 
 func newFixture() *fixture {
@@ -101,7 +101,7 @@
 	}
 }
 
-// take publishes all keys of the replicas, which is one, as of a revision.
+// take publishes a snapshot of one key at a revision.
 func (fixture *fixture) take(t *testing.T, prefix string, revision int64) {
 	t.Helper()
 	_, err := fixture.Publish(t.Context(), &clusterv1.PublishRequest{Updates: []*clusterv1.PrefixUpdate{
@@ -110,7 +110,7 @@
 	must.NoError(t, err)
 }
 
-// A beacon that was heard before the first check crashed the process.
+// Guards against a crash when a beacon arrives before the first check.
 func TestBeaconBeforeFirstCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		subscriber := newFixture()
@@ -124,7 +124,7 @@
 	})
 }
 
-// A node reads the store itself unless beacons come and it has what they tell of: of each topic.
+// Guards against a node that does not read the store, for any topic, when beacons stop or it lacks an announced revision.
 func TestReadsStoreWithoutBeacons(t *testing.T) {
 	for _, prefix := range []string{prefixConfiguration, prefixReplicas} {
 		synctest.Test(t, func(t *testing.T) {
@@ -147,7 +147,7 @@
 	}
 }
 
-// A topic that is pushed at a pace may lack changes for that long, and no longer than that.
+// Guards against reading the store within the pace of a topic, and against lagging for longer.
 func TestPacedTopicMayLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		subscriber := newFixture()
@@ -163,7 +163,7 @@
 	})
 }
 
-// A process that has just begun waits for a publisher, longer when the whole deployment begins, and then reads the store.
+// Guards against a new process that reads the store before it has waited for a publisher, or not at all.
 func TestStartWaitsForPublisher(t *testing.T) {
 	for _, first := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -182,7 +182,7 @@
 	}
 }
 
-// Whoever starts and is published to in time does not read the store at all.
+// Guards against a new process that reads the store although a publisher reaches it in time.
 func TestStartWithPublisherReadsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		subscriber := newFixture()
@@ -200,7 +200,7 @@
 	})
 }
 
-// A node that the store does not answer reads nothing of it, and waits for a beacon when it answers again before it does.
+// Guards against reading a store that does not answer, and against reading it before a beacon could arrive when it answers again.
 func TestLostStoreIsNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		subscriber := newFixture()
@@ -227,7 +227,7 @@
 	})
 }
 
-// Keys of an older revision, from a publisher that lags, do not replace newer ones.
+// Guards against a lagging publisher that replaces keys by an older revision.
 func TestOlderKeysAreRefused(t *testing.T) {
 	subscriber := newFixture()
 	subscriber.take(t, prefixReplicas, 9)
@@ -237,8 +237,7 @@
 	must.Eq(t, 1, subscriber.replicas.count())
 }
 
-// While no publisher is heard, the reader of a zone reads the store and relays; the others rely on it, and read themselves if it
-// relays nothing either.
+// Guards against several readers in a zone: without a publisher only the reader reads and relays, unless it relays nothing.
 func TestZonesHaveOneReader(t *testing.T) {
 	for _, reader := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -278,7 +277,7 @@
 	}
 }
 
-// When the first reader of a zone relays nothing the next one takes its place, and the others rely on that one.
+// Guards against a zone without a reader: if the first reader relays nothing, the next one takes over.
 func TestReadersTakeTurns(t *testing.T) {
 	for rank, turn := range []time.Duration{0, limits().Relay / 3, limits().Relay * 2 / 3, limits().Relay} {
 		synctest.Test(t, func(t *testing.T) {
@@ -307,17 +306,17 @@
 	}
 }
 
-// The limits of a node leave it time to read the store before a change has to be in force.
+// Guards against limits that leave no time to read the store before a change has to take effect.
 func TestLimitsEndBeforeChangesAreDue(t *testing.T) {
 	for _, due := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, time.Minute} {
 		limits := dissemination.LimitsFor(due, false)
 		must.Less(t, due*4/5, limits.Silence+limits.Relay)
-		must.Less(t, due/3, limits.Behind)
+		must.Less(t, due/3, limits.Lag)
 	}
 }
 
-// A node is up to date on a topic while beacons come that tell of nothing newer; not before the first, not once they stop, and not while
-// it lacks what one told of. What it lacks of other topics does not matter.
+// Guards against claiming to be up to date before the first beacon, after beacons have stopped, or while an announced revision of the same
+// topic is missing.
 func TestUpToDate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture()
--- a/internal/dissemination/topic.go
+++ b/internal/dissemination/topic.go
@@ -8,35 +8,34 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata"
 )
 
-// Topic is a prefix of the metadata store whose keys are published.
+// Topic is a key prefix of the metadata store whose changes are published.
 type Topic struct {
 	*metadata.Mirror
-	// Pace is the least time between two pushes to a node that lacks changes of such topics only; zero for topics that are pushed at
-	// each change.
+	// Pace is the minimum time from one push to a node to the next if the node lacks only changes of such topics; zero for topics that are
+	// pushed at each change.
 	Pace time.Duration
-	// Bulk is for topics that may be large: they are pushed beside the others, which never wait for them.
+	// Bulk is true for topics that may be large. They are pushed in a lane of their own, so that other topics never wait for them.
 	Bulk bool
 }
 
-// lane is one of the two ways of the pushes to a process, which go on beside each other: a change of the configuration does not wait while the process takes
-// all replicas, which keeps a weak machine busy for longer than it may lack a change.
+// lane is one of two concurrent sequences of pushes to a process. With a lane for bulk topics, a configuration change does not wait while a
+// process loads all replicas, which takes a slow machine longer than a change may be delayed.
 type lane int
 
-// The lanes.
 const (
 	prompt lane = iota
 	bulk
-	lanes
+	laneCount
 )
 
-// snapshotTime is how much longer a process that knows nothing of a bulk topic may go without it: what the weakest machines need to take 10,000 entries.
-// Reading the store takes as long, and a call for each page. Nobody is sent to the process until it knows replicas.
-const snapshotTime = 700 * time.Millisecond
+// snapshotAllowance is the additional time for which a process without any data of a bulk topic may lack it: the time that a slow machine
+// needs to load a full snapshot. Reading the store takes as long, and no requests are sent to the process until it knows replicas.
+const snapshotAllowance = 700 * time.Millisecond
 
-// allowance is how much longer than a change at once a process may lack a change of the topic.
+// allowance returns how long a process may lack a change of the topic in addition to Limits.Lag.
 func (topic Topic) allowance() time.Duration {
 	if topic.Bulk && topic.Revision() == 0 {
-		return topic.Pace + snapshotTime
+		return topic.Pace + snapshotAllowance
 	}
 	return topic.Pace
 }
@@ -48,8 +47,9 @@
 	return prompt
 }
 
-// changedAt returns up to which revisions another node has to know topics in order to lack nothing that this one has.
-func changedAt(topics []Topic) []*clusterv1.PrefixRevision {
+// changedRevisions returns the revision of the newest change of each topic. A node that has reached these revisions lacks nothing that this
+// node has.
+func changedRevisions(topics []Topic) []*clusterv1.PrefixRevision {
 	list := make([]*clusterv1.PrefixRevision, 0, len(topics))
 	for _, topic := range topics {
 		list = append(list, &clusterv1.PrefixRevision{Prefix: topic.Prefix(), Revision: int64(topic.ChangedAt())})
@@ -57,8 +57,8 @@
 	return list
 }
 
-// known returns up to which revisions topics are known.
-func known(topics []Topic) []*clusterv1.PrefixRevision {
+// knownRevisions returns the revision that each topic has reached.
+func knownRevisions(topics []Topic) []*clusterv1.PrefixRevision {
 	list := make([]*clusterv1.PrefixRevision, 0, len(topics))
 	for _, topic := range topics {
 		list = append(list, &clusterv1.PrefixRevision{Prefix: topic.Prefix(), Revision: int64(topic.Revision())})
@@ -93,9 +93,9 @@
 	return difference
 }
 
-// unpaced returns topics as a relay pushes them: at once. What it knows comes at the origin's pace already, and a pace at each level would add up along the
-// tree, while a node is given the time of one.
-func unpaced(topics []Topic) []Topic {
+// withoutPace returns topics as a relay pushes them: immediately. The origin already applies the pace. Applied again at each level of the
+// tree it would add up, while a node is allowed the delay of one level.
+func withoutPace(topics []Topic) []Topic {
 	list := slices.Clone(topics)
 	for index := range list {
 		list[index].Pace = 0
--- a/internal/dissemination/arrange_bench_test.go
+++ b/internal/dissemination/topology_bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/capability"
 )
 
-// fleetOf returns nodes of six zones.
-func fleetOf(count int) []*clusterv1.NodeRecord {
+// testNodes returns nodes in six zones.
+func testNodes(count int) []*clusterv1.NodeRecord {
 	nodes := make([]*clusterv1.NodeRecord, count)
 	for index := range nodes {
 		nodes[index] = &clusterv1.NodeRecord{Name: fmt.Sprint("node-", index), Zone: fmt.Sprint("zone-", index%6), Life: 1, Cores: 0.4, Capabilities: capability.Own()}
@@ -21,16 +21,16 @@
 	return nodes
 }
 
-// Who serves whom, in a round in which neither nodes nor relays have changed: each change of a replica begins one.
+// BenchmarkArrange measures rounds without changes of nodes or relays.
 func BenchmarkArrange(b *testing.B) {
 	for _, count := range []int{100, 985, 1970} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			publisher, nodes := &Publisher{Logger: log.New(io.Discard)}, fleetOf(count)
-			publisher.prepare()
+			publisher, nodes := &Publisher{Logger: log.New(io.Discard)}, testNodes(count)
+			publisher.initialize()
 			for b.Loop() {
-				publisher.arrange(nodes, time.Now())
-				for _, state := range publisher.receiver {
-					state.relay.taken, state.relay.reported = 1, time.Now()
+				publisher.currentTopology(nodes, time.Now())
+				for _, state := range publisher.receivers {
+					state.relay.acknowledged, state.relay.lastReport = 1, time.Now()
 				}
 			}
 		})
--- a/internal/dissemination/arrange_test.go
+++ b/internal/dissemination/topology_test.go
@@ -10,44 +10,44 @@
 	"github.com/shoenig/test/must"
 )
 
-// Who serves whom is worked out when nodes or relays change, and not in the rounds between: these cost the same in a fleet of any size.
+// Guards against a topology that is rebuilt in rounds without changes of nodes or relays, and against one that misses such changes.
 func TestArrangementsFollowChanges(t *testing.T) {
-	publisher, nodes, now := &Publisher{Logger: log.New(io.Discard)}, fleetOf(300), time.Now()
-	publisher.prepare()
-	first := publisher.arrange(nodes, now)
+	publisher, nodes, now := &Publisher{Logger: log.New(io.Discard)}, testNodes(300), time.Now()
+	publisher.initialize()
+	first := publisher.currentTopology(nodes, now)
 	must.Greater(t, 0, len(first.groups))
-	must.True(t, sameGroups(first, publisher.arrange(nodes, now)))
-	must.Eq(t, 0.0, testing.AllocsPerRun(10, func() { publisher.arrange(nodes, now) }))
+	must.True(t, sameGroups(first, publisher.currentTopology(nodes, now)))
+	must.Eq(t, 0.0, testing.AllocsPerRun(10, func() { publisher.currentTopology(nodes, now) }))
 
 	fewer := slices.Clone(nodes)[:299]
-	changed := publisher.arrange(fewer, now)
+	changed := publisher.currentTopology(fewer, now)
 	must.False(t, sameGroups(first, changed), must.Sprint("a node has left"))
 
 	relay := changed.groups[0].relay
-	publisher.receiver[processOf(relay)].lanes[prompt].failed = true
-	alone := publisher.arrange(fewer, now)
+	publisher.receivers[processOf(relay)].lanes[prompt].failed = true
+	alone := publisher.currentTopology(fewer, now)
 	must.False(t, sameGroups(changed, alone), must.Sprint("a relay is not reached"))
 	must.False(t, slices.ContainsFunc(alone.groups, func(group group) bool { return group.relay == relay }))
 	must.True(t, slices.Contains(alone.direct, relay))
 
-	later := now.Add(aloneFor + time.Millisecond)
-	for _, state := range publisher.receiver {
-		state.lanes[prompt].failed, state.relay.taken, state.relay.reported = false, 1, later
+	later := now.Add(exclusionPeriod + time.Millisecond)
+	for _, state := range publisher.receivers {
+		state.lanes[prompt].failed, state.relay.acknowledged, state.relay.lastReport = false, 1, later
 	}
-	again := publisher.arrange(fewer, later)
+	again := publisher.currentTopology(fewer, later)
 	must.True(t, slices.ContainsFunc(again.groups, func(group group) bool { return group.relay == relay }), must.Sprint("it relays again"))
 }
 
-func sameGroups(a, b arrangement) bool { return &a.groups[0] == &b.groups[0] }
+func sameGroups(a, b topology) bool { return &a.groups[0] == &b.groups[0] }
 
-// A node of a build that knows no relays is served directly and relays nothing: it would be found silent, and its nodes be served late.
+// Guards against assignments to nodes of a build without relays, which would leave their groups unserved until they are found silent.
 func TestNodesWithoutRelaysAreServedDirectly(t *testing.T) {
-	publisher, nodes := &Publisher{Logger: log.New(io.Discard)}, fleetOf(300)
-	publisher.prepare()
+	publisher, nodes := &Publisher{Logger: log.New(io.Discard)}, testNodes(300)
+	publisher.initialize()
 	for index := range 150 {
 		nodes[2*index].Capabilities = nil
 	}
-	arranged := publisher.arrange(nodes, time.Now())
+	arranged := publisher.currentTopology(nodes, time.Now())
 	must.Positive(t, len(arranged.groups))
 	for index, node := range nodes {
 		former := index%2 == 0
--- a/internal/dissemination/tree.go
+++ b/internal/dissemination/tree.go
@@ -9,61 +9,61 @@
 	clusterv1 "github.com/thistlewalk/thistlewalk/api/cluster/v1"
 )
 
-// defaultFanOut bounds the nodes that a publisher or a relay serves itself. More are divided into groups, each served by a relay, which
-// divides its group again if that is too large: two levels reach 1,000 nodes, three 32,000. With 32, the busiest link carries the packed snapshot of all
-// replicas 32 times when all nodes begin at a time.
+// defaultFanOut bounds the nodes that a publisher or a relay serves itself. More nodes are divided into groups, each served by a relay that
+// divides its group again if it is too large: two levels reach 1,000 nodes, three 32,000. It also bounds the load of the busiest link,
+// which carries that many snapshots of all replicas when all nodes start at the same time.
 const defaultFanOut = 32
 
-// group is a relay with the nodes that it serves.
+// group is a relay and the nodes that it serves.
 type group struct {
 	relay *clusterv1.NodeRecord
 	nodes []*clusterv1.NodeRecord
 }
 
-// arrangement is who serves whom: direct are the nodes that the publisher serves itself, the relays among them.
-type arrangement struct {
+// topology assigns nodes to senders. direct lists the nodes that the publisher serves itself, including the relays of the groups.
+type topology struct {
 	direct []*clusterv1.NodeRecord
 	groups []group
 }
 
-// arrange divides nodes into groups of one zone each. Nodes for which alone holds are served directly and relay nothing, those for which begun holds
-// relay only where there are not enough others. It is a function of its arguments, and few nodes change their relay when one comes or goes.
-func arrange(nodes []*clusterv1.NodeRecord, fanOut int, alone, begun func(*clusterv1.NodeRecord) bool) arrangement {
+// buildTopology divides nodes into groups within their zones. Excluded nodes are served directly and do not relay; recent nodes relay only
+// if there are too few others. The result depends only on the arguments, and few nodes change their relay when a node joins or leaves.
+func buildTopology(nodes []*clusterv1.NodeRecord, fanOut int, excluded, recent func(*clusterv1.NodeRecord) bool) topology {
 	if len(nodes) <= fanOut {
-		return arrangement{direct: nodes}
+		return topology{direct: nodes}
 	}
-	var arranged arrangement
+	var built topology
 	byZone := make(map[string][]*clusterv1.NodeRecord)
 	for _, node := range nodes {
-		if alone(node) {
-			arranged.direct = append(arranged.direct, node)
+		if excluded(node) {
+			built.direct = append(built.direct, node)
 			continue
 		}
 		byZone[node.GetZone()] = append(byZone[node.GetZone()], node)
 	}
-	most := max(1, fanOut/max(1, len(byZone)))
+	perZone := max(1, fanOut/max(1, len(byZone)))
 	for _, members := range byZone {
-		count := min(most, (len(members)+fanOut-1)/fanOut)
-		groups := divide(members, count, begun)
+		count := min(perZone, (len(members)+fanOut-1)/fanOut)
+		groups := buildGroups(members, count, recent)
 		for _, group := range groups {
-			arranged.direct = append(arranged.direct, group.relay)
+			built.direct = append(built.direct, group.relay)
 		}
-		arranged.groups = append(arranged.groups, groups...)
+		built.groups = append(built.groups, groups...)
 	}
-	return arranged
+	return built
 }
 
-// strongShare is the share of the processor time of the strongest node of a zone that a node must have to relay, where any has it.
-const strongShare = 0.75
+// minCoreShare is the fraction of the cores of the strongest node in a zone that a node needs to be a relay.
+const minCoreShare = 0.75
 
-// divide returns groups of nodes of one zone. Those that have just begun are no relays if there are enough others.
-func divide(members []*clusterv1.NodeRecord, count int, begun func(*clusterv1.NodeRecord) bool) []group {
+// buildGroups returns the groups of one zone. Recent nodes become relays only if there are too few others.
+func buildGroups(members []*clusterv1.NodeRecord, count int, recent func(*clusterv1.NodeRecord) bool) []group {
 	strongest := 0.0
 	for _, member := range members {
 		strongest = max(strongest, member.GetCores())
 	}
-	candidates := slices.DeleteFunc(slices.Clone(members), func(member *clusterv1.NodeRecord) bool { return member.GetCores() < strongShare*strongest })
-	if others := slices.DeleteFunc(slices.Clone(candidates), begun); len(others) >= count {
+	candidates := slices.DeleteFunc(slices.Clone(members), func(member *clusterv1.NodeRecord) bool { return member.GetCores() < minCoreShare*strongest })
+	if others := slices.DeleteFunc(slices.Clone(candidates), recent); len(others) >= count {
 		candidates = others
 	}
 	slices.SortFunc(candidates, func(a, b *clusterv1.NodeRecord) int { return cmp.Compare(rank("relay", b), rank("relay", a)) })
@@ -82,7 +82,7 @@
 	return groups
 }
 
-// preferredGroup returns the group whose relay ranks first for a node.
+// preferredGroup returns the group whose relay ranks highest for a node (rendezvous hashing).
 func preferredGroup(groups []group, node *clusterv1.NodeRecord) *group {
 	best := &groups[0]
 	for index := range groups[1:] {
@@ -93,7 +93,7 @@
 	return best
 }
 
-// rank orders nodes for a key, in its own way for each.
+// rank returns the rendezvous hashing weight of a node for a key.
 func rank(key string, node *clusterv1.NodeRecord) uint64 {
 	return xxhash.Sum64String(node.GetName() + "/" + key)
 }
--- a/internal/dissemination/unread_test.go
+++ b/internal/dissemination/unread_test.go
@@ -17,35 +17,35 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata/memstore"
 )
 
-// laterField is a field that this build does not know, as a later one may send.
-func laterField(number int32, content []byte) protoreflect.RawFields {
+// unknownField returns a field that this build does not know.
+func unknownField(number int32, content []byte) protoreflect.RawFields {
 	return protowire.AppendBytes(protowire.AppendTag(nil, protowire.Number(number), protowire.BytesType), content)
 }
 
-func newReader() *Subscriber {
+func newTestSubscriber() *Subscriber {
 	return &Subscriber{
 		Node: "node", Life: 1, Limits: LimitsFor(2*time.Second, false), Logger: log.New(io.Discard), Health: metadata.NewHealth(memstore.New(), log.New(io.Discard)),
 		Topics: []Topic{{Mirror: metadata.NewMirror("op/config", metadata.Handlers{})}, {Mirror: metadata.NewMirror("servers/", metadata.Handlers{})}},
-		behind: make(map[string]lag),
+		lags:   make(map[string]lag),
 	}
 }
 
-// An update of a later build that can't be read whole changes nothing, wherever the unknown part lies: the receiver says so, says that it knows what it
-// knew, and does not say that it is up to date. The other updates of the call are taken.
+// Guards against applying an update of a later build that cannot be read completely. The receiver reports the update as unread, keeps its
+// revision and is not up to date; the other updates of the call are applied.
 func TestUpdatesOfLaterBuilds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		reader := newReader()
+		reader := newTestSubscriber()
 		number := rapid.Int32Range(20, 500).Draw(t, "field")
 		content := rapid.SliceOf(rapid.Byte()).Draw(t, "content")
-		update := encodeDifference(&metadata.Difference{Prefix: "servers/", Whole: true, Revision: 7, Items: entries(rapid.IntRange(1, 9).Draw(t, "items"))})
+		update := encodeDifference(&metadata.Difference{Prefix: "servers/", Whole: true, Revision: 7, Items: replicaItems(rapid.IntRange(1, 9).Draw(t, "items"))})
 		update.Removals = []*clusterv1.Removal{{Key: "servers/x", Revision: 3}}
 		switch rapid.IntRange(0, 2).Draw(t, "where") {
 		case 0:
-			update.ProtoReflect().SetUnknown(laterField(number, content))
+			update.ProtoReflect().SetUnknown(unknownField(number, content))
 		case 1:
-			update.GetItems()[0].ProtoReflect().SetUnknown(laterField(number, content))
+			update.GetItems()[0].ProtoReflect().SetUnknown(unknownField(number, content))
 		case 2:
-			update.GetRemovals()[0].ProtoReflect().SetUnknown(laterField(number, content))
+			update.GetRemovals()[0].ProtoReflect().SetUnknown(unknownField(number, content))
 		}
 		if rapid.Bool().Draw(t, "packed") {
 			small, err := (&packer{}).pack(update)
@@ -58,45 +58,45 @@
 		response, err := reader.Publish(t.Context(), &clusterv1.PublishRequest{Updates: []*clusterv1.PrefixUpdate{update, readable}})
 		must.NoError(t, err)
 		must.Eq(t, []string{"servers/"}, response.GetUnread())
-		must.Eq(t, 0, knownOf(response, "servers/"))
-		must.Eq(t, 9, knownOf(response, "op/config"))
+		must.Eq(t, 0, knownRevision(response, "servers/"))
+		must.Eq(t, 9, knownRevision(response, "op/config"))
 		reader.mu.Lock()
-		_, lacks := reader.lacks(reader.Topics[1], time.Now())
+		_, lacks := reader.laggingSince(reader.Topics[1], time.Now())
 		reader.mu.Unlock()
 		must.True(t, lacks, must.Sprint("it knows that it lacks something"))
 	})
 }
 
-// A process that could not read an update is sent the plain form from then on, whatever it has registered.
+// Guards against sending packed updates again to a process that could not read one.
 func TestPlainFormAfterAnUnreadUpdate(t *testing.T) {
 	topic := Topic{Mirror: metadata.NewMirror("servers/", metadata.Handlers{})}
-	topic.Reset(entries(40), 40)
+	topic.Reset(replicaItems(40), 40)
 	publisher := &Publisher{Node: "publisher", Logger: log.New(io.Discard), Topics: []Topic{topic}}
-	publisher.prepare()
+	publisher.initialize()
 	record := &clusterv1.NodeRecord{Name: "node", Life: 1, Capabilities: capability.Own()}
 	state := &receiver{record: record, known: map[string]metadata.Revision{"servers/": 0}}
 	next := func() *clusterv1.PrefixUpdate {
-		request, _, err := publisher.next(state, prompt)
+		request, _, err := publisher.nextRequest(state, prompt)
 		must.NoError(t, err)
 		must.Len(t, 1, request.GetUpdates())
 		return request.GetUpdates()[0]
 	}
 	must.Positive(t, len(next().GetPacked()))
 	answer := &clusterv1.PublishResponse{Known: []*clusterv1.PrefixRevision{{Prefix: "servers/"}}, Unread: []string{"servers/"}}
-	must.False(t, publisher.told(state, prompt, &clusterv1.PublishRequest{}, answer))
+	must.False(t, publisher.handleResponse(state, prompt, &clusterv1.PublishRequest{}, answer))
 	must.Zero(t, len(next().GetPacked()))
 	must.Len(t, 40, next().GetItems())
 }
 
-// A process that tells nothing of a topic does not follow it, and lacks nothing of it: it is not pushed to again and again.
+// Guards against repeated pushes of a topic that a process does not follow.
 func TestTopicsThatAProcessDoesNotFollow(t *testing.T) {
 	topics := []Topic{{Mirror: metadata.NewMirror("servers/", metadata.Handlers{})}, {Mirror: metadata.NewMirror("quarantine/", metadata.Handlers{})}}
 	for _, topic := range topics {
 		topic.Reset(nil, 5)
 	}
 	publisher := &Publisher{Node: "publisher", Logger: log.New(io.Discard), Topics: topics}
-	publisher.prepare()
+	publisher.initialize()
 	state := &receiver{record: &clusterv1.NodeRecord{Name: "node"}}
-	must.True(t, publisher.told(state, prompt, &clusterv1.PublishRequest{}, &clusterv1.PublishResponse{Known: []*clusterv1.PrefixRevision{{Prefix: "servers/", Revision: 5}}}))
-	must.False(t, publisher.lacks(state, prompt, time.Now()))
+	must.True(t, publisher.handleResponse(state, prompt, &clusterv1.PublishRequest{}, &clusterv1.PublishResponse{Known: []*clusterv1.PrefixRevision{{Prefix: "servers/", Revision: 5}}}))
+	must.False(t, publisher.needsPush(state, prompt, time.Now()))
 }
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -58,7 +58,7 @@
 mutate "another tenant's job read" internal/batchrun/scope.go 'if strings.Contains(named, batch.ScopeSeparator) {' 'if strings.Contains(named, batch.ScopeSeparator) && named == "" {' ./internal/batchrun
 mutate "another tenant's text used" internal/batchrun/kept.go 'id = batch.InScopeOf(text.job, id)' '_ = batch.InScopeOf(text.job, id)' ./internal/batchrun
 mutate 'key denied by a node that is behind' platform/ingress.go 'if !ingress.UpToDate() {' 'if ingress.UpToDate == nil {' ./platform
-mutate 'behind though told of a newer version' internal/dissemination/subscriber.go 'if _, lacks := subscriber.lacks(topic, now); lacks && topic.Prefix() == prefix {' 'if topic.Prefix() == "" {' ./internal/dissemination
+mutate 'behind though told of a newer version' internal/dissemination/subscriber.go 'if _, lagging := subscriber.laggingSince(topic, now); lagging && topic.Prefix() == prefix {' 'if topic.Prefix() == "" {' ./internal/dissemination
 mutate 'key passed on' platform/ingress.go 'maps.DeleteFunc(header, func(name string, _ []string) bool { return identifiesCaller(name) })' '_ = maps.DeleteFunc[http.Header]' ./cmd/thistlewalk-rollout
 mutate 'all nodes run a job in an outage' internal/batchrun/defer.go 'if deferral.mine.Load() {' 'if deferral.to == "" {' ./internal/batchrun
 mutate 'jobs left to each other' internal/batchrun/defer.go 'owned.deferral.mine.Store(true)' '_ = owned' ./internal/batchrun
@@ -100,9 +100,9 @@
 var steadily = clock.Steady()
 
 func init() {' ./internal/weights
-mutate 'knowledge ages by the steady clock' internal/dissemination/subscriber.go 'if elapsed-subscriber.checkedAt > pauseLimit {
+mutate 'knowledge ages by the steady clock' internal/dissemination/subscriber.go 'if elapsed-subscriber.lastCheckElapsed > pauseThreshold {
 		return false
-	}' 'if now.Sub(subscriber.checked) > pauseLimit {
+	}' 'if now.Sub(subscriber.lastCheckAt) > pauseThreshold {
 		return false
 	}' ./internal/dissemination
 mutate 'usage is dated by the steady clock' internal/metering/clock.go 'steady: machine.Elapsed()}' 'steady: machine.Elapsed()/2}' ./internal/metering
