--- a/internal/dissemination/faults_test.go
+++ b/internal/dissemination/faults_test.go
@@ -39,7 +39,7 @@
 )
 
 var faultScenarios = []faultScenario{
-	{name: "a third refused as the publisher is killed", readers: callsOfZoneReaders, play: func(fleet *fleet, publisher *node, nodes int) *node {
+	{name: "a third refused by the store while the publisher is killed", readers: callsOfZoneReaders, play: func(fleet *fleet, publisher *node, nodes int) *node {
 		fleet.setStoreRefused(nodes, 3, true)
 		publisher.stop()
 		time.Sleep(3 * time.Second)
@@ -66,7 +66,7 @@
 		fleet.store.SetFaults(memstore.Faults{})
 		return publisher
 	}},
-	{name: "all rolled while configurations change", calls: callsPerRestart, readers: callsOfZoneReaders, play: func(fleet *fleet, publisher *node, nodes int) *node {
+	{name: "rolling restart while configurations change", calls: callsPerRestart, readers: callsOfZoneReaders, play: func(fleet *fleet, publisher *node, nodes int) *node {
 		for index := range nodes {
 			fleet.nodeAt(address(index)).stop()
 			fleet.start(index, false)
@@ -77,7 +77,7 @@
 		}
 		return publisher
 	}},
-	{name: "a sixth deaf while configurations change and the history is forgotten", calls: callsPerIsolatedNode / 6.0, readers: callsOfZoneReaders, play: func(fleet *fleet, publisher *node, nodes int) *node {
+	{name: "a sixth isolated while configurations change and the store is compacted", calls: callsPerIsolatedNode / 6.0, readers: callsOfZoneReaders, play: func(fleet *fleet, publisher *node, nodes int) *node {
 		for index := range nodes {
 			fleet.nodeAt(address(index)).setFaults(index%6 == 0, false)
 		}
@@ -134,7 +134,7 @@
 }
 
 // playFault returns the store calls of all nodes from the fault until they have settled, and how long that takes.
-func playFault(t *testing.T, fault faultScenario, nodes int) (asked int64, settled time.Duration) {
+func playFault(t *testing.T, fault faultScenario, nodes int) (calls int64, settled time.Duration) {
 	failure := runFleet(t, func(fleet *fleet) {
 		fleet.fanOut = 0
 		publisher := fleet.startPublisher()
@@ -144,18 +144,18 @@
 		time.Sleep(5 * time.Second)
 		before := fleet.storeCalls()
 		fault.play(fleet, publisher, nodes)
-		begun := time.Now()
-		time.Sleep(2 * time.Second) // all are registered, and the publisher knows
-		for settled = 0; settled < settleTimeout && fleet.anyUnsettled(nodes); settled = time.Since(begun) {
+		ended := time.Now()
+		time.Sleep(2 * time.Second) // until all nodes are registered and the publisher has read them
+		for settled = 0; settled < settleTimeout && fleet.anyUnsettled(nodes); settled = time.Since(ended) {
 			time.Sleep(100 * time.Millisecond)
 		}
-		asked = fleet.storeCalls() - before
+		calls = fleet.storeCalls() - before
 		if took := fleet.timeChange(nodes); took > 200*time.Millisecond {
-			fleet.fail("a change takes %s once the fault is over", took)
+			fleet.fail("a change takes %s after the fault", took)
 		}
 	})
 	must.Eq(t, "", failure, must.Sprint(fault.name, ", ", nodes, " nodes"))
-	return asked, settled
+	return calls, settled
 }
 
 // settleTimeout is how long after a fault nodes may still read the store or miss beacons. A substitute of a reader or relay may stay in use
@@ -177,10 +177,10 @@
 	for _, fault := range faultScenarios {
 		t.Run(fault.name, func(t *testing.T) {
 			for _, nodes := range []int{150, 600} {
-				asked, settled := playFault(t, fault, nodes)
-				t.Logf("%d nodes: %d calls, settled after %s", nodes, asked, settled)
+				calls, settled := playFault(t, fault, nodes)
+				t.Logf("%d nodes: %d calls, settled after %s", nodes, calls, settled)
 				must.Less(t, settleTimeout, settled)
-				must.LessEq(t, fault.readers+int64(fault.calls*float64(nodes)), asked)
+				must.LessEq(t, fault.readers+int64(fault.calls*float64(nodes)), calls)
 			}
 		})
 	}
@@ -203,10 +203,10 @@
 			time.Sleep(250 * time.Millisecond)
 		}
 		time.Sleep(6 * time.Second)
-		asked := fleet.storeCalls() - before
-		t.Logf("%d calls", asked)
-		if most := int64(nodes/2*callsPerRestart + callsOfZoneReaders); asked > most {
-			fleet.fail("%d calls, %d are allowed", asked, most)
+		calls := fleet.storeCalls() - before
+		t.Logf("%d calls", calls)
+		if limit := int64(nodes/2*callsPerRestart + callsOfZoneReaders); calls > limit {
+			fleet.fail("%d calls, %d are allowed", calls, limit)
 		}
 	})
 	must.Eq(t, "", failure)
--- a/internal/dissemination/fleet_test.go
+++ b/internal/dissemination/fleet_test.go
@@ -79,11 +79,11 @@
 	former bool
 
 	mu      sync.Mutex
-	version int64 // of the configuration in force
+	version int64 // of the configuration in effect
 	// isolated and storeRefused are faults: no traffic passes between the node and other nodes; the store refuses the node.
 	isolated, storeRefused bool
-	faultFreeSince         time.Time             // since when it has had no fault
-	lastAssignment         *clusterv1.Assignment // the newest
+	faultFreeSince         time.Time
+	lastAssignment         *clusterv1.Assignment
 }
 
 // sentCounts counts what a node has sent: calls, their bytes and datagrams to other nodes, and probes and other calls to the store.
@@ -116,18 +116,18 @@
 	node.mu.Lock()
 	defer node.mu.Unlock()
 	if number < node.version {
-		node.fleet.fail("%s goes back from version %d to %d", node.name, node.version, number)
+		node.fleet.fail("%s reverts from version %d to %d", node.name, node.version, number)
 	}
 	node.version = number
 }
 
-func (node *node) setFaults(deaf, refused bool) {
+func (node *node) setFaults(isolated, storeRefused bool) {
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	if node.isolated || node.storeRefused || deaf || refused {
+	if node.isolated || node.storeRefused || isolated || storeRefused {
 		node.faultFreeSince = time.Now()
 	}
-	node.isolated, node.storeRefused = deaf, refused
+	node.isolated, node.storeRefused = isolated, storeRefused
 }
 
 // assign records an assignment and passes it to the relays.
@@ -275,7 +275,7 @@
 		Datagrams: &cluster.Datagrams{Conn: link{from: from}}, Health: health, Logger: log.New(io.Discard), FanOut: from.fleet.fanOut,
 	}
 	if from.former {
-		publisher.FanOut = math.MaxInt // it knows no relays
+		publisher.FanOut = math.MaxInt // the former build has no relays
 	}
 	from.publisher.Store(publisher)
 	publisher.Run(ctx)
@@ -328,13 +328,13 @@
 }
 
 // check fails for each node that lacks a due version, unless the node or the store had a fault recently.
-func (fleet *fleet) check(nodes int, storeCalm time.Time) {
+func (fleet *fleet) check(nodes int, storeHealthySince time.Time) {
 	now := time.Now()
 	due := fleet.dueVersion(now)
 	for index := range nodes {
 		node := fleet.nodeAt(address(index))
 		node.mu.Lock()
-		settled := !node.storeRefused && now.Sub(node.faultFreeSince) > inForce+time.Second && now.Sub(storeCalm) > inForce+time.Second
+		settled := !node.storeRefused && now.Sub(node.faultFreeSince) > inForce+time.Second && now.Sub(storeHealthySince) > inForce+time.Second
 		known := node.version
 		node.mu.Unlock()
 		if settled && known < due {
@@ -345,9 +345,9 @@
 
 // step is one event of a history, and the time after it in tenths of a second.
 type step struct {
-	event, node   int
-	deaf, refused bool
-	tenths        int
+	event, node            int
+	isolated, storeRefused bool
+	tenths                 int
 }
 
 // eventKinds is the number of kinds of events that play handles.
@@ -357,7 +357,7 @@
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
 		return step{
 			event: rapid.IntRange(0, eventKinds-1).Draw(t, "event"), node: rapid.IntRange(0, nodes-1).Draw(t, "node"),
-			deaf: rapid.Bool().Draw(t, "deaf"), refused: rapid.Bool().Draw(t, "refused"), tenths: rapid.IntRange(1, 40).Draw(t, "tenths"),
+			isolated: rapid.Bool().Draw(t, "deaf"), storeRefused: rapid.Bool().Draw(t, "refused"), tenths: rapid.IntRange(1, 40).Draw(t, "tenths"),
 		}
 	}), 3, 14).Draw(t, "steps")
 }
@@ -379,9 +379,9 @@
 			publisher.stop()
 			publisher = fleet.startPublisher()
 		case 5, 6:
-			publisher.setFaults(step.deaf, step.refused)
+			publisher.setFaults(step.isolated, step.storeRefused)
 		case 7:
-			fleet.nodeAt(address(step.node)).setFaults(step.deaf, step.refused)
+			fleet.nodeAt(address(step.node)).setFaults(step.isolated, step.storeRefused)
 		case 8: // a restart, planned or not
 			fleet.nodeAt(address(step.node)).stop()
 			fleet.start(step.node, false)
--- a/internal/dissemination/former_build_test.go
+++ b/internal/dissemination/former_build_test.go
@@ -159,10 +159,10 @@
 	rapid.Check(t, func(drawn *rapid.T) {
 		nodes := rapid.IntRange(3, 12).Draw(drawn, "nodes")
 		steps := drawSteps(drawn, nodes)
-		lives := &drawnBuilds{rapid.SliceOfN(rapid.Bool(), nodes, 2*nodes).Draw(drawn, "former lives")}
+		processes := &drawnBuilds{rapid.SliceOfN(rapid.Bool(), nodes, 2*nodes).Draw(drawn, "former processes")}
 		publishers := &drawnBuilds{rapid.SliceOfN(rapid.Bool(), 1, 6).Draw(drawn, "former publishers")}
 		failure := runFleet(t, func(fleet *fleet) {
-			fleet.runFormerBuild(t, func(int) bool { return lives.next() })
+			fleet.runFormerBuild(t, func(int) bool { return processes.next() })
 			fleet.publishesFormer = publishers.next
 			fleet.play(nodes, steps)
 		})
--- a/internal/dissemination/lanes_test.go
+++ b/internal/dissemination/lanes_test.go
@@ -27,18 +27,18 @@
 		name          string
 		known         map[string]metadata.Revision
 		lane          lane
-		told          []*clusterv1.PrefixRevision
+		reported      []*clusterv1.PrefixRevision
 		configuration metadata.Revision
 		replicas      metadata.Revision
 	}{
-		{"the first answer", nil, prompt, revisionsOf(3, 4), 3, 4},
-		{"the other lane has brought more", map[string]metadata.Revision{"op/config": 8, "servers/": 9}, prompt, revisionsOf(10, 5), 10, 9},
-		{"the same, the other way", map[string]metadata.Revision{"op/config": 8, "servers/": 9}, bulk, revisionsOf(7, 11), 8, 11},
-		{"another process", map[string]metadata.Revision{"op/config": 8, "servers/": 9}, prompt, revisionsOf(0, 0), 0, 0},
-		{"another process, the other way", map[string]metadata.Revision{"op/config": 8, "servers/": 9}, bulk, revisionsOf(2, 0), 2, 0},
+		{"first response", nil, prompt, revisionsOf(3, 4), 3, 4},
+		{"the bulk lane has brought more", map[string]metadata.Revision{"op/config": 8, "servers/": 9}, prompt, revisionsOf(10, 5), 10, 9},
+		{"the prompt lane has brought more", map[string]metadata.Revision{"op/config": 8, "servers/": 9}, bulk, revisionsOf(7, 11), 8, 11},
+		{"another process, prompt lane", map[string]metadata.Revision{"op/config": 8, "servers/": 9}, prompt, revisionsOf(0, 0), 0, 0},
+		{"another process, bulk lane", map[string]metadata.Revision{"op/config": 8, "servers/": 9}, bulk, revisionsOf(2, 0), 2, 0},
 	} {
 		state := &receiver{known: check.known}
-		state.recordKnown(topics, check.lane, check.told)
+		state.recordKnown(topics, check.lane, check.reported)
 		must.Eq(t, check.configuration, state.known["op/config"], must.Sprint(check.name))
 		must.Eq(t, check.replicas, state.known["servers/"], must.Sprint(check.name))
 	}
@@ -64,16 +64,16 @@
 // Guards against new processes as relays while enough others are available.
 func TestProcessesThatHaveJustBegunRelayNothing(t *testing.T) {
 	nodes := testNodes(300)
-	isAlone := func(*clusterv1.NodeRecord) bool { return false }
-	hasBegun := func(node *clusterv1.NodeRecord) bool { return node.GetLife()%5 < 2 }
+	excluded := func(*clusterv1.NodeRecord) bool { return false }
+	recent := func(node *clusterv1.NodeRecord) bool { return node.GetLife()%5 < 2 }
 	for index, node := range nodes {
 		node.Life = int64(index)
 	}
-	for _, group := range buildTopology(nodes, 32, isAlone, hasBegun).groups {
-		must.False(t, hasBegun(group.relay))
+	for _, group := range buildTopology(nodes, 32, excluded, recent).groups {
+		must.False(t, recent(group.relay))
 	}
-	allBegun := buildTopology(nodes, 32, isAlone, func(*clusterv1.NodeRecord) bool { return true })
-	must.Positive(t, len(allBegun.groups))
+	allRecent := buildTopology(nodes, 32, excluded, func(*clusterv1.NodeRecord) bool { return true })
+	must.Positive(t, len(allRecent.groups))
 }
 
 // Guards against a relay that reaches an announced revision without any change and waits for the next beacon before it pushes: the nodes
@@ -87,13 +87,13 @@
 		publisher.announced = map[string]metadata.Revision{"servers/": 7}
 		publisher.watchTopics(t.Context())
 		synctest.Wait()
-		<-publisher.wake // what it has known from the start
+		<-publisher.wake // for the initial revision
 		topic.Take(&metadata.Difference{Prefix: "servers/", Base: 2, Revision: 7})
 		synctest.Wait()
 		must.Eq(t, 1, len(publisher.wake))
 		<-publisher.wake
 		topic.Take(&metadata.Difference{Prefix: "servers/", Base: 7, Revision: 9})
 		synctest.Wait()
-		must.Eq(t, 0, len(publisher.wake), must.Sprint("nobody was told of more"))
+		must.Eq(t, 0, len(publisher.wake), must.Sprint("no higher revision was announced"))
 	})
 }
--- a/internal/dissemination/pace_test.go
+++ b/internal/dissemination/pace_test.go
@@ -23,10 +23,10 @@
 				before := fleet.storeCalls()
 				fleet.rollingRestart(nodes, 8*time.Second)
 				time.Sleep(4 * time.Second)
-				asked := fleet.storeCalls() - before
-				t.Logf("%d calls", asked)
-				if most := int64(nodes*callsPerRestart + callsOfPublisher); asked > most {
-					fleet.fail("%d calls, %d are allowed", asked, most)
+				calls := fleet.storeCalls() - before
+				t.Logf("%d calls", calls)
+				if limit := int64(nodes*callsPerRestart + callsOfPublisher); calls > limit {
+					fleet.fail("%d calls, %d are allowed", calls, limit)
 				}
 			})
 			must.Eq(t, "", failure)
--- a/internal/dissemination/receiver_test.go
+++ b/internal/dissemination/receiver_test.go
@@ -17,17 +17,17 @@
 	for _, row := range []struct {
 		name              string
 		since, reported   time.Duration
-		taken             int64
+		acknowledged      int64
 		silent, isNoRelay bool
 	}{
-		{name: "it answered the last beacon", since: 9 * time.Second, reported: beaconInterval, taken: 1},
-		{name: "one beacon was lost", since: 9 * time.Second, reported: 2*beaconInterval + 50*time.Millisecond, taken: 1},
-		{name: "two beacons were lost", since: 9 * time.Second, reported: 3 * beaconInterval, taken: 1, silent: true},
-		{name: "it has just been told", since: time.Second},
-		{name: "it does not begin", since: relayStartTimeout + time.Millisecond, silent: true},
-		{name: "it has nothing to relay", isNoRelay: true},
+		{name: "last beacon answered", since: 9 * time.Second, reported: beaconInterval, acknowledged: 1},
+		{name: "one beacon was lost", since: 9 * time.Second, reported: 2*beaconInterval + 50*time.Millisecond, acknowledged: 1},
+		{name: "two beacons were lost", since: 9 * time.Second, reported: 3 * beaconInterval, acknowledged: 1, silent: true},
+		{name: "just assigned", since: time.Second},
+		{name: "does not start", since: relayStartTimeout + time.Millisecond, silent: true},
+		{name: "nothing assigned", isNoRelay: true},
 	} {
-		state := &relayState{assignedSince: now.Add(-row.since), lastReport: now.Add(-row.reported), acknowledged: row.taken}
+		state := &relayState{assignedSince: now.Add(-row.since), lastReport: now.Add(-row.reported), acknowledged: row.acknowledged}
 		if row.isNoRelay {
 			state.assignedSince = time.Time{}
 		}
@@ -46,7 +46,7 @@
 	must.False(t, state.assign([]*clusterv1.NodeRecord{b, a}, now))
 	must.False(t, state.unsent())
 	must.True(t, state.assign([]*clusterv1.NodeRecord{a, {Name: "b", Life: 2}}, now))
-	must.True(t, state.assign(nil, now), must.Sprint("it is told to relay no more"))
+	must.True(t, state.assign(nil, now), must.Sprint("assignment withdrawn"))
 	must.True(t, state.unsent())
 	must.False(t, state.silent(now.Add(time.Hour)))
 }
--- a/internal/dissemination/relays_test.go
+++ b/internal/dissemination/relays_test.go
@@ -32,12 +32,12 @@
 // Guards against a relay that serves its former and its new sender at the same time: lower relays would receive conflicting assignments,
 // and nodes would be left unserved.
 func TestRelayOfTwoSenders(t *testing.T) {
-	for _, change := range []int64{-1, 0, 1} { // the sender goes by an older, the same or a newer tree
-		testTwoSenders(t, change)
+	for _, treeChange := range []int64{-1, 0, 1} { // the new sender has an older, the same or a newer tree
+		testTwoSenders(t, treeChange)
 	}
 }
 
-func testTwoSenders(t *testing.T, change int64) {
+func testTwoSenders(t *testing.T, treeChange int64) {
 	const nodes = 40
 	failure := runFleet(t, func(fleet *fleet) {
 		fleet.startPublisher()
@@ -52,14 +52,14 @@
 		}
 		assigned := upper.lastAssigned()
 		upper.relays.Assign(&clusterv1.Assignment{
-			Number: 1, Sender: address(publisherIndex + 5), Origin: assigned.GetOrigin(), TreeUs: assigned.GetTreeUs() + change, Nodes: withoutFirst(assigned.GetNodes(), lower.lastAssigned().GetNodes()),
+			Number: 1, Sender: address(publisherIndex + 5), Origin: assigned.GetOrigin(), TreeUs: assigned.GetTreeUs() + treeChange, Nodes: withoutFirst(assigned.GetNodes(), lower.lastAssigned().GetNodes()),
 		})
 		time.Sleep(8 * time.Second)
 		for range 30 {
 			time.Sleep(100 * time.Millisecond)
 			for index := range nodes {
 				if fleet.nodeAt(address(index)).subscriber.Doubts(time.Now()) {
-					fleet.fail("node %d hears no beacon after an assignment %+d", index, change)
+					fleet.fail("node %d receives no beacon after an assignment with a tree version changed by %+d", index, treeChange)
 				}
 			}
 		}
--- a/internal/dissemination/scale_test.go
+++ b/internal/dissemination/scale_test.go
@@ -15,17 +15,17 @@
 // load is what one node sends in a phase, or the maximum over several nodes.
 type load struct{ calls, bytes, datagrams int64 }
 
-func (traffic *sentCounts) load() load {
-	return load{traffic.calls.Load(), traffic.bytes.Load(), traffic.datagrams.Load()}
+func (sent *sentCounts) load() load {
+	return load{sent.calls.Load(), sent.bytes.Load(), sent.datagrams.Load()}
 }
 
 func (after load) minus(before load) load {
 	return load{after.calls - before.calls, after.bytes - before.bytes, after.datagrams - before.datagrams}
 }
 
-func (burden load) max(other load) load {
-	burden.calls, burden.bytes, burden.datagrams = max(burden.calls, other.calls), max(burden.bytes, other.bytes), max(burden.datagrams, other.datagrams)
-	return burden
+func (total load) max(other load) load {
+	total.calls, total.bytes, total.datagrams = max(total.calls, other.calls), max(total.bytes, other.bytes), max(total.datagrams, other.datagrams)
+	return total
 }
 
 // phaseLoads holds the loads of the publisher and of the other nodes, by phase.
@@ -36,33 +36,33 @@
 }
 
 // measure runs a phase and records the loads in it.
-func (burdens *phaseLoads) measure(fleet *fleet, publisher *node, nodes int, phase string, play func()) {
+func (loads *phaseLoads) measure(fleet *fleet, publisher *node, nodes int, phase string, play func()) {
 	before := make([]load, nodes)
 	for index := range nodes {
 		before[index] = fleet.nodeAt(address(index)).sent.load()
 	}
 	own := publisher.sent.load()
 	play()
-	burdens.publisher[phase] = publisher.sent.load().minus(own)
+	loads.publisher[phase] = publisher.sent.load().minus(own)
 	busiest := load{}
 	for index := range nodes {
 		busiest = busiest.max(fleet.nodeAt(address(index)).sent.load().minus(before[index]))
 	}
-	burdens.busiest[phase] = busiest
+	loads.busiest[phase] = busiest
 }
 
 const (
 	phaseStart  = "start"
-	phaseCalm   = "five calm seconds"
+	phaseIdle   = "five idle seconds"
 	phaseChange = "a change"
-	phaseRelay  = "a change as a relay dies"
+	phaseRelay  = "a change while a relay fails"
 )
 
 // playScale starts a fleet, leaves it idle, and applies changes.
 func playScale(t *testing.T, nodes int) phaseLoads {
 	measured := phaseLoads{publisher: make(map[string]load), busiest: make(map[string]load), took: make(map[string]time.Duration)}
 	failure := runFleet(t, func(fleet *fleet) {
-		fleet.fanOut = 0 // as in service
+		fleet.fanOut = 0 // the default
 		publisher := fleet.startPublisher()
 		fleet.configure()
 		for index := range 100 {
@@ -71,7 +71,7 @@
 		fleet.startAll(nodes)
 		measured.measure(fleet, publisher, nodes, phaseStart, func() { time.Sleep(4 * time.Second) })
 		fleet.check(nodes, time.Now().Add(-time.Minute))
-		measured.measure(fleet, publisher, nodes, phaseCalm, func() { time.Sleep(5 * time.Second) })
+		measured.measure(fleet, publisher, nodes, phaseIdle, func() { time.Sleep(5 * time.Second) })
 		measured.measure(fleet, publisher, nodes, phaseChange, func() { measured.took[phaseChange] = fleet.timeChange(nodes) })
 		time.Sleep(time.Second)
 		measured.measure(fleet, publisher, nodes, phaseRelay, func() {
@@ -115,24 +115,24 @@
 			return time.Since(written)
 		}
 	}
-	fleet.fail("a change has not reached all of %d nodes that are not cut off", nodes)
+	fleet.fail("a change has not reached all of %d nodes that are not isolated", nodes)
 	return inForce
 }
 
 // Guards against a load on the publisher or on a relay that grows with the fleet in the idle state and during changes, and against a start
 // that costs the publisher more than a few calls for each relay and a few datagrams for each node.
 func TestBurdenOfPublisherIsBounded(t *testing.T) {
-	const most = 1200
-	many := playScale(t, most)
+	const maxNodes = 1200
+	many := playScale(t, maxNodes)
 	for _, size := range []int{100, 300, 600} {
-		few, factor := playScale(t, size), float64(most)/float64(size)
-		for _, phase := range []string{phaseCalm, phaseChange, phaseRelay} {
+		few, factor := playScale(t, size), float64(maxNodes)/float64(size)
+		for _, phase := range []string{phaseIdle, phaseChange, phaseRelay} {
 			must.LessEq(t, maxGrowthExponent, growthExponent(few.publisher[phase], many.publisher[phase], factor), must.Sprint("publisher from ", size, ", ", phase))
 			must.LessEq(t, maxGrowthExponent, growthExponent(few.busiest[phase], many.busiest[phase], factor), must.Sprint("busiest node from ", size, ", ", phase))
 		}
 	}
 	must.LessEq(t, maxStartCalls, many.publisher[phaseStart].calls)
-	must.LessEq(t, maxStartDatagramsPerNode*most, many.publisher[phaseStart].datagrams)
+	must.LessEq(t, maxStartDatagramsPerNode*maxNodes, many.publisher[phaseStart].datagrams)
 	must.LessEq(t, 100*time.Millisecond, many.took[phaseChange])
 	must.LessEq(t, 1200*time.Millisecond, many.took[phaseRelay])
 }
--- a/internal/dissemination/slow_machines_test.go
+++ b/internal/dissemination/slow_machines_test.go
@@ -25,10 +25,10 @@
 			time.Sleep(250 * time.Millisecond)
 		}
 		time.Sleep(6 * time.Second)
-		asked := fleet.storeCalls() - before
-		t.Logf("%d calls", asked)
-		if most := int64(nodes/2*callsPerRestart + callsOfZoneReaders); asked > most {
-			fleet.fail("%d calls, %d are allowed", asked, most)
+		calls := fleet.storeCalls() - before
+		t.Logf("%d calls", calls)
+		if limit := int64(nodes/2*callsPerRestart + callsOfZoneReaders); calls > limit {
+			fleet.fail("%d calls, %d are allowed", calls, limit)
 		}
 	})
 	must.Eq(t, "", failure)
--- a/internal/dissemination/snapshot_test.go
+++ b/internal/dissemination/snapshot_test.go
@@ -17,7 +17,7 @@
 // Guards against a start without a publisher that lists all replicas from the store although a neighbour has them.
 func TestSnapshotsOfNeighbours(t *testing.T) {
 	const nodes, replicas = 9, 10 * itemsPerPage
-	for _, alone := range []bool{false, true} {
+	for _, isolated := range []bool{false, true} {
 		failure := runFleet(t, func(fleet *fleet) {
 			publisher := fleet.startPublisher()
 			fleet.configure()
@@ -26,17 +26,17 @@
 			time.Sleep(4 * time.Second)
 			publisher.stop()
 			for index := range nodes {
-				fleet.nodeAt(address(index)).setFaults(alone, false)
+				fleet.nodeAt(address(index)).setFaults(isolated, false)
 			}
 			fleet.nodeAt(address(0)).stop()
 			fleet.start(0, false)
 			time.Sleep(2500 * time.Millisecond)
-			begun := fleet.nodeAt(address(0))
-			must.Eq(t, replicas, begun.subscriber.Topics[1].Count())
-			must.Eq(t, alone, begun.sent.storeCalls.Load() > replicas/itemsPerPage, must.Sprint(begun.sent.storeCalls.Load(), " calls"))
+			restarted := fleet.nodeAt(address(0))
+			must.Eq(t, replicas, restarted.subscriber.Topics[1].Count())
+			must.Eq(t, isolated, restarted.sent.storeCalls.Load() > replicas/itemsPerPage, must.Sprint(restarted.sent.storeCalls.Load(), " calls"))
 			_, _ = fleet.store.CommitDirectly(registration("servers/new"))
 			time.Sleep(time.Second)
-			must.Eq(t, replicas+1, begun.subscriber.Topics[1].Count(), must.Sprint("it goes on from there"))
+			must.Eq(t, replicas+1, restarted.subscriber.Topics[1].Count(), must.Sprint("later changes follow"))
 		})
 		must.Eq(t, "", failure)
 	}
@@ -48,14 +48,14 @@
 		fleet.startPublisher()
 		fleet.configure()
 		fleet.registerReplicas(1)
-		fleet.startAll(15) // five of each zone
+		fleet.startAll(15) // five in each zone
 		time.Sleep(4 * time.Second)
 		for index := range 15 {
 			fleet.nodeAt(address(index)).setFaults(index != 0, false)
 		}
-		begun := fleet.nodeAt(address(0))
+		requester := fleet.nodeAt(address(0))
 		unknown := dissemination.Topic{Mirror: metadata.NewMirror("servers/", metadata.Handlers{})}
-		snapshots := &dissemination.Snapshots{Topic: unknown, Nodes: begun.subscriber.Topics[2], Registry: begun.registry, Logger: log.New(io.Discard)}
+		snapshots := &dissemination.Snapshots{Topic: unknown, Nodes: requester.subscriber.Topics[2], Registry: requester.registry, Logger: log.New(io.Discard)}
 		must.Eq(t, cluster.Prefix, snapshots.Nodes.Prefix())
 		started := time.Now()
 		must.False(t, snapshots.Take(context.Background()))
--- a/internal/dissemination/spread_test.go
+++ b/internal/dissemination/spread_test.go
@@ -22,7 +22,7 @@
 
 // Guards against nodes that watch or list the store although there is a publisher: only their registrations may cost calls.
 func TestFleetAsksTheStoreOncePerStart(t *testing.T) {
-	calls := func(nodes int) (calm, rolled int) {
+	calls := func(nodes int) (idle, restarts int) {
 		failure := runFleet(t, func(fleet *fleet) {
 			fleet.startPublisher()
 			fleet.configure()
@@ -31,27 +31,27 @@
 			time.Sleep(5 * time.Second)
 			before := fleet.store.Calls()
 			time.Sleep(10 * time.Second)
-			calm = fleet.store.Calls() - before
+			idle = fleet.store.Calls() - before
 			for index := range nodes {
 				fleet.nodeAt(address(index)).stop()
 				fleet.start(index, false)
 				time.Sleep(50 * time.Millisecond)
 			}
-			rolled = fleet.store.Calls() - before - calm
+			restarts = fleet.store.Calls() - before - idle
 			fleet.check(nodes, time.Now().Add(-time.Minute))
 		})
 		if failure != "" {
 			t.Fatal(failure)
 		}
-		return calm, rolled
+		return idle, restarts
 	}
-	calm, rolled := calls(40)
-	calmFew, rolledFew := calls(10)
-	if calm > calmFew+callsOfPhase {
-		t.Fatalf("%d calls in calm with 40 nodes, %d with 10", calm, calmFew)
+	idle, restarts := calls(40)
+	idleFew, restartsFew := calls(10)
+	if idle > idleFew+callsOfPhase {
+		t.Fatalf("%d calls while idle with 40 nodes, %d with 10", idle, idleFew)
 	}
-	// A restart conflicts with the record of the process before, registers once more, and wakes the publisher's watch at most twice.
-	if grown := rolled - rolledFew; grown > 30*4 {
+	// A restart conflicts with the previous process's record, registers again, and ends the publisher's watch at most twice.
+	if grown := restarts - restartsFew; grown > 30*4 {
 		t.Fatalf("30 more restarts made %d more calls", grown)
 	}
 }
@@ -63,10 +63,10 @@
 		nodes int
 		steps []step
 	}{
-		{"the reader of a zone, which the store refused without its knowing, sent one beacon as a relay, and its neighbours waited for more", 7,
+		{"the reader of a zone sent one beacon before it detected that the store refused it, and its neighbours waited for further beacons", 7,
 			[]step{{1, 0, true, true, 1}, {7, 1, false, true, 12}, {8, 5, false, true, 39}, {8, 5, true, false, 27}, {2, 6, false, false, 23},
 				{4, 4, false, false, 15}, {5, 1, false, true, 2}, {2, 1, true, true, 23}}},
-		{"a node that hears nobody found out late that the store answers", 10,
+		{"an isolated node detected late that the store answers again", 10,
 			[]step{{7, 0, true, false, 39}, {10, 8, true, false, 15}, {2, 6, true, true, 24}}},
 	}
 	for _, c := range cases {
@@ -89,7 +89,7 @@
 		time.Sleep(3 * time.Second)
 		former.setFaults(true, true)
 		fleet.mu.Lock()
-		fleet.nodes[address(publisherIndex+1)] = former // its successor takes its address in the fleet
+		fleet.nodes[address(publisherIndex+1)] = former // the successor is started at the former address
 		fleet.mu.Unlock()
 		fleet.startPublisher()
 		fleet.configure()
--- a/internal/dissemination/subscriber_test.go
+++ b/internal/dissemination/subscriber_test.go
@@ -134,7 +134,7 @@
 			subscriber.take(t, prefix, 5)
 			subscriber.beacons(8, prefix, 5)
 			must.Eq(t, 0, subscriber.reading.Load())
-			subscriber.beacons(2, prefix, 6) // it misses what the beacon tells of
+			subscriber.beacons(2, prefix, 6) // announced but not received
 			must.Eq(t, 1, subscriber.reading.Load())
 			subscriber.take(t, prefix, 6)
 			subscriber.beacons(8, prefix, 6)
@@ -220,7 +220,7 @@
 		subscriber.Health.Observe(errors.New("refused"))
 		time.Sleep(6 * time.Second)
 		subscriber.Health.Observe(nil)
-		time.Sleep(2 * time.Second) // no publisher any more
+		time.Sleep(2 * time.Second) // without a publisher
 		must.Eq(t, 1, subscriber.reading.Load())
 		cancel()
 		synctest.Wait()
@@ -255,7 +255,7 @@
 			subscriber.beacons(8, prefixReplicas, 5)
 			must.Eq(t, 0, subscriber.reading.Load())
 			time.Sleep(limits().Silence - 300*time.Millisecond)
-			subscriber.Health.Observe(nil) // a probe, without which nobody relays
+			subscriber.Health.Observe(nil) // a reader relays only after a successful probe
 			for range 10 {
 				relayed := beacon(prefixReplicas, 5)
 				relayed.Relay = true
@@ -292,7 +292,7 @@
 			go subscriber.Run(ctx)
 			subscriber.take(t, prefixReplicas, 5)
 			subscriber.beacons(4, prefixReplicas, 5)
-			last := time.Now().Add(-400 * time.Millisecond) // beacons waits after each
+			last := time.Now().Add(-400 * time.Millisecond) // fixture.beacons sleeps after each beacon
 			time.Sleep(limits().Silence - 50*time.Millisecond - time.Since(last))
 			subscriber.Health.Observe(nil)
 			time.Sleep(limits().Silence + turn - 50*time.Millisecond - time.Since(last))
@@ -308,10 +308,10 @@
 
 // Guards against limits that leave no time to read the store before a change has to take effect.
 func TestLimitsEndBeforeChangesAreDue(t *testing.T) {
-	for _, due := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, time.Minute} {
-		limits := dissemination.LimitsFor(due, false)
-		must.Less(t, due*4/5, limits.Silence+limits.Relay)
-		must.Less(t, due/3, limits.Lag)
+	for _, inForce := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, time.Minute} {
+		limits := dissemination.LimitsFor(inForce, false)
+		must.Less(t, inForce*4/5, limits.Silence+limits.Relay)
+		must.Less(t, inForce/3, limits.Lag)
 	}
 }
 
@@ -330,7 +330,7 @@
 		fixture.Heard(beacon(prefixConfiguration, 5), nil)
 		must.True(t, upToDate())
 		fixture.Heard(beacon(prefixConfiguration, 9), nil)
-		must.False(t, upToDate(), must.Sprint("a newer revision told of"))
+		must.False(t, upToDate(), must.Sprint("a newer revision was announced"))
 		fixture.take(t, prefixConfiguration, 9)
 		must.True(t, upToDate())
 		fixture.Heard(beacon(prefixReplicas, 12), nil)
@@ -338,6 +338,6 @@
 		time.Sleep(limits().Silence + 10*time.Millisecond)
 		must.False(t, upToDate(), must.Sprint("beacons stopped, nothing read yet"))
 		time.Sleep(time.Second)
-		must.True(t, upToDate(), must.Sprint("it reads the store itself"))
+		must.True(t, upToDate(), must.Sprint("the node reads the store itself"))
 	})
 }
--- a/internal/dissemination/topology_test.go
+++ b/internal/dissemination/topology_test.go
@@ -25,10 +25,10 @@
 
 	relay := changed.groups[0].relay
 	publisher.receivers[processOf(relay)].lanes[prompt].failed = true
-	alone := publisher.currentTopology(fewer, now)
-	must.False(t, sameGroups(changed, alone), must.Sprint("a relay is not reached"))
-	must.False(t, slices.ContainsFunc(alone.groups, func(group group) bool { return group.relay == relay }))
-	must.True(t, slices.Contains(alone.direct, relay))
+	excluded := publisher.currentTopology(fewer, now)
+	must.False(t, sameGroups(changed, excluded), must.Sprint("a relay is not reached"))
+	must.False(t, slices.ContainsFunc(excluded.groups, func(group group) bool { return group.relay == relay }))
+	must.True(t, slices.Contains(excluded.direct, relay))
 
 	later := now.Add(exclusionPeriod + time.Millisecond)
 	for _, state := range publisher.receivers {
@@ -47,11 +47,11 @@
 	for index := range 150 {
 		nodes[2*index].Capabilities = nil
 	}
-	arranged := publisher.currentTopology(nodes, time.Now())
-	must.Positive(t, len(arranged.groups))
+	current := publisher.currentTopology(nodes, time.Now())
+	must.Positive(t, len(current.groups))
 	for index, node := range nodes {
 		former := index%2 == 0
-		must.Eq(t, former, former && slices.Contains(arranged.direct, node))
-		must.False(t, former && slices.ContainsFunc(arranged.groups, func(group group) bool { return group.relay == node }))
+		must.Eq(t, former, former && slices.Contains(current.direct, node))
+		must.False(t, former && slices.ContainsFunc(current.groups, func(group group) bool { return group.relay == node }))
 	}
 }
--- a/internal/dissemination/unread_test.go
+++ b/internal/dissemination/unread_test.go
@@ -34,7 +34,7 @@
 // revision and is not up to date; the other updates of the call are applied.
 func TestUpdatesOfLaterBuilds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		reader := newTestSubscriber()
+		subscriber := newTestSubscriber()
 		number := rapid.Int32Range(20, 500).Draw(t, "field")
 		content := rapid.SliceOf(rapid.Byte()).Draw(t, "content")
 		update := encodeDifference(&metadata.Difference{Prefix: "servers/", Whole: true, Revision: 7, Items: replicaItems(rapid.IntRange(1, 9).Draw(t, "items"))})
@@ -54,16 +54,16 @@
 			update = small
 		}
 		readable := encodeDifference(&metadata.Difference{Prefix: "op/config", Whole: true, Revision: 9, Items: []metadata.Item{{Key: "op/config", Revision: 9}}})
-		reader.Heard(&clusterv1.Beacon{Changed: []*clusterv1.PrefixRevision{{Prefix: "op/config", Revision: 9}}}, nil)
-		response, err := reader.Publish(t.Context(), &clusterv1.PublishRequest{Updates: []*clusterv1.PrefixUpdate{update, readable}})
+		subscriber.Heard(&clusterv1.Beacon{Changed: []*clusterv1.PrefixRevision{{Prefix: "op/config", Revision: 9}}}, nil)
+		response, err := subscriber.Publish(t.Context(), &clusterv1.PublishRequest{Updates: []*clusterv1.PrefixUpdate{update, readable}})
 		must.NoError(t, err)
 		must.Eq(t, []string{"servers/"}, response.GetUnread())
 		must.Eq(t, 0, knownRevision(response, "servers/"))
 		must.Eq(t, 9, knownRevision(response, "op/config"))
-		reader.mu.Lock()
-		_, lacks := reader.laggingSince(reader.Topics[1], time.Now())
-		reader.mu.Unlock()
-		must.True(t, lacks, must.Sprint("it knows that it lacks something"))
+		subscriber.mu.Lock()
+		_, lagging := subscriber.laggingSince(subscriber.Topics[1], time.Now())
+		subscriber.mu.Unlock()
+		must.True(t, lagging, must.Sprint("the unread revision is recorded"))
 	})
 }
 
