--- a/internal/dissemination/limits.go
+++ b/internal/dissemination/limits.go
@@ -4,43 +4,44 @@
 
 // Limits bounds how long a node tolerates missing data from a publisher before it reads the metadata store itself.
 type Limits struct {
-	// Silence is how long beacons may be missing before the reader of a zone reads the store and relays the result to the nodes of its
-	// zone. Relay is how much longer those nodes wait for the reader before they read the store themselves.
-	Silence, Relay time.Duration
-	// Lag is how long a node may lack a revision that a beacon announced, in addition to the pace of the topic.
-	Lag time.Duration
+	// BeaconTimeout is how long beacons may be missing before the reader of a zone reads the store and relays the result to the nodes of
+	// its zone. RelayTimeout is how much longer those nodes wait for the reader before they read the store themselves.
+	BeaconTimeout, RelayTimeout time.Duration
+	// MaxLag is how long a node may lack a revision that a beacon announced, in addition to the pace of the topic.
+	MaxLag time.Duration
 	// Start is how long a new process waits for a publisher.
 	Start time.Duration
 }
 
 const (
-	// maxSilence and maxRelayWait apply when changes have ample time to take effect. maxSilence tolerates two lost beacons; maxRelayWait
-	// covers the time in which a reader reads and publishes.
-	maxSilence   = 1100 * time.Millisecond
-	maxRelayWait = 900 * time.Millisecond
-	// silenceShare, relayShare and lagShare are fractions of the time in which a change has to take effect. They add up to less than 1; a
-	// quarter of the time remains for reading the store if the publisher and the reader of a zone fail at the moment of a change.
-	silenceShare = 0.45
-	relayShare   = 0.3
-	lagShare     = 0.2
-	// startWait covers the interval at which a publisher looks for new nodes (250 ms) and a push.
-	startWait = 400 * time.Millisecond
-	// firstStartWait covers an election and a push to all nodes when the whole deployment starts for the first time and serves no requests
-	// yet.
-	firstStartWait = 4 * time.Second
+	// maxBeaconTimeout and maxRelayTimeout apply when changes have ample time to take effect. maxBeaconTimeout tolerates two lost beacons;
+	// maxRelayTimeout covers the time in which a reader reads and publishes.
+	maxBeaconTimeout = 1100 * time.Millisecond
+	maxRelayTimeout  = 900 * time.Millisecond
+	// beaconTimeoutShare, relayTimeoutShare and lagShare are fractions of the time in which a change has to take effect. They add up to
+	// less than 1; a quarter of the time remains for reading the store if the publisher and the reader of a zone fail at the moment of a
+	// change.
+	beaconTimeoutShare = 0.45
+	relayTimeoutShare  = 0.3
+	lagShare           = 0.2
+	// startTimeout covers the interval at which a publisher looks for new nodes (250 ms) and a push.
+	startTimeout = 400 * time.Millisecond
+	// firstStartTimeout covers an election and a push to all nodes when the whole deployment starts for the first time and serves no
+	// requests yet.
+	firstStartTimeout = 4 * time.Second
 )
 
 // LimitsFor returns the limits for changes that have to take effect within inForce; zero if that time is unknown. firstStart is true when
 // the whole deployment starts for the first time.
 func LimitsFor(inForce time.Duration, firstStart bool) Limits {
-	limits := Limits{Silence: maxSilence, Relay: maxRelayWait, Lag: maxLag, Start: startWait}
+	limits := Limits{BeaconTimeout: maxBeaconTimeout, RelayTimeout: maxRelayTimeout, MaxLag: maxLag, Start: startTimeout}
 	if inForce > 0 {
-		limits.Silence = min(maxSilence, fraction(inForce, silenceShare))
-		limits.Relay = min(maxRelayWait, fraction(inForce, relayShare))
-		limits.Lag = min(maxLag, fraction(inForce, lagShare))
+		limits.BeaconTimeout = min(maxBeaconTimeout, fraction(inForce, beaconTimeoutShare))
+		limits.RelayTimeout = min(maxRelayTimeout, fraction(inForce, relayTimeoutShare))
+		limits.MaxLag = min(maxLag, fraction(inForce, lagShare))
 	}
 	if firstStart {
-		limits.Start = firstStartWait
+		limits.Start = firstStartTimeout
 	}
 	return limits
 }
--- a/internal/dissemination/publisher.go
+++ b/internal/dissemination/publisher.go
@@ -17,7 +17,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/telemetry"
 )
 
-// beaconInterval is the time between two beacons when nothing changes. It is short enough that Limits.Silence spans two beacons.
+// beaconInterval is the time between two beacons when nothing changes. It is short enough that Limits.BeaconTimeout spans two beacons.
 const beaconInterval = 400 * time.Millisecond
 
 // Publisher pushes topics to nodes and sends beacons. It serves a bounded number of nodes directly; the others are served by relays, each
--- a/internal/dissemination/push.go
+++ b/internal/dissemination/push.go
@@ -100,7 +100,7 @@
 		cancel()
 		if err != nil {
 			publisher.Metrics.Published("failed", time.Since(started))
-			publisher.Logger.Warn("not published", "node", key.node, "life", key.life, "updates", len(request.GetUpdates()), "error", err)
+			publisher.Logger.Warn("not published", "node", key.node, "life", key.incarnation, "updates", len(request.GetUpdates()), "error", err)
 			return
 		}
 		publisher.Metrics.Published("ok", time.Since(started))
@@ -119,7 +119,7 @@
 		if !update.GetWhole() && len(update.GetPacked()) == 0 {
 			continue
 		}
-		publisher.Logger.Info("update pushed", "node", key.node, "life", key.life, "prefix", update.GetPrefix(), "base", update.GetBaseRevision(),
+		publisher.Logger.Info("update pushed", "node", key.node, "life", key.incarnation, "prefix", update.GetPrefix(), "base", update.GetBaseRevision(),
 			"revision", update.GetRevision(), "whole", update.GetWhole(), "packed", len(update.GetPacked()) > 0, "bytes", proto.Size(update),
 			"known", knownRevision(response, update.GetPrefix()))
 	}
--- a/internal/dissemination/receiver.go
+++ b/internal/dissemination/receiver.go
@@ -10,8 +10,8 @@
 
 // process identifies one incarnation of a node.
 type process struct {
-	node string
-	life int64
+	node        string
+	incarnation int64
 }
 
 func processOf(record *clusterv1.NodeRecord) process {
--- a/internal/dissemination/relay.go
+++ b/internal/dissemination/relay.go
@@ -14,7 +14,7 @@
 )
 
 // assignmentExpiry is how long a node serves an assignment without a beacon of its sender. It exceeds the time after which the assigned
-// nodes turn to another source (the sum of Limits.Silence and Limits.Relay).
+// nodes turn to another source (the sum of Limits.BeaconTimeout and Limits.RelayTimeout).
 const assignmentExpiry = 3 * time.Second
 
 // Relays serves the nodes that publishers and other relays assign to this node. It forwards the beacons of these senders and pushes updates
@@ -69,7 +69,7 @@
 		return
 	}
 	if current == nil {
-		current = relays.begin(origin)
+		current = relays.addOrigin(origin)
 	}
 	current.assign(assignment, now)
 	if relays.lastBeacon != nil && relays.lastSender == sender && beaconOrigin(relays.lastBeacon) == origin {
@@ -78,12 +78,12 @@
 	current.publisher.requestRound()
 }
 
-// begin starts relaying for an origin. The caller holds mu.
-func (relays *Relays) begin(origin process) *relayedOrigin {
+// addOrigin starts relaying for an origin. The caller holds mu.
+func (relays *Relays) addOrigin(origin process) *relayedOrigin {
 	ctx, stop := context.WithCancel(relays.ctx)
 	created := &relayedOrigin{stop: stop}
 	created.publisher = &Publisher{
-		Node: origin.node, Life: origin.life, Topics: withoutPace(relays.Topics), Registry: relays.Registry, Nodes: created.nodes, TreeVersion: created.treeVersion,
+		Node: origin.node, Life: origin.incarnation, Topics: withoutPace(relays.Topics), Registry: relays.Registry, Nodes: created.nodes, TreeVersion: created.treeVersion,
 		Address: relays.Address, Datagrams: relays.Datagrams, Logger: relays.Logger, Metrics: relays.Metrics, FanOut: relays.FanOut,
 	}
 	created.publisher.initialize()
--- a/internal/dissemination/subscriber.go
+++ b/internal/dissemination/subscriber.go
@@ -147,11 +147,11 @@
 	return &clusterv1.PingResponse{Name: subscriber.Node, Life: subscriber.Life}, nil
 }
 
-// Publisher returns the address of the publisher that issued the last beacon; nil if none arrived within Limits.Silence.
+// Publisher returns the address of the publisher that issued the last beacon; nil if none arrived within Limits.BeaconTimeout.
 func (subscriber *Subscriber) Publisher() net.Addr {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
-	if time.Since(subscriber.lastPublisherBeaconAt) > subscriber.Limits.Silence {
+	if time.Since(subscriber.lastPublisherBeaconAt) > subscriber.Limits.BeaconTimeout {
 		return nil
 	}
 	return subscriber.publisherAddress
@@ -163,11 +163,11 @@
 	Term          int64
 }
 
-// Collector returns the collector that issued the last beacon; nil if none arrived within Limits.Silence.
+// Collector returns the collector that issued the last beacon; nil if none arrived within Limits.BeaconTimeout.
 func (subscriber *Subscriber) Collector() *Collector {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
-	if subscriber.term == 0 || subscriber.publisherAddress == nil || time.Since(subscriber.lastPublisherBeaconAt) > subscriber.Limits.Silence {
+	if subscriber.term == 0 || subscriber.publisherAddress == nil || time.Since(subscriber.lastPublisherBeaconAt) > subscriber.Limits.BeaconTimeout {
 		return nil
 	}
 	return &Collector{Node: subscriber.publisher, Address: subscriber.publisherAddress.String(), Term: subscriber.term}
@@ -211,7 +211,7 @@
 	if subscriber.reading {
 		return subscriber.Health.Good() && now.Sub(subscriber.readingSince) > firstReadTimeout
 	}
-	if subscriber.lastBeaconAt.IsZero() || elapsed-subscriber.lastBeaconElapsed > subscriber.Limits.Silence {
+	if subscriber.lastBeaconAt.IsZero() || elapsed-subscriber.lastBeaconElapsed > subscriber.Limits.BeaconTimeout {
 		return false
 	}
 	for _, topic := range subscriber.Topics {
@@ -279,7 +279,7 @@
 		case changed && reading:
 			subscriber.Logger.Warn("reading the store", "reason", reason)
 			subscriber.Metrics.Reading(reason)
-			reader = subscriber.beginReading(ctx)
+			reader = subscriber.startReading(ctx)
 		case changed:
 			subscriber.Logger.Info("stopped reading the store", "store_answers", subscriber.Health.Good())
 			reader.stop()
@@ -303,7 +303,7 @@
 	relaying   bool
 }
 
-func (subscriber *Subscriber) beginReading(ctx context.Context) *storeReader {
+func (subscriber *Subscriber) startReading(ctx context.Context) *storeReader {
 	readCtx, stop := context.WithCancel(ctx)
 	go subscriber.Follow(readCtx)
 	return &storeReader{subscriber: subscriber, ctx: readCtx, stop: stop}
@@ -335,7 +335,7 @@
 	rank := subscriber.ReaderRank()
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
-	return rank == 0 || (rank > 0 && now.Sub(subscriber.lastBeaconAt) > subscriber.Limits.Silence)
+	return rank == 0 || (rank > 0 && now.Sub(subscriber.lastBeaconAt) > subscriber.Limits.BeaconTimeout)
 }
 
 // check decides whether this node reads the store. reason is what it lacks, empty for nothing.
@@ -345,7 +345,7 @@
 	elapsed := subscriber.elapsed()
 	if pause := elapsed - subscriber.lastCheckElapsed; pause > pauseThreshold {
 		subscriber.shiftTimes(pause - now.Sub(subscriber.lastCheckAt))
-		subscriber.restartSilence(now.Add(resumeTimeout - subscriber.Limits.Silence))
+		subscriber.restartSilence(now.Add(resumeTimeout - subscriber.Limits.BeaconTimeout))
 		subscriber.readingSince = now // data read so far may be as old as the pause
 	}
 	subscriber.lastCheckAt, subscriber.lastCheckElapsed = now, elapsed
@@ -390,7 +390,7 @@
 		return "no beacon"
 	}
 	for _, topic := range subscriber.Topics {
-		if since, lagging := subscriber.laggingSince(topic, now); lagging && now.Sub(since) > subscriber.Limits.Lag+topic.allowance() {
+		if since, lagging := subscriber.laggingSince(topic, now); lagging && now.Sub(since) > subscriber.Limits.MaxLag+topic.allowance() {
 			return "behind on " + topic.Prefix()
 		}
 	}
@@ -414,14 +414,14 @@
 	}
 	switch {
 	case subscriber.ReaderRank == nil:
-		return now.Sub(later(subscriber.lastBeaconAt, since)) > subscriber.Limits.Silence
+		return now.Sub(later(subscriber.lastBeaconAt, since)) > subscriber.Limits.BeaconTimeout
 	case rank == 0:
-		return now.Sub(later(subscriber.lastPublisherBeaconAt, since)) > subscriber.Limits.Silence
+		return now.Sub(later(subscriber.lastPublisherBeaconAt, since)) > subscriber.Limits.BeaconTimeout
 	case rank < 0:
 		rank = readersPerZone
 	}
-	delay := subscriber.Limits.Relay * time.Duration(rank) / readersPerZone
-	return now.Sub(later(subscriber.lastBeaconAt, since)) > subscriber.Limits.Silence+delay
+	delay := subscriber.Limits.RelayTimeout * time.Duration(rank) / readersPerZone
+	return now.Sub(later(subscriber.lastBeaconAt, since)) > subscriber.Limits.BeaconTimeout+delay
 }
 
 // laggingSince reports whether this node has not reached an announced revision of a topic, and since when. It tracks one revision until it
--- a/internal/dissemination/subscriber_test.go
+++ b/internal/dissemination/subscriber_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// take publishes a snapshot of one key at a revision.
-func (fixture *fixture) take(t *testing.T, prefix string, revision int64) {
+// publishSnapshot publishes a snapshot of one key at a revision.
+func (fixture *fixture) publishSnapshot(t *testing.T, prefix string, revision int64) {
 	t.Helper()
 	_, err := fixture.Publish(t.Context(), &clusterv1.PublishRequest{Updates: []*clusterv1.PrefixUpdate{
 		{Prefix: prefix, Revision: revision, Whole: true, Items: []*clusterv1.StoredItem{{Key: prefix + "1", Revision: revision}}},
@@ -117,7 +117,7 @@
 		subscriber.Heard(&clusterv1.Beacon{}, nil)
 		ctx, cancel := context.WithCancel(t.Context())
 		go subscriber.Run(ctx)
-		time.Sleep(limits().Silence + 200*time.Millisecond)
+		time.Sleep(limits().BeaconTimeout + 200*time.Millisecond)
 		must.Eq(t, 1, subscriber.reading.Load())
 		cancel()
 		synctest.Wait()
@@ -131,12 +131,12 @@
 			subscriber := newFixture()
 			ctx, cancel := context.WithCancel(t.Context())
 			go subscriber.Run(ctx)
-			subscriber.take(t, prefix, 5)
+			subscriber.publishSnapshot(t, prefix, 5)
 			subscriber.beacons(8, prefix, 5)
 			must.Eq(t, 0, subscriber.reading.Load())
 			subscriber.beacons(2, prefix, 6) // announced but not received
 			must.Eq(t, 1, subscriber.reading.Load())
-			subscriber.take(t, prefix, 6)
+			subscriber.publishSnapshot(t, prefix, 6)
 			subscriber.beacons(8, prefix, 6)
 			must.Eq(t, 0, subscriber.reading.Load())
 			time.Sleep(1500 * time.Millisecond)
@@ -153,7 +153,7 @@
 		subscriber := newFixture()
 		ctx, cancel := context.WithCancel(t.Context())
 		go subscriber.Run(ctx)
-		subscriber.take(t, prefixNodes, 5)
+		subscriber.publishSnapshot(t, prefixNodes, 5)
 		subscriber.beacons(3, prefixNodes, 6)
 		must.Eq(t, 0, subscriber.reading.Load())
 		subscriber.beacons(2, prefixNodes, 6)
@@ -189,7 +189,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go subscriber.Run(ctx)
 		time.Sleep(300 * time.Millisecond)
-		subscriber.take(t, prefixReplicas, 5)
+		subscriber.publishSnapshot(t, prefixReplicas, 5)
 		for range 20 {
 			subscriber.beacons(1, prefixReplicas, 5)
 			must.Eq(t, 0, subscriber.reading.Load())
@@ -230,7 +230,7 @@
 // Guards against a lagging publisher that replaces keys by an older revision.
 func TestOlderKeysAreRefused(t *testing.T) {
 	subscriber := newFixture()
-	subscriber.take(t, prefixReplicas, 9)
+	subscriber.publishSnapshot(t, prefixReplicas, 9)
 	response, err := subscriber.Publish(t.Context(), &clusterv1.PublishRequest{Updates: []*clusterv1.PrefixUpdate{{Prefix: prefixReplicas, Revision: 8, Whole: true}}})
 	must.NoError(t, err)
 	must.Eq(t, 9, response.GetKnown()[1].GetRevision())
@@ -251,10 +251,10 @@
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			go subscriber.Run(ctx)
-			subscriber.take(t, prefixReplicas, 5)
+			subscriber.publishSnapshot(t, prefixReplicas, 5)
 			subscriber.beacons(8, prefixReplicas, 5)
 			must.Eq(t, 0, subscriber.reading.Load())
-			time.Sleep(limits().Silence - 300*time.Millisecond)
+			time.Sleep(limits().BeaconTimeout - 300*time.Millisecond)
 			subscriber.Health.Observe(nil) // a reader relays only after a successful probe
 			for range 10 {
 				relayed := beacon(prefixReplicas, 5)
@@ -279,7 +279,7 @@
 
 // Guards against a zone without a reader: if the first reader relays nothing, the next one takes over.
 func TestReadersTakeTurns(t *testing.T) {
-	for rank, turn := range []time.Duration{0, limits().Relay / 3, limits().Relay * 2 / 3, limits().Relay} {
+	for rank, turn := range []time.Duration{0, limits().RelayTimeout / 3, limits().RelayTimeout * 2 / 3, limits().RelayTimeout} {
 		synctest.Test(t, func(t *testing.T) {
 			subscriber := newFixture()
 			relaying := atomic.Int32{}
@@ -290,12 +290,12 @@
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			go subscriber.Run(ctx)
-			subscriber.take(t, prefixReplicas, 5)
+			subscriber.publishSnapshot(t, prefixReplicas, 5)
 			subscriber.beacons(4, prefixReplicas, 5)
 			last := time.Now().Add(-400 * time.Millisecond) // fixture.beacons sleeps after each beacon
-			time.Sleep(limits().Silence - 50*time.Millisecond - time.Since(last))
+			time.Sleep(limits().BeaconTimeout - 50*time.Millisecond - time.Since(last))
 			subscriber.Health.Observe(nil)
-			time.Sleep(limits().Silence + turn - 50*time.Millisecond - time.Since(last))
+			time.Sleep(limits().BeaconTimeout + turn - 50*time.Millisecond - time.Since(last))
 			must.Eq(t, 0, subscriber.reading.Load(), must.Sprint("rank ", rank))
 			time.Sleep(250 * time.Millisecond)
 			must.Eq(t, 1, subscriber.reading.Load(), must.Sprint("rank ", rank))
@@ -310,8 +310,8 @@
 func TestLimitsEndBeforeChangesAreDue(t *testing.T) {
 	for _, inForce := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, time.Minute} {
 		limits := dissemination.LimitsFor(inForce, false)
-		must.Less(t, inForce*4/5, limits.Silence+limits.Relay)
-		must.Less(t, inForce/3, limits.Lag)
+		must.Less(t, inForce*4/5, limits.BeaconTimeout+limits.RelayTimeout)
+		must.Less(t, inForce/3, limits.MaxLag)
 	}
 }
 
@@ -326,16 +326,16 @@
 		synctest.Wait()
 		upToDate := func() bool { return fixture.UpToDate(prefixConfiguration, time.Now()) }
 		must.False(t, upToDate(), must.Sprint("before any beacon"))
-		fixture.take(t, prefixConfiguration, 5)
+		fixture.publishSnapshot(t, prefixConfiguration, 5)
 		fixture.Heard(beacon(prefixConfiguration, 5), nil)
 		must.True(t, upToDate())
 		fixture.Heard(beacon(prefixConfiguration, 9), nil)
 		must.False(t, upToDate(), must.Sprint("a newer revision was announced"))
-		fixture.take(t, prefixConfiguration, 9)
+		fixture.publishSnapshot(t, prefixConfiguration, 9)
 		must.True(t, upToDate())
 		fixture.Heard(beacon(prefixReplicas, 12), nil)
 		must.True(t, upToDate(), must.Sprint("another topic"))
-		time.Sleep(limits().Silence + 10*time.Millisecond)
+		time.Sleep(limits().BeaconTimeout + 10*time.Millisecond)
 		must.False(t, upToDate(), must.Sprint("beacons stopped, nothing read yet"))
 		time.Sleep(time.Second)
 		must.True(t, upToDate(), must.Sprint("the node reads the store itself"))
--- a/internal/dissemination/topic.go
+++ b/internal/dissemination/topic.go
@@ -32,7 +32,7 @@
 // needs to load a full snapshot. Reading the store takes as long, and no requests are sent to the process until it knows replicas.
 const snapshotAllowance = 700 * time.Millisecond
 
-// allowance returns how long a process may lack a change of the topic in addition to Limits.Lag.
+// allowance returns how long a process may lack a change of the topic in addition to Limits.MaxLag.
 func (topic Topic) allowance() time.Duration {
 	if topic.Bulk && topic.Revision() == 0 {
 		return topic.Pace + snapshotAllowance
--- a/internal/dissemination/topology.go
+++ b/internal/dissemination/topology.go
@@ -84,7 +84,7 @@
 		}
 		state.relay.assignment.Sender, state.relay.assignment.TreeUs = publisher.Address, version
 		state.relay.assignment.Origin = &clusterv1.Origin{Name: publisher.Node, Life: publisher.Life}
-		publisher.Logger.Info("relay assigned", "node", key.node, "life", key.life, "assignment", state.relay.assignment.GetNumber(), "nodes", len(served[key]))
+		publisher.Logger.Info("relay assigned", "node", key.node, "life", key.incarnation, "assignment", state.relay.assignment.GetNumber(), "nodes", len(served[key]))
 	}
 }
 
@@ -108,7 +108,7 @@
 	}
 	for key, state := range publisher.receivers {
 		if relay := &state.relay; relay.silent(now) || (!relay.assignedSince.IsZero() && state.failed()) {
-			publisher.Logger.Warn("relay silent", "node", key.node, "life", key.life, "took", relay.acknowledged, "push_failed", state.failed(), "nodes", len(relay.assignment.GetNodes()))
+			publisher.Logger.Warn("relay silent", "node", key.node, "life", key.incarnation, "took", relay.acknowledged, "push_failed", state.failed(), "nodes", len(relay.assignment.GetNodes()))
 			publisher.Metrics.RelayLost()
 			publisher.exclude(key, now)
 		}
