--- a/internal/dissemination/spread_test.go
+++ b/internal/dissemination/spread_test.go
@@ -9,7 +9,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata"
 )
 
-// Whatever becomes of the publisher, a node that the store answers has each configuration in time, and none goes back.
+// Guards against nodes that receive a configuration late or return to an older one, whatever happens to the publisher.
 func TestChangesReachEveryNodeInTime(t *testing.T) {
 	rapid.Check(t, func(drawn *rapid.T) {
 		nodes := rapid.IntRange(3, 12).Draw(drawn, "nodes")
@@ -20,9 +20,9 @@
 	})
 }
 
-// With a publisher, the calls of all nodes are as many as their starts, beside those of the publisher: none watches or lists.
+// Guards against nodes that watch or list the store although there is a publisher: only their registrations may cost calls.
 func TestFleetAsksTheStoreOncePerStart(t *testing.T) {
-	calls := func(nodes int) (calm, rolled int) {
+	calls := func(nodes int) (idle, restarts int) {
 		failure := runFleet(t, func(fleet *fleet) {
 			fleet.startPublisher()
 			fleet.configure()
@@ -31,42 +31,42 @@
 			time.Sleep(5 * time.Second)
 			before := fleet.store.Calls()
 			time.Sleep(10 * time.Second)
-			calm = fleet.store.Calls() - before
+			idle = fleet.store.Calls() - before
 			for index := range nodes {
-				fleet.at(address(index)).stop()
+				fleet.nodeAt(address(index)).stop()
 				fleet.start(index, false)
 				time.Sleep(50 * time.Millisecond)
 			}
-			rolled = fleet.store.Calls() - before - calm
+			restarts = fleet.store.Calls() - before - idle
 			fleet.check(nodes, time.Now().Add(-time.Minute))
 		})
 		if failure != "" {
 			t.Fatal(failure)
 		}
-		return calm, rolled
+		return idle, restarts
 	}
-	calm, rolled := calls(40)
-	calmFew, rolledFew := calls(10)
-	if calm > calmFew+callsOfPhase {
-		t.Fatalf("%d calls in calm with 40 nodes, %d with 10", calm, calmFew)
+	idle, restarts := calls(40)
+	idleFew, restartsFew := calls(10)
+	if idle > idleFew+callsOfPhase {
+		t.Fatalf("%d calls while idle with 40 nodes, %d with 10", idle, idleFew)
 	}
-	// A restart conflicts with the record of the process before, registers once more, and wakes the publisher's watch at most twice.
-	if grown := rolled - rolledFew; grown > 30*4 {
+	// A restart conflicts with the previous process's record, registers again, and ends the publisher's watch at most twice.
+	if grown := restarts - restartsFew; grown > 30*4 {
 		t.Fatalf("30 more restarts made %d more calls", grown)
 	}
 }
 
-// Histories that failed once.
+// Replays histories that failed before.
 func TestFailedFleetHistories(t *testing.T) {
 	cases := []struct {
 		cause string
 		nodes int
 		steps []step
 	}{
-		{"the reader of a zone, which the store refused without its knowing, sent one beacon as a relay, and its neighbours waited for more", 7,
+		{"the reader of a zone sent one beacon before it detected that the store refused it, and its neighbours waited for further beacons", 7,
 			[]step{{1, 0, true, true, 1}, {7, 1, false, true, 12}, {8, 5, false, true, 39}, {8, 5, true, false, 27}, {2, 6, false, false, 23},
 				{4, 4, false, false, 15}, {5, 1, false, true, 2}, {2, 1, true, true, 23}}},
-		{"a node that hears nobody found out late that the store answers", 10,
+		{"an isolated node detected late that the store answers again", 10,
 			[]step{{7, 0, true, false, 39}, {10, 8, true, false, 15}, {2, 6, true, true, 24}}},
 	}
 	for _, c := range cases {
@@ -78,8 +78,8 @@
 	}
 }
 
-// A publisher that was cut from the store, and superseded, comes back for a moment after it has read all again: nobody lacks anything
-// because of that, and nobody reads the store for ever after.
+// Guards against nodes that read the store because a superseded publisher, which was cut off from the store, announces a newer revision for
+// a moment.
 func TestFormerPublisherLeavesNobodyBehind(t *testing.T) {
 	failure := runFleet(t, func(fleet *fleet) {
 		former := fleet.startPublisher()
@@ -87,21 +87,21 @@
 		_, _ = fleet.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: "servers/1"}}})
 		fleet.startAll(12)
 		time.Sleep(3 * time.Second)
-		former.set(true, true)
+		former.setFaults(true, true)
 		fleet.mu.Lock()
-		fleet.nodes[address(publisherAt+1)] = former // its successor takes its address in the fleet
+		fleet.nodes[address(publisherIndex+1)] = former // the successor is started at the former address
 		fleet.mu.Unlock()
 		fleet.startPublisher()
 		fleet.configure()
 		time.Sleep(4 * time.Second)
 		fleet.store.Compact()
 		_, _ = fleet.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: "unrelated"}}})
-		former.set(false, false)
+		former.setFaults(false, false)
 		time.Sleep(150 * time.Millisecond)
 		former.stop()
 		time.Sleep(3 * time.Second)
 		for index := range 12 {
-			if subscriber := fleet.at(address(index)).subscriber; subscriber.Doubts(time.Now()) {
+			if subscriber := fleet.nodeAt(address(index)).subscriber; subscriber.Doubts(time.Now()) {
 				fleet.fail("front %d reads the store", index)
 			}
 		}
@@ -111,5 +111,5 @@
 	}
 }
 
-// callsOfPhase is how many more calls the publisher's own watches and probes make in ten seconds that begin at another moment.
+// callsOfPhase allows for the publisher's watches and probes in ten seconds that start at another moment.
 const callsOfPhase = 5
--- a/internal/dissemination/subscriber_test.go
+++ b/internal/dissemination/subscriber_test.go
@@ -25,7 +25,7 @@
 	prefixNodes         = "nodes/"
 )
 
-// keys is a handler that holds the keys which a node knows.
+// keys is a handler that records the keys of a topic.
 type keys struct {
 	mu   sync.Mutex
 	list map[string]metadata.Revision
@@ -58,7 +58,7 @@
 	return len(keys.list)
 }
 
-// fixture is a subscriber whose reading of the store is counted.
+// fixture is a subscriber that records whether it reads the store.
 type fixture struct {
 	*dissemination.Subscriber
 	store    *memstore.Store
@@ -68,7 +68,7 @@
 
 const nodesPace = time.Second
 
-// limits are those of deployments on which a change has to be in force within two seconds.
+// limits returns the limits of deployments in which a change has to take effect within two seconds.
 func limits() dissemination.Limits { return dissemination.LimitsFor(2*time.Second, false) }
 
 func newFixture() *fixture {
@@ -101,8 +101,8 @@
 	}
 }
 
-// take publishes all keys of the replicas, which is one, as of a revision.
-func (fixture *fixture) take(t *testing.T, prefix string, revision int64) {
+// publishSnapshot publishes a snapshot of one key at a revision.
+func (fixture *fixture) publishSnapshot(t *testing.T, prefix string, revision int64) {
 	t.Helper()
 	_, err := fixture.Publish(t.Context(), &clusterv1.PublishRequest{Updates: []*clusterv1.PrefixUpdate{
 		{Prefix: prefix, Revision: revision, Whole: true, Items: []*clusterv1.StoredItem{{Key: prefix + "1", Revision: revision}}},
@@ -110,33 +110,33 @@
 	must.NoError(t, err)
 }
 
-// A beacon that was heard before the first check crashed the process.
+// Guards against a crash when a beacon arrives before the first check.
 func TestBeaconBeforeFirstCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		subscriber := newFixture()
 		subscriber.Heard(&clusterv1.Beacon{}, nil)
 		ctx, cancel := context.WithCancel(t.Context())
 		go subscriber.Run(ctx)
-		time.Sleep(limits().Silence + 200*time.Millisecond)
+		time.Sleep(limits().BeaconTimeout + 200*time.Millisecond)
 		must.Eq(t, 1, subscriber.reading.Load())
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// A node reads the store itself unless beacons come and it has what they tell of: of each topic.
+// Guards against a node that does not read the store, for any topic, when beacons stop or it lacks an announced revision.
 func TestReadsStoreWithoutBeacons(t *testing.T) {
 	for _, prefix := range []string{prefixConfiguration, prefixReplicas} {
 		synctest.Test(t, func(t *testing.T) {
 			subscriber := newFixture()
 			ctx, cancel := context.WithCancel(t.Context())
 			go subscriber.Run(ctx)
-			subscriber.take(t, prefix, 5)
+			subscriber.publishSnapshot(t, prefix, 5)
 			subscriber.beacons(8, prefix, 5)
 			must.Eq(t, 0, subscriber.reading.Load())
-			subscriber.beacons(2, prefix, 6) // it misses what the beacon tells of
+			subscriber.beacons(2, prefix, 6) // announced but not received
 			must.Eq(t, 1, subscriber.reading.Load())
-			subscriber.take(t, prefix, 6)
+			subscriber.publishSnapshot(t, prefix, 6)
 			subscriber.beacons(8, prefix, 6)
 			must.Eq(t, 0, subscriber.reading.Load())
 			time.Sleep(1500 * time.Millisecond)
@@ -147,13 +147,13 @@
 	}
 }
 
-// A topic that is pushed at a pace may lack changes for that long, and no longer than that.
+// Guards against reading the store within the pace of a topic, and against lagging for longer.
 func TestPacedTopicMayLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		subscriber := newFixture()
 		ctx, cancel := context.WithCancel(t.Context())
 		go subscriber.Run(ctx)
-		subscriber.take(t, prefixNodes, 5)
+		subscriber.publishSnapshot(t, prefixNodes, 5)
 		subscriber.beacons(3, prefixNodes, 6)
 		must.Eq(t, 0, subscriber.reading.Load())
 		subscriber.beacons(2, prefixNodes, 6)
@@ -163,7 +163,7 @@
 	})
 }
 
-// A process that has just begun waits for a publisher, longer when the whole deployment begins, and then reads the store.
+// Guards against a new process that reads the store before it has waited for a publisher, or not at all.
 func TestStartWaitsForPublisher(t *testing.T) {
 	for _, first := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -182,14 +182,14 @@
 	}
 }
 
-// Whoever starts and is published to in time does not read the store at all.
+// Guards against a new process that reads the store although a publisher reaches it in time.
 func TestStartWithPublisherReadsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		subscriber := newFixture()
 		ctx, cancel := context.WithCancel(t.Context())
 		go subscriber.Run(ctx)
 		time.Sleep(300 * time.Millisecond)
-		subscriber.take(t, prefixReplicas, 5)
+		subscriber.publishSnapshot(t, prefixReplicas, 5)
 		for range 20 {
 			subscriber.beacons(1, prefixReplicas, 5)
 			must.Eq(t, 0, subscriber.reading.Load())
@@ -200,7 +200,7 @@
 	})
 }
 
-// A node that the store does not answer reads nothing of it, and waits for a beacon when it answers again before it does.
+// Guards against reading a store that does not answer, and against reading it before a beacon could arrive when it answers again.
 func TestLostStoreIsNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		subscriber := newFixture()
@@ -220,25 +220,24 @@
 		subscriber.Health.Observe(errors.New("refused"))
 		time.Sleep(6 * time.Second)
 		subscriber.Health.Observe(nil)
-		time.Sleep(2 * time.Second) // no publisher any more
+		time.Sleep(2 * time.Second) // without a publisher
 		must.Eq(t, 1, subscriber.reading.Load())
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// Keys of an older revision, from a publisher that lags, do not replace newer ones.
+// Guards against a lagging publisher that replaces keys by an older revision.
 func TestOlderKeysAreRefused(t *testing.T) {
 	subscriber := newFixture()
-	subscriber.take(t, prefixReplicas, 9)
+	subscriber.publishSnapshot(t, prefixReplicas, 9)
 	response, err := subscriber.Publish(t.Context(), &clusterv1.PublishRequest{Updates: []*clusterv1.PrefixUpdate{{Prefix: prefixReplicas, Revision: 8, Whole: true}}})
 	must.NoError(t, err)
 	must.Eq(t, 9, response.GetKnown()[1].GetRevision())
 	must.Eq(t, 1, subscriber.replicas.count())
 }
 
-// While no publisher is heard, the reader of a zone reads the store and relays; the others rely on it, and read themselves if it
-// relays nothing either.
+// Guards against several readers in a zone: without a publisher only the reader reads and relays, unless it relays nothing.
 func TestZonesHaveOneReader(t *testing.T) {
 	for _, reader := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -252,11 +251,11 @@
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			go subscriber.Run(ctx)
-			subscriber.take(t, prefixReplicas, 5)
+			subscriber.publishSnapshot(t, prefixReplicas, 5)
 			subscriber.beacons(8, prefixReplicas, 5)
 			must.Eq(t, 0, subscriber.reading.Load())
-			time.Sleep(limits().Silence - 300*time.Millisecond)
-			subscriber.Health.Observe(nil) // a probe, without which nobody relays
+			time.Sleep(limits().BeaconTimeout - 300*time.Millisecond)
+			subscriber.Health.Observe(nil) // a reader relays only after a successful probe
 			for range 10 {
 				relayed := beacon(prefixReplicas, 5)
 				relayed.Relay = true
@@ -278,9 +277,9 @@
 	}
 }
 
-// When the first reader of a zone relays nothing the next one takes its place, and the others rely on that one.
+// Guards against a zone without a reader: if the first reader relays nothing, the next one takes over.
 func TestReadersTakeTurns(t *testing.T) {
-	for rank, turn := range []time.Duration{0, limits().Relay / 3, limits().Relay * 2 / 3, limits().Relay} {
+	for rank, turn := range []time.Duration{0, limits().RelayTimeout / 3, limits().RelayTimeout * 2 / 3, limits().RelayTimeout} {
 		synctest.Test(t, func(t *testing.T) {
 			subscriber := newFixture()
 			relaying := atomic.Int32{}
@@ -291,12 +290,12 @@
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			go subscriber.Run(ctx)
-			subscriber.take(t, prefixReplicas, 5)
+			subscriber.publishSnapshot(t, prefixReplicas, 5)
 			subscriber.beacons(4, prefixReplicas, 5)
-			last := time.Now().Add(-400 * time.Millisecond) // beacons waits after each
-			time.Sleep(limits().Silence - 50*time.Millisecond - time.Since(last))
+			last := time.Now().Add(-400 * time.Millisecond) // fixture.beacons sleeps after each beacon
+			time.Sleep(limits().BeaconTimeout - 50*time.Millisecond - time.Since(last))
 			subscriber.Health.Observe(nil)
-			time.Sleep(limits().Silence + turn - 50*time.Millisecond - time.Since(last))
+			time.Sleep(limits().BeaconTimeout + turn - 50*time.Millisecond - time.Since(last))
 			must.Eq(t, 0, subscriber.reading.Load(), must.Sprint("rank ", rank))
 			time.Sleep(250 * time.Millisecond)
 			must.Eq(t, 1, subscriber.reading.Load(), must.Sprint("rank ", rank))
@@ -307,17 +306,17 @@
 	}
 }
 
-// The limits of a node leave it time to read the store before a change has to be in force.
+// Guards against limits that leave no time to read the store before a change has to take effect.
 func TestLimitsEndBeforeChangesAreDue(t *testing.T) {
-	for _, due := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, time.Minute} {
-		limits := dissemination.LimitsFor(due, false)
-		must.Less(t, due*4/5, limits.Silence+limits.Relay)
-		must.Less(t, due/3, limits.Behind)
+	for _, inForce := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, time.Minute} {
+		limits := dissemination.LimitsFor(inForce, false)
+		must.Less(t, inForce*4/5, limits.BeaconTimeout+limits.RelayTimeout)
+		must.Less(t, inForce/3, limits.MaxLag)
 	}
 }
 
-// A node is up to date on a topic while beacons come that tell of nothing newer; not before the first, not once they stop, and not while
-// it lacks what one told of. What it lacks of other topics does not matter.
+// Guards against claiming to be up to date before the first beacon, after beacons have stopped, or while an announced revision of the same
+// topic is missing.
 func TestUpToDate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture()
@@ -327,18 +326,18 @@
 		synctest.Wait()
 		upToDate := func() bool { return fixture.UpToDate(prefixConfiguration, time.Now()) }
 		must.False(t, upToDate(), must.Sprint("before any beacon"))
-		fixture.take(t, prefixConfiguration, 5)
+		fixture.publishSnapshot(t, prefixConfiguration, 5)
 		fixture.Heard(beacon(prefixConfiguration, 5), nil)
 		must.True(t, upToDate())
 		fixture.Heard(beacon(prefixConfiguration, 9), nil)
-		must.False(t, upToDate(), must.Sprint("a newer revision told of"))
-		fixture.take(t, prefixConfiguration, 9)
+		must.False(t, upToDate(), must.Sprint("a newer revision was announced"))
+		fixture.publishSnapshot(t, prefixConfiguration, 9)
 		must.True(t, upToDate())
 		fixture.Heard(beacon(prefixReplicas, 12), nil)
 		must.True(t, upToDate(), must.Sprint("another topic"))
-		time.Sleep(limits().Silence + 10*time.Millisecond)
+		time.Sleep(limits().BeaconTimeout + 10*time.Millisecond)
 		must.False(t, upToDate(), must.Sprint("beacons stopped, nothing read yet"))
 		time.Sleep(time.Second)
-		must.True(t, upToDate(), must.Sprint("it reads the store itself"))
+		must.True(t, upToDate(), must.Sprint("the node reads the store itself"))
 	})
 }
