--- a/internal/ownership/manager.go
+++ b/internal/ownership/manager.go
@@ -171,7 +171,7 @@
 		manager.takeOver(ctx, assignment, self, candidates)
 		return true
 	case manager.isolated():
-	case partition.Vacant(*table, assignment, candidates):
+	case partition.NeedsTakeover(*table, assignment, candidates):
 		successor, ok := partition.Successor(assignment, candidates)
 		if ok && successor.NodeID == self.NodeID {
 			manager.takeOver(ctx, assignment, self, candidates)
@@ -257,7 +257,7 @@
 		return // without a lease the others would take the partition over at once
 	}
 	chosen := partition.ChooseReplicas(assignment.Name, self, assignment.Replicas, candidates)
-	chosen = partition.KeepAbsent(assignment.Name, chosen, assignment.Replicas)
+	chosen = partition.RetainAbsentReplicas(assignment.Name, chosen, assignment.Replicas)
 	next := assignment
 	next.Epoch++
 	next.Owner = self
--- a/internal/partition/log.go
+++ b/internal/partition/log.go
@@ -12,21 +12,22 @@
 	"github.com/thistlewalk/thistlewalk/internal/result"
 )
 
-// Transport reaches the copies of a partition, the local one included.
+// Transport sends requests to the replicas of a partition, including the local one.
 type Transport interface {
 	Promise(ctx context.Context, holder Holder, name Name, epoch uint64) (Promise, error)
-	// Append returns whether the write was accepted and the epoch that the replica is bound to.
+	// Append reports whether the replica accepted the write, and returns the epoch that the replica has promised.
 	Append(ctx context.Context, holder Holder, name Name, write Write) (bool, uint64, error)
 }
 
-// ErrDeposed means that a replica has promised a greater epoch: this owner is owner no more.
+// ErrDeposed means that a replica has promised a greater epoch, so this node no longer owns the partition.
 var ErrDeposed = errors.New("a greater epoch owns the partition")
 
-// ErrNoQuorum means that too few replicas answered. A write may still be stored on some.
+// ErrNoQuorum means that fewer replicas than a quorum responded. A failed write may still be stored on some of them.
 var ErrNoQuorum = errors.New("too few replicas answered")
 
-// Log is an owner's write path at one epoch. After an error of Append the owner must recover again before it goes on,
-// since the failed write may surface later; Append refuses until then. It is safe for concurrent use.
+// Log is the write path of an owner at one epoch. A failed write may be stored on some replicas, so after an error of
+// Append the log refuses all further writes and the owner must recover the partition with a new log. It is safe for
+// concurrent use.
 type Log struct {
 	name      Name
 	epoch     uint64
@@ -34,32 +35,32 @@
 	transport Transport
 	timeout   time.Duration
 
-	writing  lock.Lock // one append at a time; held over calls to replicas
+	writing  lock.Lock // serializes appends; held during calls to replicas
 	sequence uint64    // guarded by writing
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	failed error
-	behind map[string]Holder // by ReplicaID: copies that missed a write
+	behind map[string]Holder // by ReplicaID: replicas that missed a write
 }
 
-// Recovery names what to recover.
+// Recovery holds the parameters of Recover.
 type Recovery struct {
 	Name  Name
 	Epoch uint64
-	// From are the replicas that hold the registers, To those that will.
+	// From are the replicas that the registers are read from, To the replicas that they are written to.
 	From, To []Holder
-	// AfterSequence is the last sequence of an earlier log at the same epoch, zero at a new one: a write of that log that
-	// failed may lie on a replica that does not answer now, and must lose against every write from here on.
+	// AfterSequence is the last sequence of the previous log at the same epoch, or zero at a new epoch. An unreachable
+	// replica may hold a failed write of that log, and every later write must win over it.
 	AfterSequence uint64
 	Timeout       time.Duration
 }
 
-// Recover collects promises at the epoch from a read quorum of the old replicas, merges their registers, writes them to a
-// write quorum of the new replicas, and returns the log and the registers by key.
+// Recover collects promises at the epoch from a read quorum of recovery.From, merges the registers of these replicas, and
+// writes them to a write quorum of recovery.To. It returns the new log and the registers by key.
 func Recover(ctx context.Context, recovery Recovery, transport Transport) (*Log, map[string]Register, error) {
 	name, epoch, timeout := recovery.Name, recovery.Epoch, recovery.Timeout
 	from, to := recovery.From, recovery.To
-	copies, err := collect(ctx, name, epoch, from, ReadQuorum(len(from)), transport, timeout)
+	copies, err := collectPromises(ctx, name, epoch, from, ReadQuorum(len(from)), transport, timeout)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -71,42 +72,43 @@
 			log.sequence = max(log.sequence, register.Sequence)
 		}
 	}
-	// One promise of each new replica makes it refuse older epochs even when there is nothing to write.
+	// The rewrite makes the new replicas refuse older epochs, even if there are no registers to write.
 	if err := log.rewrite(ctx, registers); err != nil {
 		return nil, nil, err
 	}
 	return log, registers, nil
 }
 
-// collect asks all holders for a promise and returns the registers of at least quorum of them.
-func collect(ctx context.Context, name Name, epoch uint64, holders []Holder, quorum int, transport Transport, timeout time.Duration) ([][]Register, error) {
+// collectPromises requests a promise from all holders and returns the registers of those that grant it. It returns an error
+// if fewer than quorum do.
+func collectPromises(ctx context.Context, name Name, epoch uint64, holders []Holder, quorum int, transport Transport, timeout time.Duration) ([][]Register, error) {
 	if len(holders) == 0 {
 		return nil, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	type answer struct {
+	type response struct {
 		promise Promise
 		err     error
 	}
-	answers := make(chan answer, len(holders))
+	responses := make(chan response, len(holders))
 	for _, holder := range holders {
 		go func() {
 			promise, err := transport.Promise(ctx, holder, name, epoch)
-			answers <- answer{promise, err}
+			responses <- response{promise, err}
 		}()
 	}
 	var copies [][]Register
 	var failures error
 	for range holders {
-		got := <-answers
+		received := <-responses
 		switch {
-		case got.err != nil:
-			failures = errors.CombineErrors(failures, got.err)
-		case !got.promise.Granted:
-			return nil, errors.Wrapf(ErrDeposed, "promised epoch %d, asked %d", got.promise.Epoch, epoch)
+		case received.err != nil:
+			failures = errors.CombineErrors(failures, received.err)
+		case !received.promise.Granted:
+			return nil, errors.Wrapf(ErrDeposed, "promised epoch %d, asked %d", received.promise.Epoch, epoch)
 		default:
-			copies = append(copies, got.promise.Registers)
+			copies = append(copies, received.promise.Registers)
 		}
 		if len(copies) == len(holders) {
 			return copies, nil
@@ -118,7 +120,7 @@
 	return copies, nil
 }
 
-// rewrite stores all registers anew under the log's epoch.
+// rewrite stores all registers again under the log's epoch.
 func (log *Log) rewrite(ctx context.Context, registers map[string]Register) error {
 	keys := make([]string, 0, len(registers))
 	for key := range registers {
@@ -132,21 +134,21 @@
 	return log.Append(ctx, values, nil)
 }
 
-// Value is a key and what to store under it.
+// Value is a key and the content to store under it.
 type Value struct {
 	Key   string
 	Value []byte
 }
 
-// Epoch returns the epoch that every write carries.
+// Epoch returns the epoch of all writes of the log.
 func (log *Log) Epoch() uint64 { return log.epoch }
 
-// errRetired stops a log whose owner recovers at the same epoch.
+// errRetired marks a log whose owner recovers the partition at the same epoch.
 var errRetired = errors.New("the owner recovers")
 
-// Retire stops the log for good, once no append is under way, and returns the last sequence that it used. It must come
-// before a recovery at the same epoch: replicas cannot tell the writes of two logs of one epoch apart, and a write of this
-// one that is accepted after the registers were collected would be forgotten.
+// Retire waits for the append in progress, makes the log refuse further writes, and returns its last sequence. Call it
+// before a recovery at the same epoch: replicas cannot distinguish the writes of two logs of one epoch, so the recovery
+// would lose a write that this log stores after the registers have been collected.
 func (log *Log) Retire(ctx context.Context) (uint64, error) {
 	if err := log.writing.Acquire(ctx); err != nil {
 		return 0, err
@@ -160,11 +162,11 @@
 	return log.sequence, nil
 }
 
-// Replicas returns the copies that writes go to.
+// Replicas returns the replicas that the log writes to.
 func (log *Log) Replicas() []Holder { return log.replicas }
 
-// Append stores values, and removes keys by prefix before, on a write quorum. With no values it only confirms that the
-// epoch is still in force at a write quorum. Appends of one log are stored one after the other.
+// Append removes keys by prefix and then stores values, on a write quorum. Without values and prefixes it only confirms
+// that no replica of a write quorum has promised a greater epoch. Concurrent appends are serialized.
 func (log *Log) Append(ctx context.Context, values []Value, removePrefixes []string) error {
 	if err := log.writing.Acquire(ctx); err != nil {
 		return result.New(result.NotRunNoOwner, "partition %s is busy: %v", log.name, err)
@@ -187,45 +189,46 @@
 	return err
 }
 
-type appendAnswer struct {
+type appendResponse struct {
 	holder   Holder
 	accepted bool
 	epoch    uint64
 	err      error
 }
 
-// store sends a write to all replicas and returns once a write quorum has it. The caller's own deadline does not cut a
-// write short: half a write forces a recovery. Must hold writing.
+// store sends a write to all replicas and returns once a write quorum has stored it. It ignores the caller's deadline,
+// because a write that is cut short forces a recovery. The caller must hold writing.
 func (log *Log) store(ctx context.Context, write Write) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), log.timeout)
-	answers := make(chan appendAnswer, len(log.replicas))
+	responses := make(chan appendResponse, len(log.replicas))
 	var pending sync.WaitGroup
 	for _, holder := range log.replicas {
 		pending.Go(func() {
 			accepted, epoch, err := log.transport.Append(ctx, holder, log.name, write)
-			answers <- appendAnswer{holder, accepted, epoch, err}
+			responses <- appendResponse{holder, accepted, epoch, err}
 		})
 	}
 	go func() {
 		pending.Wait()
 		cancel()
 	}()
-	return log.count(answers)
+	return log.awaitQuorum(responses)
 }
 
-// count waits for a write quorum. Answers that come later are looked at by nobody; a copy that fails among those is
-// found by the next write. Must hold writing.
-func (log *Log) count(answers <-chan appendAnswer) error {
+// awaitQuorum returns once a write quorum has stored the write and the number of responses has reached the number of
+// replicas that are not behind. It ignores later responses; the next write detects a replica that continues to fail. The
+// caller must hold writing.
+func (log *Log) awaitQuorum(responses <-chan appendResponse) error {
 	stored := 0
 	var failures error
 	for seen := 0; seen < len(log.replicas); seen++ {
-		answer := <-answers
+		response := <-responses
 		switch {
-		case answer.err != nil:
-			failures = errors.CombineErrors(failures, answer.err)
-			log.noteBehind(answer.holder)
-		case !answer.accepted:
-			return errors.Wrapf(ErrDeposed, "replica on %s promised epoch %d", answer.holder.NodeID, answer.epoch)
+		case response.err != nil:
+			failures = errors.CombineErrors(failures, response.err)
+			log.markBehind(response.holder)
+		case !response.accepted:
+			return errors.Wrapf(ErrDeposed, "replica on %s promised epoch %d", response.holder.NodeID, response.epoch)
 		default:
 			stored++
 		}
@@ -239,20 +242,20 @@
 	return errors.Wrapf(errors.CombineErrors(ErrNoQuorum, failures), "%d stored of %d", stored, WriteQuorum(len(log.replicas)))
 }
 
-func (log *Log) noteBehind(holder Holder) {
+func (log *Log) markBehind(holder Holder) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	log.behind[holder.ReplicaID] = holder
 }
 
-// Failed returns the error that stopped the log, nil while it works.
+// Failed returns the error that stopped the log, or nil if the log accepts writes.
 func (log *Log) Failed() error {
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	return log.failed
 }
 
-// Behind returns the copies that missed a write.
+// Behind returns the replicas that missed a write.
 func (log *Log) Behind() []Holder {
 	log.mu.Lock()
 	defer log.mu.Unlock()
--- a/internal/partition/partition_test.go
+++ b/internal/partition/partition_test.go
@@ -17,52 +17,52 @@
 
 var errLost = errors.New("lost")
 
-// fate is what happens to one message to one replica.
-type fate int
+// messageOutcome is the outcome of one request to a replica.
+type messageOutcome int
 
 const (
-	fateDelivered fate = iota
-	fateRequestLost
-	fateAnswerLost
+	outcomeDelivered messageOutcome = iota
+	outcomeRequestLost
+	outcomeResponseLost
 )
 
-// unreliable is a Transport to replicas in memory; fates are drawn.
-type unreliable struct {
+// lossyTransport is a Transport to replicas in memory. The function next chooses the outcome of each request.
+type lossyTransport struct {
 	replicas map[string]*Replica
-	next     func(label string) fate
+	next     func(label string) messageOutcome
 }
 
-func (transport *unreliable) Promise(_ context.Context, holder Holder, _ Name, epoch uint64) (Promise, error) {
-	what := transport.next("promise to " + holder.ReplicaID)
-	if what == fateRequestLost {
+func (transport *lossyTransport) Promise(_ context.Context, holder Holder, _ Name, epoch uint64) (Promise, error) {
+	outcome := transport.next("promise to " + holder.ReplicaID)
+	if outcome == outcomeRequestLost {
 		return Promise{}, errLost
 	}
 	promise, err := transport.replicas[holder.ReplicaID].Promise(epoch)
-	if what == fateAnswerLost {
+	if outcome == outcomeResponseLost {
 		return Promise{}, errLost
 	}
 	return promise, err
 }
 
-func (transport *unreliable) Append(_ context.Context, holder Holder, _ Name, write Write) (bool, uint64, error) {
-	what := transport.next("append to " + holder.ReplicaID)
-	if what == fateRequestLost {
+func (transport *lossyTransport) Append(_ context.Context, holder Holder, _ Name, write Write) (bool, uint64, error) {
+	outcome := transport.next("append to " + holder.ReplicaID)
+	if outcome == outcomeRequestLost {
 		return false, 0, errLost
 	}
 	accepted, epoch, err := transport.replicas[holder.ReplicaID].Append(write)
-	if what == fateAnswerLost {
+	if outcome == outcomeResponseLost {
 		return false, 0, errLost
 	}
 	return accepted, epoch, err
 }
 
-// operation of the history: a write of a value, or the value that a recovery read; empty is none.
+// operation is the input of an entry of the history: the write of a value, or a read by a recovery.
 type operation struct {
 	write bool
 	value string
 }
 
-// registerModel is one register: a read returns the last value written.
+// registerModel is a single register: a read returns the value of the last write, or the empty string before any write.
 var registerModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
@@ -74,13 +74,12 @@
 	},
 }
 
-// Owners at growing epochs recover and write over lossy messages, and old ones go on writing after a pause. Whatever was
-// accepted must be found by every later recovery, whatever was not may be found or not, and never comes after a value
-// that a newer owner has read: the register must be linearizable.
+// Guards against lost and resurrected writes: the register stays linearizable while owners recover at increasing epochs
+// over a lossy transport and deposed owners continue to write.
 func TestOwnersHistoryIsLinearizable(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		count := rapid.IntRange(1, 3).Draw(draw, "replicas")
-		transport := &unreliable{replicas: make(map[string]*Replica)}
+		transport := &lossyTransport{replicas: make(map[string]*Replica)}
 		var holders []Holder
 		name := Name{Kind: KindSteps}
 		for index := range count {
@@ -88,13 +87,13 @@
 			transport.replicas[id] = NewReplica(name, nil)
 			holders = append(holders, Holder{NodeID: id, ReplicaID: id})
 		}
-		// An append returns at a quorum: messages to other replicas may still be on their way at the next action.
+		// An append returns at a quorum, so requests to other replicas may still be in flight during the next action.
 		var mu sync.Mutex
-		fates := make(map[string]fate)
-		transport.next = func(label string) fate {
+		outcomes := make(map[string]messageOutcome)
+		transport.next = func(label string) messageOutcome {
 			mu.Lock()
 			defer mu.Unlock()
-			return fates[label[len(label)-1:]]
+			return outcomes[label[len(label)-1:]]
 		}
 		var owners []*Log
 		var history []porcupine.Operation
@@ -111,20 +110,20 @@
 		for range rapid.IntRange(1, 12).Draw(draw, "actions") {
 			mu.Lock()
 			for index := range count {
-				fates[fmt.Sprint(index)] = fate(rapid.IntRange(0, 2).Draw(draw, "fate"))
-				if rapid.Bool().Draw(draw, "mostly well") {
-					fates[fmt.Sprint(index)] = fateDelivered
+				outcomes[fmt.Sprint(index)] = messageOutcome(rapid.IntRange(0, 2).Draw(draw, "outcome"))
+				if rapid.Bool().Draw(draw, "delivered") {
+					outcomes[fmt.Sprint(index)] = outcomeDelivered
 				}
 			}
 			mu.Unlock()
 			if len(owners) == 0 || rapid.Bool().Draw(draw, "recover") {
 				recovery := Recovery{Name: name, Epoch: uint64(len(history) + 1), From: holders, To: holders, Timeout: time.Second}
 				if len(owners) > 0 && rapid.Bool().Draw(draw, "same epoch") {
-					// The newest owner itself, after a failed write.
-					earlier := owners[len(owners)-1]
-					recovery.Epoch = earlier.Epoch()
+					// The newest owner recovers at its own epoch, as it does after a failed write.
+					previous := owners[len(owners)-1]
+					recovery.Epoch = previous.Epoch()
 					var err error
-					recovery.AfterSequence, err = earlier.Retire(context.Background())
+					recovery.AfterSequence, err = previous.Retire(context.Background())
 					must.NoError(draw, err)
 					owners = owners[:len(owners)-1]
 				}
@@ -152,26 +151,25 @@
 	})
 }
 
-// Found by the assembled system's histories (seed 70088): a failed write of several registers lay on one replica; the owner
-// recovered at the same epoch without that replica and counted on from a smaller sequence; the failed value then won over
-// a later one that had been accepted, and a delivered batch was forgotten.
+// Guards against reuse of sequences: after a recovery at the same epoch without the replica that stored a failed write,
+// an accepted value must win over the failed one.
 func TestAFailedWriteLosesAgainstThoseAfterARecoveryAtTheSameEpoch(t *testing.T) {
 	ctx := context.Background()
 	down := make(map[string]bool)
-	transport := &unreliable{replicas: make(map[string]*Replica)}
+	transport := &lossyTransport{replicas: make(map[string]*Replica)}
 	var holders []Holder
 	for _, id := range []string{"a", "b", "c"} {
 		transport.replicas[id] = NewReplica(Name{Kind: KindSteps}, nil)
 		holders = append(holders, Holder{NodeID: id, ReplicaID: id})
 	}
 	var mu sync.Mutex
-	transport.next = func(label string) fate {
+	transport.next = func(label string) messageOutcome {
 		mu.Lock()
 		defer mu.Unlock()
 		if down[label[len(label)-1:]] {
-			return fateRequestLost
+			return outcomeRequestLost
 		}
-		return fateDelivered
+		return outcomeDelivered
 	}
 	only := func(up ...string) {
 		mu.Lock()
@@ -244,10 +242,10 @@
 	owner := Holder{NodeID: "n1", ReplicaID: "r1"}
 	assignment := Assignment{Epoch: 3, Owner: owner, Replicas: []Holder{owner}}
 	other := Holder{NodeID: "n2", ReplicaID: "r2"}
-	must.False(t, Vacant(Table{}, assignment, []Candidate{owner, other}), must.Sprint("a lapsed lease alone is no reason"))
-	must.False(t, Vacant(Table{Leases: []string{"n1"}}, assignment, []Candidate{other}), must.Sprint("nor is silence alone"))
-	must.True(t, Vacant(Table{}, assignment, []Candidate{other}))
-	must.True(t, Vacant(Table{Leases: []string{"n1"}}, assignment, []Candidate{{NodeID: "n1", ReplicaID: "fresh"}, other}))
+	must.False(t, NeedsTakeover(Table{}, assignment, []Candidate{owner, other}), must.Sprint("an expired lease alone does not cause a takeover"))
+	must.False(t, NeedsTakeover(Table{Leases: []string{"n1"}}, assignment, []Candidate{other}), must.Sprint("an unreachable owner with a valid lease keeps its partition"))
+	must.True(t, NeedsTakeover(Table{}, assignment, []Candidate{other}))
+	must.True(t, NeedsTakeover(Table{Leases: []string{"n1"}}, assignment, []Candidate{{NodeID: "n1", ReplicaID: "fresh"}, other}))
 }
 
 func TestASetOfStoresDoesNotShrinkWithAbsences(t *testing.T) {
@@ -255,18 +253,18 @@
 	a, b, c := holder("a", "1"), holder("b", "2"), holder("c", "3")
 	present := []Holder{a, b, c}
 	steps, claims := Name{Kind: KindSteps}, Name{Kind: KindClaims}
-	must.Eq(t, []Holder{a, c, b}, KeepAbsent(steps, ChooseReplicas(steps, a, present, []Candidate{a, c}), present))
-	must.Eq(t, []Holder{a, b, c}, KeepAbsent(steps, ChooseReplicas(steps, a, present, []Candidate{a}), present))
-	replaced := KeepAbsent(steps, ChooseReplicas(steps, a, present, []Candidate{a, c, holder("d", "2")}), present)
+	must.Eq(t, []Holder{a, c, b}, RetainAbsentReplicas(steps, ChooseReplicas(steps, a, present, []Candidate{a, c}), present))
+	must.Eq(t, []Holder{a, b, c}, RetainAbsentReplicas(steps, ChooseReplicas(steps, a, present, []Candidate{a}), present))
+	replaced := RetainAbsentReplicas(steps, ChooseReplicas(steps, a, present, []Candidate{a, c, holder("d", "2")}), present)
 	must.Len(t, 3, replaced)
-	must.False(t, holdsCopy(replaced, b), must.Sprint("a store that took its place ends the absent copy"))
-	must.Eq(t, []Holder{a}, KeepAbsent(claims, ChooseReplicas(claims, a, present, []Candidate{a}), present), must.Sprint("memory does not come back"))
+	must.False(t, holdsCopy(replaced, b), must.Sprint("the new store replaces the absent one"))
+	must.Eq(t, []Holder{a}, RetainAbsentReplicas(claims, ChooseReplicas(claims, a, present, []Candidate{a}), present), must.Sprint("absent replicas in memory are not retained"))
 }
 
-// Found by a fleet of 360 nodes: an owner recovered because a copy had missed a write, while a fetch was on its way through
-// the log before. That log's write was accepted after the registers had been collected, and the delivered batch forgotten.
+// Guards against a previous log that still accepts writes after a recovery at the same epoch has collected the registers:
+// the recovery would lose these writes.
 func TestALogThatIsRecoveredFromAcceptsNothingMore(t *testing.T) {
-	transport := &unreliable{replicas: map[string]*Replica{"a": NewReplica(Name{Kind: KindSteps}, nil)}, next: func(string) fate { return fateDelivered }}
+	transport := &lossyTransport{replicas: map[string]*Replica{"a": NewReplica(Name{Kind: KindSteps}, nil)}, next: func(string) messageOutcome { return outcomeDelivered }}
 	holders := []Holder{{NodeID: "a", ReplicaID: "a"}}
 	recovery := Recovery{Name: Name{Kind: KindSteps}, Epoch: 1, From: holders, To: holders, Timeout: time.Second}
 	first, _, err := Recover(t.Context(), recovery, transport)
--- a/internal/partition/replica.go
+++ b/internal/partition/replica.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Register is one replicated value. Of two registers with one key the greater (Epoch, Sequence) wins.
+// Register is one replicated value. Of two registers with the same key, the one with the greater (Epoch, Sequence) wins.
 type Register struct {
 	Key      string `cbor:"1,keyasint"`
 	Epoch    uint64 `cbor:"2,keyasint"`
@@ -14,7 +14,7 @@
 	Value    []byte `cbor:"4,keyasint"`
 }
 
-// newer reports whether the register wins over the other one.
+// newer reports whether register wins over other.
 func (register Register) newer(other Register) bool {
 	if register.Epoch != other.Epoch {
 		return register.Epoch > other.Epoch
@@ -22,39 +22,39 @@
 	return register.Sequence > other.Sequence
 }
 
-// Write is one set of registers that is stored together.
+// Write is a set of changes that a replica stores atomically: it removes keys by prefix and then puts registers.
 type Write struct {
 	Epoch          uint64
 	Registers      []Register
 	RemovePrefixes []string
 }
 
-// Storage keeps what a replica must not forget. Implementations: memory (nothing is kept) and package samplestore.
+// Storage is the durable state of replicas. Package samplestore implements it; a replica without storage is in memory.
 type Storage interface {
 	// Load returns the stored promise and registers of a partition.
 	Load(name Name) (promised uint64, registers []Register, err error)
-	// Save stores the promise, removes keys by prefix and then puts registers, all or nothing.
+	// Save stores the promise, removes keys by prefix and then puts registers, all in one transaction.
 	Save(name Name, promised uint64, removePrefixes []string, registers []Register) error
 }
 
 // Replica is one copy of a partition. It is safe for concurrent use.
-// Invariants: promised never shrinks; nothing is answered before it is stored.
+// Invariants: promised never decreases; every change is stored before the replica responds.
 type Replica struct {
 	name     Name
-	storage  Storage // nil keeps everything in memory
+	storage  Storage // nil if the replica is in memory only
 	mu       sync.Mutex
 	loaded   bool
 	promised uint64
-	// registers are by key. With a storage they are without values, which are read when an owner asks for them.
+	// registers are by key. With a storage they have no values; Promise reads these from the storage.
 	registers map[string]Register
 }
 
-// NewReplica returns the copy of a partition on this storage; nil storage keeps it in memory only.
+// NewReplica returns the replica of a partition on the given storage, or in memory only if storage is nil.
 func NewReplica(name Name, storage Storage) *Replica {
 	return &Replica{name: name, storage: storage, registers: make(map[string]Register)}
 }
 
-// load reads the stored state once; must hold mu.
+// load reads the stored state once. The caller must hold mu.
 func (replica *Replica) load() error {
 	if replica.loaded || replica.storage == nil {
 		return nil
@@ -65,21 +65,21 @@
 	}
 	replica.promised = promised
 	for _, register := range registers {
-		replica.registers[register.Key] = replica.remembered(register)
+		replica.registers[register.Key] = replica.cached(register)
 	}
 	replica.loaded = true
 	return nil
 }
 
-// remembered returns what is kept in memory of a stored register.
-func (replica *Replica) remembered(register Register) Register {
+// cached returns the part of a register that stays in memory: without its value if the replica has a storage.
+func (replica *Replica) cached(register Register) Register {
 	if replica.storage != nil {
 		register.Value = nil
 	}
 	return register
 }
 
-// save stores a change; must hold mu.
+// save stores a change. The caller must hold mu.
 func (replica *Replica) save(promised uint64, removePrefixes []string, registers []Register) error {
 	if replica.storage == nil {
 		return nil
@@ -87,14 +87,15 @@
 	return replica.storage.Save(replica.name, promised, removePrefixes, registers)
 }
 
-// Promise is the answer of a replica: whether it granted, the epoch it is bound to, and its registers when granted.
+// Promise is the response of a replica. Epoch is the epoch that the replica has promised; Registers are set if Granted.
 type Promise struct {
 	Granted   bool
 	Epoch     uint64
 	Registers []Register
 }
 
-// Promise binds the replica to refuse epochs smaller than the one given.
+// Promise makes the replica refuse writes and promises at epochs smaller than the given one. It is not granted if the
+// replica has already promised a greater epoch.
 func (replica *Replica) Promise(epoch uint64) (Promise, error) {
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
@@ -114,7 +115,7 @@
 	return Promise{Granted: err == nil, Epoch: epoch, Registers: registers}, err
 }
 
-// sorted returns the registers by key, with their values; must hold mu.
+// sorted returns the registers with their values, ordered by key. The caller must hold mu.
 func (replica *Replica) sorted() ([]Register, error) {
 	if replica.storage != nil {
 		_, stored, err := replica.storage.Load(replica.name)
@@ -128,7 +129,8 @@
 	return registers, nil
 }
 
-// Append stores a write unless a greater epoch was promised; it returns whether it was accepted and the promised epoch.
+// Append stores a write unless the replica has promised a greater epoch. It reports whether the write was accepted, and
+// returns the promised epoch.
 func (replica *Replica) Append(write Write) (bool, uint64, error) {
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
@@ -150,12 +152,12 @@
 	replica.promised = write.Epoch
 	replica.remove(write.RemovePrefixes)
 	for _, register := range fresh {
-		replica.registers[register.Key] = replica.remembered(register)
+		replica.registers[register.Key] = replica.cached(register)
 	}
 	return true, replica.promised, nil
 }
 
-// remove deletes keys by prefix; must hold mu.
+// remove deletes keys by prefix. The caller must hold mu.
 func (replica *Replica) remove(prefixes []string) {
 	for _, prefix := range prefixes {
 		for key := range replica.registers {
@@ -166,7 +168,7 @@
 	}
 }
 
-// Merge returns the winning registers of several copies, by key.
+// Merge returns the newest register of each key in several copies.
 func Merge(copies ...[]Register) map[string]Register {
 	merged := make(map[string]Register)
 	for _, registers := range copies {
--- a/internal/partition/table.go
+++ b/internal/partition/table.go
@@ -1,7 +1,8 @@
-// Package partition gives a fixed, small number of partitions one owner each, and keeps the owner's registers on a set
-// of replicas. Every write carries the owner's epoch; a replica that has promised a greater epoch refuses it. A new
-// owner raises the epoch in the key-value service by compare-and-swap, collects promises and registers from a read
-// quorum of the replicas, and only then serves. docs/design/0002-partitions.md has the ways weighed.
+// Package partition replicates the state of a small, fixed number of partitions. Each partition has one owner, which
+// writes registers to a set of replicas. Every write carries the owner's epoch, and a replica that has promised a greater
+// epoch refuses it. A new owner raises the epoch in the metadata store by compare-and-swap, then collects promises and
+// registers from a read quorum of the replicas, and only then serves. docs/design/0002-partitions.md compares the
+// alternatives.
 package partition
 
 import (
@@ -10,25 +11,25 @@
 	"time"
 )
 
-// Kind separates partitions by what they hold.
+// Kind is the type of state that a partition holds.
 type Kind string
 
 // The kinds of partitions.
 const (
-	KindSteps  Kind = "steps"  // training steps and their samples, on nodes with a data folder
-	KindClaims Kind = "claims" // claims of not-repeatable requests, in the memory of any node
+	KindSteps  Kind = "steps"  // training steps and their samples, on the disks of nodes with a data folder
+	KindClaims Kind = "claims" // claims of non-repeatable requests, in the memory of any node
 )
 
 // Count is the fixed number of partitions of each kind.
 const Count = 16
 
-// Name names one partition.
+// Name identifies one partition.
 type Name struct {
 	Kind  Kind   `json:"kind" cbor:"1,keyasint"`
 	Index uint32 `json:"index" cbor:"2,keyasint"`
 }
 
-// String returns the name as used in keys and logs.
+// String returns the form that metadata keys and logs use.
 func (name Name) String() string { return fmt.Sprintf("%s/%d", name.Kind, name.Index) }
 
 // Names returns the names of all partitions.
@@ -42,8 +43,8 @@
 	return names
 }
 
-// Holder identifies a node that holds a copy. ReplicaID names the copy itself: the identity of the data folder, or of
-// the process for copies in memory, so that an emptied replacement is not mistaken for the copy that was lost.
+// Holder identifies a replica and its node. ReplicaID is the identity of the data folder, or of the process for replicas in
+// memory: an empty replica on the same node has another ReplicaID and is not mistaken for the lost one.
 type Holder struct {
 	NodeID    string `json:"node" cbor:"1,keyasint"`
 	Address   string `json:"address" cbor:"2,keyasint"`
@@ -57,22 +58,22 @@
 	Epoch    uint64   `json:"epoch" cbor:"2,keyasint"`
 	Owner    Holder   `json:"owner" cbor:"3,keyasint"`
 	Replicas []Holder `json:"replicas" cbor:"4,keyasint"`
-	// HistoryLost is when registers were given up because no read quorum was left; zero when never.
+	// HistoryLost is the last time an owner discarded the registers because too few replicas were left, or zero.
 	HistoryLost time.Time `json:"history_lost" cbor:"5,keyasint"`
-	// ServiceRevision is the key's revision in the key-value service.
+	// ServiceRevision is the revision of the assignment's key in the metadata store.
 	ServiceRevision uint64 `json:"-" cbor:"6,keyasint"`
 }
 
-// Table is what is known of all partitions and of the leases of their owners.
+// Table is a snapshot of the assignments of all partitions and of the leases of their owners.
 type Table struct {
-	// Revision is the key-value service's revision that the table was read at.
+	// Revision is the revision of the metadata store that the table was read at.
 	Revision    uint64       `cbor:"1,keyasint"`
 	Assignments []Assignment `cbor:"2,keyasint"`
-	// Leases are the identifiers of the nodes whose owner lease is alive.
+	// Leases are the identifiers of the nodes whose owner lease has not expired.
 	Leases []string `cbor:"3,keyasint"`
 }
 
-// Assignment returns the entry of a partition; false when it was never owned.
+// Assignment returns the assignment of a partition, and false if the partition has never had an owner.
 func (table Table) Assignment(name Name) (Assignment, bool) {
 	index := slices.IndexFunc(table.Assignments, func(assignment Assignment) bool { return assignment.Name == name })
 	if index < 0 {
@@ -81,10 +82,11 @@
 	return table.Assignments[index], true
 }
 
-// Leased reports whether the node's owner lease is alive.
+// Leased reports whether the owner lease of a node has not expired.
 func (table Table) Leased(nodeID string) bool { return slices.Contains(table.Leases, nodeID) }
 
-// WriteQuorum returns how many of n replicas must store a register before it counts: all of one or two, else a majority.
+// WriteQuorum returns how many of n replicas must store a write before it is accepted: all if n is at most two, else a
+// majority.
 func WriteQuorum(n int) int {
 	if n <= 2 {
 		return n
@@ -92,5 +94,5 @@
 	return n/2 + 1
 }
 
-// ReadQuorum returns how many of n replicas must promise, so that at least one of them holds each accepted register.
+// ReadQuorum returns how many of n replicas must promise, so that at least one of them holds each accepted write.
 func ReadQuorum(n int) int { return n - WriteQuorum(n) + 1 }
--- a/internal/partition/takeover.go
+++ b/internal/partition/takeover.go
@@ -7,16 +7,17 @@
 	"github.com/thistlewalk/thistlewalk/internal/placement"
 )
 
-// ReplicasWanted is how many copies a partition has when there are nodes enough.
+// ReplicasWanted is the replication factor of a partition, provided there are enough nodes.
 const ReplicasWanted = 3
 
-// Candidate is a live node that may hold a copy.
+// Candidate is a live node that may hold a replica.
 type Candidate = Holder
 
-// Vacant reports whether the owner is gone: no live member of that identity and copy, and its lease is not alive.
-// An owner whose lease lapsed while it is a live member (an outage of the service does that) keeps its partition, and so
-// does one whose lease is alive though members cannot reach it.
-func Vacant(table Table, assignment Assignment, candidates []Candidate) bool {
+// NeedsTakeover reports whether a partition has no owner, or its owner has failed: either its node is live with another
+// replica identity, or the node is not live and its lease has expired. An owner keeps its partition while it is a live
+// member, even if its lease expired in an outage of the metadata store, and while its lease is valid, even if members
+// cannot reach it.
+func NeedsTakeover(table Table, assignment Assignment, candidates []Candidate) bool {
 	if assignment.Epoch == 0 {
 		return true
 	}
@@ -30,8 +31,8 @@
 	return restarted || !table.Leased(assignment.Owner.NodeID)
 }
 
-// Successor returns the candidate that should own a vacant partition: the best ranked one that holds a copy, else the
-// best ranked of all. It returns false without candidates.
+// Successor returns the candidate that should take a partition over: the highest-ranked candidate that holds a replica, or
+// else the highest-ranked of all. It returns false if there are no candidates.
 func Successor(assignment Assignment, candidates []Candidate) (Candidate, bool) {
 	ranked := rank(assignment.Name, candidates)
 	for _, candidate := range ranked {
@@ -53,21 +54,21 @@
 	return placement.Rank(name.String(), candidates, func(candidate Candidate) string { return candidate.NodeID })
 }
 
-// ChooseReplicas returns the copies for an owner: the owner, then nodes of other zones (one a zone while zones last),
-// present copies first. An owner's own zone is used only when no other zone has a node.
+// ChooseReplicas returns the replicas for an owner: the owner itself, then nodes of other zones. It prefers zones without
+// a replica, and then nodes that already hold one. It uses the owner's zone only if no other zone has a candidate.
 func ChooseReplicas(name Name, owner Candidate, present []Holder, candidates []Candidate) []Holder {
 	chosen := []Holder{owner}
 	ranked := rank(name, candidates)
 	slices.SortStableFunc(ranked, func(a, b Candidate) int {
-		return cmp.Compare(boolRank(holdsCopy(present, a)), boolRank(holdsCopy(present, b)))
+		return cmp.Compare(rankFirst(holdsCopy(present, a)), rankFirst(holdsCopy(present, b)))
 	})
-	// Round 0: new zones only. Round 1: any zone but the owner's. Round 2: any node.
+	// Round 0: zones without a chosen replica. Round 1: any zone except the owner's. Round 2: any zone.
 	for round := range 3 {
 		for _, candidate := range ranked {
 			if len(chosen) == ReplicasWanted {
 				return chosen
 			}
-			if holdsCopy(chosen, candidate) || candidate.NodeID == owner.NodeID || !zoneFits(round, chosen, candidate) {
+			if holdsCopy(chosen, candidate) || candidate.NodeID == owner.NodeID || !zoneAllowed(round, chosen, candidate) {
 				continue
 			}
 			chosen = append(chosen, candidate)
@@ -79,10 +80,10 @@
 	return chosen
 }
 
-// KeepAbsent adds copies on disk whose nodes are away to those chosen, while there are fewer than wanted: else a set would
-// shrink with each absence, until samples counted as accepted on one disk. An absent copy stays until another store takes
-// its place.
-func KeepAbsent(name Name, chosen, present []Holder) []Holder {
+// RetainAbsentReplicas adds present replicas on disk to the chosen ones, up to ReplicasWanted, even if their nodes are
+// down. Without it the replica set would shrink with each failed node, until one disk alone formed a write quorum. An absent
+// replica stays in the set until a replica on another node replaces it.
+func RetainAbsentReplicas(name Name, chosen, present []Holder) []Holder {
 	if name.Kind != KindSteps {
 		return chosen
 	}
@@ -94,14 +95,14 @@
 	return chosen
 }
 
-func boolRank(first bool) int {
+func rankFirst(first bool) int {
 	if first {
 		return 0
 	}
 	return 1
 }
 
-func zoneFits(round int, chosen []Holder, candidate Candidate) bool {
+func zoneAllowed(round int, chosen []Holder, candidate Candidate) bool {
 	switch round {
 	case 0:
 		return !slices.ContainsFunc(chosen, func(holder Holder) bool { return holder.Zone == candidate.Zone })
@@ -112,8 +113,8 @@
 	}
 }
 
-// NeedsReplacement reports whether a partition has fewer live copies than it could have, or lists a copy in memory whose
-// process is gone, which cannot come back.
+// NeedsReplacement reports whether a partition has fewer live replicas than the candidates allow, or lists a replica in
+// memory whose process is not live: such a replica has lost its state.
 func NeedsReplacement(assignment Assignment, candidates []Candidate) bool {
 	missing := 0
 	for _, holder := range assignment.Replicas {
