--- a/internal/ownership/copies.go
+++ b/internal/ownership/copies.go
@@ -1,5 +1,5 @@
-// Package ownership runs the partitions of a node: it answers for the copies the node holds, takes over vacant
-// partitions, and hands each owned one to its handler.
+// Package ownership manages the partitions of a node: it serves the replicas that the node holds, takes over partitions
+// without a live owner, and passes each owned partition to its handler.
 package ownership
 
 import (
@@ -13,22 +13,22 @@
 	"github.com/thistlewalk/thistlewalk/internal/peers"
 )
 
-// Copies are the partition replicas of this node. It implements the Twirp service Partition and is safe for concurrent
+// Copies holds the partition replicas of this node. It implements the Twirp service Partition and is safe for concurrent
 // use.
 type Copies struct {
 	storage  partition.Storage // nil on nodes without a data folder
-	storeID  string            // identity of the storage; empty without one
-	memoryID string            // identity of copies in memory: that of the process
+	storeID  string            // replica identity of the storage; empty if storage is nil
+	memoryID string            // replica identity of this process, for replicas in memory
 	mu       sync.Mutex
 	replicas map[partition.Name]*partition.Replica
 }
 
-// NewCopies returns the copies of a node. storage is nil on nodes without a data folder.
+// NewCopies returns the replicas of a node. storage is nil on nodes without a data folder.
 func NewCopies(storage partition.Storage, storeID, memoryID string) *Copies {
 	return &Copies{storage: storage, storeID: storeID, memoryID: memoryID, replicas: make(map[partition.Name]*partition.Replica)}
 }
 
-// ReplicaID returns the identity of this node's copies of a kind; empty when it can hold none.
+// ReplicaID returns the identity of this node's replicas of a kind, or "" if the node cannot hold any.
 func (copies *Copies) ReplicaID(kind partition.Kind) string {
 	if kind == partition.KindSteps {
 		return copies.storeID
@@ -36,7 +36,7 @@
 	return copies.memoryID
 }
 
-// replica returns the copy of a partition if the identity asked for is this node's.
+// replica returns the replica of a partition, and an error if replicaID is not the identity of this node's replica.
 func (copies *Copies) replica(name partition.Name, replicaID string) (*partition.Replica, error) {
 	if replicaID == "" || replicaID != copies.ReplicaID(name.Kind) {
 		return nil, twirp.FailedPrecondition.Errorf("no copy %q of partition %s here", replicaID, name)
@@ -57,7 +57,7 @@
 
 // Promise implements the Twirp service.
 func (copies *Copies) Promise(_ context.Context, request *controlv1.PromiseRequest) (*controlv1.PromiseResponse, error) {
-	replica, err := copies.replica(nameOf(request.GetPartition()), request.GetReplicaId())
+	replica, err := copies.replica(nameFromMessage(request.GetPartition()), request.GetReplicaId())
 	if err != nil {
 		return nil, err
 	}
@@ -70,7 +70,7 @@
 
 // Append implements the Twirp service.
 func (copies *Copies) Append(_ context.Context, request *controlv1.AppendRequest) (*controlv1.AppendResponse, error) {
-	replica, err := copies.replica(nameOf(request.GetPartition()), request.GetReplicaId())
+	replica, err := copies.replica(nameFromMessage(request.GetPartition()), request.GetReplicaId())
 	if err != nil {
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 	return &controlv1.AppendResponse{Accepted: accepted, PromisedEpoch: promised}, nil
 }
 
-func nameOf(message *controlv1.PartitionName) partition.Name {
+func nameFromMessage(message *controlv1.PartitionName) partition.Name {
 	return partition.Name{Kind: partition.Kind(message.GetKind()), Index: message.GetIndex()}
 }
 
@@ -103,18 +103,18 @@
 	return registers
 }
 
-// remote is the partition.Transport over Twirp; the node's own copies are reached directly.
-type remote struct {
+// twirpTransport implements partition.Transport over Twirp. It calls the node's own replicas directly.
+type twirpTransport struct {
 	own       *Copies
 	ownID     string
 	directory *peers.Directory
 }
 
-func messageOf(name partition.Name) *controlv1.PartitionName {
+func nameToMessage(name partition.Name) *controlv1.PartitionName {
 	return &controlv1.PartitionName{Kind: string(name.Kind), Index: name.Index}
 }
 
-func (transport remote) serviceAt(holder partition.Holder) controlv1.Partition {
+func (transport twirpTransport) serviceAt(holder partition.Holder) controlv1.Partition {
 	if holder.NodeID == transport.ownID {
 		return transport.own
 	}
@@ -122,8 +122,8 @@
 }
 
 // Promise implements partition.Transport.
-func (transport remote) Promise(ctx context.Context, holder partition.Holder, name partition.Name, epoch uint64) (partition.Promise, error) {
-	answer, err := transport.serviceAt(holder).Promise(ctx, &controlv1.PromiseRequest{Partition: messageOf(name), Epoch: epoch, ReplicaId: holder.ReplicaID})
+func (transport twirpTransport) Promise(ctx context.Context, holder partition.Holder, name partition.Name, epoch uint64) (partition.Promise, error) {
+	answer, err := transport.serviceAt(holder).Promise(ctx, &controlv1.PromiseRequest{Partition: nameToMessage(name), Epoch: epoch, ReplicaId: holder.ReplicaID})
 	if err != nil {
 		return partition.Promise{}, err
 	}
@@ -131,9 +131,9 @@
 }
 
 // Append implements partition.Transport.
-func (transport remote) Append(ctx context.Context, holder partition.Holder, name partition.Name, write partition.Write) (bool, uint64, error) {
+func (transport twirpTransport) Append(ctx context.Context, holder partition.Holder, name partition.Name, write partition.Write) (bool, uint64, error) {
 	answer, err := transport.serviceAt(holder).Append(ctx, &controlv1.AppendRequest{
-		Partition: messageOf(name), Epoch: write.Epoch, ReplicaId: holder.ReplicaID,
+		Partition: nameToMessage(name), Epoch: write.Epoch, ReplicaId: holder.ReplicaID,
 		Records: toRecords(write.Registers), RemovePrefixes: write.RemovePrefixes,
 	})
 	if err != nil {
--- a/internal/ownership/identity.go
+++ b/internal/ownership/identity.go
@@ -2,14 +2,15 @@
 
 import "strconv"
 
-// MemoryReplicaID names the copies in a process's memory. A process's later incarnations (it refuted a suspicion) are
-// the same life: the first incarnation of a life is a multiple of LifeStep.
+// MemoryReplicaID returns the identity of the replicas in the memory of a process. It is the same for all incarnations of
+// one process: a process raises its incarnation when it refutes a suspicion.
 func MemoryReplicaID(nodeID string, incarnation uint64) string {
 	return nodeID + "#" + strconv.FormatUint(Life(incarnation), 10)
 }
 
-// LifeStep is the distance between the first incarnations of two lives of a node.
+// LifeStep separates the incarnations of successive processes of a node: the first incarnation of a process is a multiple
+// of LifeStep.
 const LifeStep = 1 << 20
 
-// Life returns the number of a process's life from any of its incarnations.
+// Life returns the number of the process that has the given incarnation.
 func Life(incarnation uint64) uint64 { return incarnation / LifeStep }
--- a/internal/ownership/lease.go
+++ b/internal/ownership/lease.go
@@ -10,10 +10,10 @@
 	"github.com/thistlewalk/thistlewalk/internal/keyvalue"
 )
 
-// keepLease renews the owner's lease at a third of its life, and grants it anew when it is gone. It returns whether the
-// lease was alive when last asked.
+// keepLease renews the owner lease after a third of its duration, and requests a new one if it has expired. It reports
+// whether the node held a valid lease at the last renewal.
 func (manager *Manager) keepLease(ctx context.Context) bool {
-	const renewalsPerLife = 3
+	const renewalsPerLease = 3
 	if manager.leasing.Acquire(ctx) != nil {
 		return false
 	}
@@ -21,7 +21,7 @@
 	if manager.isStopping() {
 		return false
 	}
-	if time.Since(manager.renewed) < manager.settings.LeaseTime/renewalsPerLife {
+	if time.Since(manager.renewed) < manager.settings.LeaseTime/renewalsPerLease {
 		return true
 	}
 	if manager.lease != "" {
@@ -37,7 +37,7 @@
 	return manager.grantLease(ctx)
 }
 
-// grantLease must hold leasing.
+// grantLease requests a lease and records this node under it. The caller must hold leasing.
 func (manager *Manager) grantLease(ctx context.Context) bool {
 	lease, err := manager.service.GrantLease(ctx, manager.settings.LeaseTime)
 	if err != nil {
@@ -46,7 +46,7 @@
 	manager.lease = lease
 	_, err = manager.service.CompareAndSwap(ctx, keyvalue.Swap{Key: configuration.LeasePrefix + manager.self.NodeID, Value: []byte(manager.self.Address), Lease: lease})
 	if err != nil {
-		// After a quick restart the key of the last life stands until its lease ends.
+		// After a quick restart the key of the previous process exists until its lease expires.
 		manager.logger.Info("owner lease not recorded", "error", err)
 		return false
 	}
@@ -54,7 +54,8 @@
 	return true
 }
 
-// Release ends the owner's lease, so that others take over; copies keep answering until the node closes.
+// Release revokes the owner lease, so that other nodes take the partitions over. The node's replicas continue to respond
+// until the node closes.
 func (manager *Manager) Release(ctx context.Context) {
 	manager.mu.Lock()
 	manager.stopping = true
--- a/internal/ownership/manager.go
+++ b/internal/ownership/manager.go
@@ -21,44 +21,45 @@
 
 // Handler serves the partitions of one kind while this node owns them.
 type Handler interface {
-	// Serve starts to serve a partition with the registers recovered. It replaces what it served of it before.
+	// Serve starts to serve a partition with the recovered registers. It replaces any earlier state of the partition.
 	Serve(name partition.Name, log *partition.Log, registers map[string]partition.Register, assignment partition.Assignment) error
-	// Stop ends serving.
+	// Stop stops serving a partition.
 	Stop(name partition.Name)
 }
 
-// Settings of the manager. Times are real time.
+// Settings are the settings of a Manager.
 type Settings struct {
-	// SettleTime is how long after its start a node waits before it takes partitions, so that members know each other.
+	// SettleTime is how long a node waits after its start before it takes partitions over, so that its membership view
+	// is complete by then.
 	SettleTime time.Duration
-	// WriteTimeout bounds the wait for a replica.
+	// WriteTimeout bounds the calls to the replicas of a partition.
 	WriteTimeout time.Duration
-	// ReplaceAfter is how long a copy on disk may be away before another node takes its place.
+	// ReplaceAfter is how long a replica on disk may be down before a replica on another node replaces it.
 	ReplaceAfter time.Duration
-	// LeaseTime is the life of an owner's lease without renewal.
+	// LeaseTime is the duration of an owner lease.
 	LeaseTime time.Duration
-	// HistoryPatience is how long a claims partition without a read quorum is tried before its history is given up.
+	// HistoryPatience is how long recovery of a claims partition must fail before its registers may be discarded.
 	HistoryPatience time.Duration
 }
 
-// Manager decides, at each tick of its actor, what to do with each partition.
+// Manager takes over, repairs and releases the partitions of a node.
 type Manager struct {
-	settings Settings
-	self     partition.Holder // ReplicaID is set by kind
-	copies   *Copies
-	members  *membership.Table
-	follower *configuration.Follower
-	service  keyvalue.Client
-	handlers map[partition.Kind]Handler
-	network  remote
-	logger   *log.Logger
-	started  time.Time
-	// listedGone tells that the machine list has nodes, and not this one.
-	listedGone func(nodeID string) bool
-	// isolated tells that this node sees so few of the listed nodes that it should leave partitions to others.
+	settings  Settings
+	self      partition.Holder // without ReplicaID, which depends on the kind
+	copies    *Copies
+	members   *membership.Table
+	follower  *configuration.Follower
+	service   keyvalue.Client
+	handlers  map[partition.Kind]Handler
+	transport twirpTransport
+	logger    *log.Logger
+	started   time.Time
+	// unlisted reports whether the machine list contains nodes, but not the given one.
+	unlisted func(nodeID string) bool
+	// isolated reports whether this node reaches so few of the listed nodes that it must not take partitions over.
 	isolated func() bool
 
-	leasing lock.Lock // guards lease and renewed; held over calls to the service
+	leasing lock.Lock // guards lease and renewed; held during calls to the metadata store
 	lease   keyvalue.LeaseID
 	renewed time.Time
 	states  map[partition.Name]*state
@@ -68,20 +69,20 @@
 	stopping bool
 }
 
-// NewManager returns a manager; handlers are by kind.
+// NewManager returns a manager that passes owned partitions to the handler of their kind.
 func NewManager(settings Settings, self partition.Holder, copies *Copies, members *membership.Table, follower *configuration.Follower,
-	service keyvalue.Client, directory *peers.Directory, handlers map[partition.Kind]Handler, listedGone func(string) bool, isolated func() bool, logger *log.Logger) *Manager {
+	service keyvalue.Client, directory *peers.Directory, handlers map[partition.Kind]Handler, unlisted func(string) bool, isolated func() bool, logger *log.Logger) *Manager {
 	return &Manager{
 		settings: settings, self: self, copies: copies, members: members, follower: follower, service: service,
-		handlers: handlers, listedGone: listedGone, isolated: isolated, network: remote{own: copies, ownID: self.NodeID, directory: directory}, logger: logger,
+		handlers: handlers, unlisted: unlisted, isolated: isolated, transport: twirpTransport{own: copies, ownID: self.NodeID, directory: directory}, logger: logger,
 		started: time.Now(), states: newStates(), leasing: lock.New(), serving: make(map[partition.Name]*partition.Log),
 	}
 }
 
-// state is what is remembered of one partition between ticks; one goroutine at a time uses it.
+// state is kept for each partition between ticks. Only one goroutine at a time uses it.
 type state struct {
-	missing time.Time // since when a copy has been away; zero when all are there
-	stuck   time.Time // since when recovery has failed; zero when it has not
+	missingSince time.Time // when the replica set was first found to need a replacement; zero if it needs none
+	failingSince time.Time // start of the first failed recovery since the last successful one; zero if none
 }
 
 func newStates() map[partition.Name]*state {
@@ -92,7 +93,7 @@
 	return states
 }
 
-// Tick looks at every partition once.
+// Tick reconciles all partitions, and renews the owner lease if this node owns any.
 func (manager *Manager) Tick(ctx context.Context) {
 	if time.Since(manager.started) < manager.settings.SettleTime {
 		return
@@ -104,10 +105,10 @@
 	}
 	var owned atomic.Int64
 	var pending errgroup.Group
-	pending.SetLimit(partitionsAtOnce)
+	pending.SetLimit(maxConcurrentPartitions)
 	for _, name := range partition.Names() {
 		pending.Go(func() error {
-			if ctx.Err() == nil && manager.one(ctx, table, name, candidates[name.Kind]) {
+			if ctx.Err() == nil && manager.reconcile(ctx, table, name, candidates[name.Kind]) {
 				owned.Add(1)
 			}
 			return nil
@@ -119,11 +120,11 @@
 	}
 }
 
-// partitionsAtOnce bounds the partitions that are recovered at a time, so that one whose copies do not answer holds up
-// few others.
-const partitionsAtOnce = 8
+// maxConcurrentPartitions bounds the number of partitions that are reconciled concurrently. It is greater than one so that
+// a partition with unresponsive replicas does not block the others.
+const maxConcurrentPartitions = 8
 
-// candidates returns the live nodes that can hold a copy of a kind. A node that is leaving is not among them.
+// candidates returns the live nodes that can hold a replica of a kind, without nodes that are leaving.
 func (manager *Manager) candidates(kind partition.Kind) []partition.Candidate {
 	var candidates []partition.Candidate
 	for _, member := range manager.members.View().Live {
@@ -146,28 +147,28 @@
 	return self
 }
 
-// one does what a partition needs and reports whether this node owns it.
-func (manager *Manager) one(ctx context.Context, table *partition.Table, name partition.Name, candidates []partition.Candidate) bool {
+// reconcile stops, repairs or takes over a partition as needed, and reports whether this node owns it.
+func (manager *Manager) reconcile(ctx context.Context, table *partition.Table, name partition.Name, candidates []partition.Candidate) bool {
 	assignment, _ := table.Assignment(name)
 	self := manager.selfFor(name.Kind)
 	if self.ReplicaID == "" {
 		return false
 	}
-	mine := assignment.Epoch > 0 && assignment.Owner.NodeID == self.NodeID && assignment.Owner.ReplicaID == self.ReplicaID
-	current := manager.current(name)
+	owned := assignment.Epoch > 0 && assignment.Owner.NodeID == self.NodeID && assignment.Owner.ReplicaID == self.ReplicaID
+	current := manager.servedLog(name)
 	if current != nil && assignment.Epoch > current.Epoch() {
 		manager.stop(name, "a greater epoch is in the table")
 		current = nil
 	}
 	switch {
 	case manager.isStopping():
-		return mine && current != nil
+		return owned && current != nil
 	case current != nil && current.Epoch() > assignment.Epoch:
-		return true // the table has yet to show what this node recorded
-	case mine && current != nil:
+		return true // the table does not yet contain this node's takeover
+	case owned && current != nil:
 		manager.maintain(ctx, assignment, current, candidates)
 		return true
-	case mine:
+	case owned:
 		manager.takeOver(ctx, assignment, self, candidates)
 		return true
 	case manager.isolated():
@@ -186,26 +187,26 @@
 	return manager.stopping
 }
 
-func (manager *Manager) current(name partition.Name) *partition.Log {
+func (manager *Manager) servedLog(name partition.Name) *partition.Log {
 	manager.mu.Lock()
 	defer manager.mu.Unlock()
 	return manager.serving[name]
 }
 
-// stop ends serving a partition.
+// stop stops serving a partition if this node serves it.
 func (manager *Manager) stop(name partition.Name, reason string) {
 	manager.mu.Lock()
-	_, was := manager.serving[name]
+	_, serving := manager.serving[name]
 	delete(manager.serving, name)
 	manager.mu.Unlock()
-	if was {
+	if serving {
 		manager.handlers[name.Kind].Stop(name)
 		manager.logger.Info("partition stopped", "partition", name, "reason", reason)
 	}
 }
 
-// maintain repairs an owned partition: it recovers after a failed write, fills copies that missed writes, and replaces
-// copies that are gone.
+// maintain repairs an owned partition: it recovers the partition after a failed write or when all replicas that missed
+// a write are live, and replaces failed replicas.
 func (manager *Manager) maintain(ctx context.Context, assignment partition.Assignment, current *partition.Log, candidates []partition.Candidate) {
 	name := assignment.Name
 	failure := current.Failed()
@@ -236,25 +237,26 @@
 	return true
 }
 
-// replacementDue reports whether a copy has been away for long enough. Copies in memory are gone at once.
+// replacementDue reports whether the replica set must change now: at once if it is too small or a replica in memory has
+// failed, and after ReplaceAfter if a replica on disk is down.
 func (manager *Manager) replacementDue(assignment partition.Assignment, candidates []partition.Candidate) bool {
 	if !partition.NeedsReplacement(assignment, candidates) {
-		manager.states[assignment.Name].missing = time.Time{}
+		manager.states[assignment.Name].missingSince = time.Time{}
 		return false
 	}
-	remembered := manager.states[assignment.Name]
-	if remembered.missing.IsZero() {
-		remembered.missing = time.Now()
+	tracked := manager.states[assignment.Name]
+	if tracked.missingSince.IsZero() {
+		tracked.missingSince = time.Now()
 	}
-	grown := len(assignment.Replicas) < partition.ReplicasWanted
-	return grown || assignment.Name.Kind == partition.KindClaims || time.Since(remembered.missing) >= manager.settings.ReplaceAfter
+	belowTarget := len(assignment.Replicas) < partition.ReplicasWanted
+	return belowTarget || assignment.Name.Kind == partition.KindClaims || time.Since(tracked.missingSince) >= manager.settings.ReplaceAfter
 }
 
-// takeOver raises the epoch in the service, recovers from the old copies onto the new ones, records the new copies, and
-// serves. Each stage can be repeated by any node after a crash.
+// takeOver raises the epoch in the metadata store, recovers the registers from the old replicas to the new ones, records
+// the new replicas, and serves. After a crash at any point another node can repeat all of it.
 func (manager *Manager) takeOver(ctx context.Context, assignment partition.Assignment, self partition.Holder, candidates []partition.Candidate) {
 	if !manager.keepLease(ctx) {
-		return // without a lease the others would take the partition over at once
+		return // without a lease another node could take the partition over at once
 	}
 	chosen := partition.ChooseReplicas(assignment.Name, self, assignment.Replicas, candidates)
 	chosen = partition.RetainAbsentReplicas(assignment.Name, chosen, assignment.Replicas)
@@ -264,7 +266,7 @@
 	if next.Replicas == nil {
 		next.Replicas = chosen
 	}
-	if manager.historyGivenUp(assignment, candidates) {
+	if manager.historyUnrecoverable(assignment, candidates) {
 		next.Replicas = nil
 		next.HistoryLost = time.Now()
 		manager.logger.Error("claim history given up", "partition", assignment.Name, "epoch", next.Epoch)
@@ -275,17 +277,17 @@
 	manager.recover(ctx, next, partition.Recovery{From: next.Replicas, To: chosen})
 }
 
-// historyGivenUp reports whether a claims partition can never recover: it has failed for long enough, and so many of its
-// copies are surely gone that neither a read quorum nor a write quorum of an earlier owner is left. Copies on disk are
-// never given up: their machines come back, or an operator ends the steps.
-func (manager *Manager) historyGivenUp(assignment partition.Assignment, candidates []partition.Candidate) bool {
-	since := manager.states[assignment.Name].stuck
+// historyUnrecoverable reports whether the registers of a claims partition are lost: recovery has failed for
+// HistoryPatience, and the replicas that may still exist are fewer than a read quorum and fewer than a write quorum. It is
+// always false for replicas on disk, since their machines may return. Otherwise an operator ends the steps.
+func (manager *Manager) historyUnrecoverable(assignment partition.Assignment, candidates []partition.Candidate) bool {
+	since := manager.states[assignment.Name].failingSince
 	if since.IsZero() || assignment.Name.Kind != partition.KindClaims || time.Since(since) < manager.settings.HistoryPatience {
 		return false
 	}
 	left := 0
 	for _, holder := range assignment.Replicas {
-		if !manager.surelyGone(holder, candidates) {
+		if !manager.permanentlyGone(holder, candidates) {
 			left++
 		}
 	}
@@ -293,18 +295,18 @@
 	return left < quorum
 }
 
-// surelyGone reports whether a process that held a copy in memory cannot come back: its node lives another life, or the
-// platform lists nodes and not this one.
-func (manager *Manager) surelyGone(holder partition.Holder, candidates []partition.Candidate) bool {
+// permanentlyGone reports whether a replica in memory cannot return: its node is live with another process, or the machine
+// list contains nodes but not this one.
+func (manager *Manager) permanentlyGone(holder partition.Holder, candidates []partition.Candidate) bool {
 	for _, candidate := range candidates {
 		if candidate.NodeID == holder.NodeID {
 			return candidate.ReplicaID != holder.ReplicaID
 		}
 	}
-	return manager.listedGone(holder.NodeID)
+	return manager.unlisted(holder.NodeID)
 }
 
-// record stores an assignment by compare-and-swap and updates its service revision.
+// record stores an assignment by compare-and-swap, sets its ServiceRevision, and reports success.
 func (manager *Manager) record(ctx context.Context, assignment *partition.Assignment) bool {
 	content, err := json.Marshal(assignment)
 	if err != nil {
@@ -326,18 +328,18 @@
 	return true
 }
 
-// recover collects the registers, writes them to the copies that are to hold them, and serves.
+// recover recovers the registers, records the replicas if they have changed, and serves the partition.
 func (manager *Manager) recover(ctx context.Context, assignment partition.Assignment, recovery partition.Recovery) {
 	name, to := assignment.Name, recovery.To
 	recovery.Name, recovery.Epoch, recovery.Timeout = name, assignment.Epoch, manager.settings.WriteTimeout
-	if manager.current(name) != nil {
-		manager.stop(name, "recovers")
+	if manager.servedLog(name) != nil {
+		manager.stop(name, "recovery started")
 	}
 	began := time.Now()
-	current, registers, err := partition.Recover(ctx, recovery, manager.network)
+	current, registers, err := partition.Recover(ctx, recovery, manager.transport)
 	if err != nil {
-		if remembered := manager.states[name]; remembered.stuck.IsZero() {
-			remembered.stuck = began
+		if tracked := manager.states[name]; tracked.failingSince.IsZero() {
+			tracked.failingSince = began
 		}
 		manager.logger.Warn("partition not recovered", "partition", name, "epoch", assignment.Epoch, "error", err)
 		return
@@ -352,7 +354,7 @@
 		manager.logger.Error("partition not served", "partition", name, "epoch", assignment.Epoch, "error", err)
 		return
 	}
-	manager.states[name].stuck = time.Time{}
+	manager.states[name].failingSince = time.Time{}
 	manager.mu.Lock()
 	manager.serving[name] = current
 	manager.mu.Unlock()
@@ -375,7 +377,8 @@
 	return true
 }
 
-// Held returns how many partitions this node owns, or holds a copy in memory of, by the newest table.
+// Held returns the number of partitions that this node owns or holds a replica in memory of, according to the newest
+// table.
 func (manager *Manager) Held() int {
 	held := 0
 	for _, assignment := range manager.follower.Table().Assignments {
