--- a/internal/delivery/calls.go
+++ b/internal/delivery/calls.go
@@ -1,5 +1,5 @@
-// Package delivery owns training steps: it keeps their samples on a quorum of stores, hands empty slots to executors
-// until each is filled, and delivers samples to trainers by cursor.
+// Package delivery serves training steps. The owner of a step stores its samples on a quorum of replicas, dispatches empty
+// slots to executors until all are filled, and delivers the samples to the trainer by cursor.
 package delivery
 
 import (
@@ -13,31 +13,31 @@
 	"github.com/thistlewalk/thistlewalk/internal/step"
 )
 
-// PartitionOf returns the index of the partition that a step belongs to.
+// PartitionOf returns the index of a step's partition.
 func PartitionOf(stepID string) uint32 { return uint32(xxhash.Sum64String(stepID) % partition.Count) }
 
-// CreateCall asks for a step.
+// CreateCall is the body of a call that creates a step.
 type CreateCall struct {
 	Definition step.Definition `cbor:"1,keyasint"`
 }
 
-// CreateAnswer tells the step's size, and whether it existed before with the same content.
+// CreateAnswer is the response to a CreateCall. Existed is true if the step already existed with the same content.
 type CreateAnswer struct {
 	Slots   int  `cbor:"1,keyasint"`
 	Existed bool `cbor:"2,keyasint"`
 }
 
-// FetchCall asks for the samples at a cursor.
+// FetchCall is the body of a call that fetches the samples at a cursor. Wait bounds the wait for samples.
 type FetchCall struct {
 	StepID  string            `cbor:"1,keyasint"`
 	Cursor  uint64            `cbor:"2,keyasint"`
 	Number  uint64            `cbor:"3,keyasint"`
 	Maximum int               `cbor:"4,keyasint"`
 	Wait    time.Duration     `cbor:"5,keyasint"`
-	Newest  map[string]uint64 `cbor:"6,keyasint"` // by policy: the version that the trainer has
+	Newest  map[string]uint64 `cbor:"6,keyasint"` // by policy: the newest version that the trainer has
 }
 
-// DeliveredSample is one sample of an answer.
+// DeliveredSample is one sample of a FetchAnswer, with its staleness at delivery.
 type DeliveredSample struct {
 	Slot              uint32         `cbor:"1,keyasint"`
 	Generation        uint32         `cbor:"2,keyasint"`
@@ -46,7 +46,7 @@
 	StalenessAge      time.Duration  `cbor:"5,keyasint"`
 }
 
-// FetchAnswer is what a fetch delivers. NextCursor is Cursor+1 when Samples is not empty, else Cursor.
+// FetchAnswer is the response to a FetchCall. NextCursor is the call's Cursor, plus one if Samples is not empty.
 type FetchAnswer struct {
 	Samples    []DeliveredSample `cbor:"1,keyasint"`
 	NextCursor uint64            `cbor:"2,keyasint"`
@@ -55,13 +55,13 @@
 	Delivered  int               `cbor:"5,keyasint"`
 }
 
-// AcknowledgeCall moves the cursor past a delivered batch.
+// AcknowledgeCall is the body of a call that moves the cursor past a delivered batch.
 type AcknowledgeCall struct {
 	StepID string `cbor:"1,keyasint"`
 	Cursor uint64 `cbor:"2,keyasint"`
 }
 
-// EndCall closes a step early.
+// EndCall is the body of a call that closes a step early.
 type EndCall struct {
 	StepID string `cbor:"1,keyasint"`
 }
@@ -81,22 +81,22 @@
 	Created    time.Time  `cbor:"11,keyasint" json:"created"`
 }
 
-// StalenessSummary is the distribution of staleness of recently delivered samples of one policy.
+// StalenessSummary is the staleness distribution of the recently delivered samples of one policy.
 type StalenessSummary struct {
 	Policy string `cbor:"1,keyasint" json:"policy"`
 	Count  int64  `cbor:"2,keyasint" json:"count"`
-	// Versions and Seconds are percentiles 50, 90, 99 and the maximum.
+	// Versions and Seconds hold the 50th, 90th and 99th percentiles and the maximum.
 	Versions [4]int64   `cbor:"3,keyasint" json:"versions"`
 	Seconds  [4]float64 `cbor:"4,keyasint" json:"seconds"`
 }
 
-// ListAnswer lists the steps of the partitions that a node owns, and the staleness that it delivered.
+// ListAnswer lists the steps of the partitions that a node owns, and the staleness of the samples that it delivered.
 type ListAnswer struct {
 	Steps     []Summary          `cbor:"1,keyasint"`
 	Staleness []StalenessSummary `cbor:"2,keyasint"`
 }
 
-// SlotRequestID returns the request identifier that engines see for a slot.
+// SlotRequestID returns the request identifier that engines receive for a slot.
 func SlotRequestID(stepID string, slot, generation uint32) string {
 	return fmt.Sprintf("%s#%d.%d", stepID, slot, generation)
 }
--- a/internal/delivery/dispatch.go
+++ b/internal/delivery/dispatch.go
@@ -14,25 +14,26 @@
 	"github.com/thistlewalk/thistlewalk/internal/step"
 )
 
-// Priorities of slots: a straggler's second attempt goes before the rest of its step, and callers go before both.
+// Priorities of slots. The second attempt of a straggler precedes the other slots of its step; requests of callers precede
+// both.
 const (
-	PrioritySlot      = 0
-	PriorityStraggler = 5
+	prioritySlot      = 0
+	priorityStraggler = 5
 )
 
-// assigned is work for one node.
-type assigned struct {
+// dispatchBatch is a set of slots of one step for one node.
+type dispatchBatch struct {
 	nodeID string
 	stepID string
 	work   []*controlv1.SlotWork
 }
 
-// Tick drops samples that became too old, gives silent slots to others, dispatches empty slots and removes old steps.
+// Tick drops stale samples, expires attempts that were not renewed, removes old closed steps, and dispatches empty slots.
 func (service *Service) Tick(ctx context.Context) {
 	var pending sync.WaitGroup
-	for _, served := range service.all() {
+	for _, served := range service.servedPartitions() {
 		pending.Go(func() {
-			served.housekeep(ctx)
+			served.expire(ctx)
 			if time.Since(served.since) >= service.settings.AdoptTime {
 				served.dispatch(ctx)
 			}
@@ -41,8 +42,8 @@
 	pending.Wait()
 }
 
-// housekeep expires samples, attempts and closed steps.
-func (served *served) housekeep(ctx context.Context) {
+// expire removes closed steps, attempts and samples that have expired.
+func (served *servedPartition) expire(ctx context.Context) {
 	if served.changing.Acquire(ctx) != nil {
 		return
 	}
@@ -69,8 +70,8 @@
 	}
 }
 
-// dispatch hands empty slots to executors, the oldest step first.
-func (served *served) dispatch(ctx context.Context) {
+// dispatch sends empty slots to executors, the oldest step first.
+func (served *servedPartition) dispatch(ctx context.Context) {
 	batches := served.assign(ctx)
 	var pending sync.WaitGroup
 	for _, batch := range batches {
@@ -79,7 +80,8 @@
 	pending.Wait()
 }
 
-func (served *served) assign(ctx context.Context) []assigned {
+// assign chooses an executor for each empty slot, within OutstandingSlots, and records the attempts.
+func (served *servedPartition) assign(ctx context.Context) []dispatchBatch {
 	if served.changing.Acquire(ctx) != nil {
 		return nil
 	}
@@ -89,49 +91,49 @@
 		return nil
 	}
 	rand.Shuffle(len(executors), func(i, j int) { executors[i], executors[j] = executors[j], executors[i] })
-	room := served.service.settings.OutstandingSlots
+	capacity := served.service.settings.OutstandingSlots
 	steps := served.openSteps()
 	for _, owned := range steps {
-		room -= owned.attempts.Running()
+		capacity -= owned.attempts.Running()
 	}
-	var batches []assigned
+	var batches []dispatchBatch
 	next := 0
 	for _, owned := range steps {
-		due := owned.step.Due(owned.attempts, max(room, 0))
-		room -= len(due)
-		work := served.work(owned, due, PrioritySlot)
-		work = append(work, served.work(owned, served.stragglers(owned), PriorityStraggler)...)
+		due := owned.step.Due(owned.attempts, max(capacity, 0))
+		capacity -= len(due)
+		work := served.slotWork(owned, due, prioritySlot)
+		work = append(work, served.slotWork(owned, served.stragglers(owned), priorityStraggler)...)
 		for chunk := range slices.Chunk(work, served.chunkSize(len(work), len(executors))) {
 			nodeID := executors[next%len(executors)]
 			next++
-			served.begin(owned, nodeID, chunk)
-			batches = append(batches, assigned{nodeID: nodeID, stepID: owned.step.Definition.ID, work: chunk})
+			served.recordAttempts(owned, nodeID, chunk)
+			batches = append(batches, dispatchBatch{nodeID: nodeID, stepID: owned.step.Definition.ID, work: chunk})
 		}
 	}
 	return batches
 }
 
-// chunkSize spreads work over all executors.
-func (served *served) chunkSize(work, executors int) int {
+// chunkSize returns the number of slots per dispatch that spreads the work over all executors, up to SlotsPerDispatch.
+func (served *servedPartition) chunkSize(work, executors int) int {
 	even := (work + executors - 1) / executors
 	return max(1, min(even, served.service.settings.SlotsPerDispatch))
 }
 
-// openSteps returns the open steps, oldest first; must hold changing.
-func (served *served) openSteps() []*owned {
-	var open []*owned
+// openSteps returns the open steps, oldest first. The caller must hold changing.
+func (served *servedPartition) openSteps() []*ownedStep {
+	var open []*ownedStep
 	for _, owned := range served.steps {
 		if owned.step.Progress.State == step.StateOpen {
 			open = append(open, owned)
 		}
 	}
-	slices.SortFunc(open, func(a, b *owned) int {
+	slices.SortFunc(open, func(a, b *ownedStep) int {
 		return cmp.Or(a.step.Definition.Created.Compare(b.step.Definition.Created), cmp.Compare(a.step.Definition.ID, b.step.Definition.ID))
 	})
 	return open
 }
 
-func (served *served) stragglers(owned *owned) []step.SlotState {
+func (served *servedPartition) stragglers(owned *ownedStep) []step.SlotState {
 	settings := served.service.settings
 	if settings.StragglerTime == 0 {
 		return nil
@@ -140,8 +142,9 @@
 	return owned.step.Stragglers(owned.attempts, time.Now().Add(-settings.StragglerTime), max(remaining, 1))
 }
 
-// work describes slots to executors; slots whose experiment has no active policy wait. Must hold changing.
-func (served *served) work(owned *owned, slots []step.SlotState, priority int32) []*controlv1.SlotWork {
+// slotWork returns the work items of slots for executors. It skips slots whose experiment has no active policy. The caller
+// must hold changing.
+func (served *servedPartition) slotWork(owned *ownedStep, slots []step.SlotState, priority int32) []*controlv1.SlotWork {
 	definition := owned.step.Definition
 	document := served.service.document()
 	work := make([]*controlv1.SlotWork, 0, len(slots))
@@ -154,50 +157,51 @@
 		work = append(work, &controlv1.SlotWork{
 			Slot: state.Slot, Generation: state.Generation, Attempt: served.attempt, Experiment: definition.Experiment,
 			Policy: arm.Policy, Prompt: definition.Prompt(state.Slot), MaxTokens: uint32(definition.MaxTokens),
-			Priority: priority + urgency(owned), Margin: margin(owned),
+			Priority: priority + priorityBoost(owned), Margin: versionMargin(owned),
 		})
 	}
 	return work
 }
 
-// wantedTime is how long a trainer's question counts: it asks again within a long poll.
-const wantedTime = 5 * time.Second
+// trainerWaitWindow is how long after a fetch the trainer counts as waiting. A waiting trainer fetches again
+// within this time.
+const trainerWaitWindow = 5 * time.Second
 
-// isWanted reports whether the trainer waits for the step.
-func isWanted(owned *owned) bool { return time.Since(owned.wanted) < wantedTime }
+// trainerWaiting reports whether the trainer is waiting for samples of the step.
+func trainerWaiting(owned *ownedStep) bool { return time.Since(owned.lastFetch) < trainerWaitWindow }
 
-// urgency puts a step that its trainer waits for before those that are generated ahead.
-func urgency(owned *owned) int32 {
-	if isWanted(owned) {
+// priorityBoost raises the priority of steps whose trainer is waiting over that of steps that are generated ahead.
+func priorityBoost(owned *ownedStep) int32 {
+	if trainerWaiting(owned) {
 		return 1
 	}
 	return 0
 }
 
-// margin keeps rollouts of a step that is generated ahead off replicas that are about to be swapped: the trainer will
-// publish once more before it uses their samples.
-func margin(owned *owned) uint32 {
-	if isWanted(owned) {
+// versionMargin tightens the staleness bound by one version for a step that is generated ahead, because the trainer will
+// publish another version before it uses the samples.
+func versionMargin(owned *ownedStep) uint32 {
+	if trainerWaiting(owned) {
 		return 0
 	}
 	return 1
 }
 
-// groupKey is the key that a slot's policy is assigned by: the slots of a group share it.
+// groupKey returns the key that determines the policy of a slot. All slots of a group have the same key.
 func groupKey(definition step.Definition, slot uint32) string {
 	return fmt.Sprintf("%s/%d", definition.ID, definition.Group(slot))
 }
 
-// begin notes attempts before they are sent; must hold changing.
-func (served *served) begin(owned *owned, nodeID string, work []*controlv1.SlotWork) {
+// recordAttempts records the attempts of a dispatch before it is sent. The caller must hold changing.
+func (served *servedPartition) recordAttempts(owned *ownedStep, nodeID string, work []*controlv1.SlotWork) {
 	now := time.Now()
 	for _, slot := range work {
 		owned.attempts.Begin(step.Attempt{Number: slot.GetAttempt(), Slot: slot.GetSlot(), NodeID: nodeID, Began: now, Renewed: now})
 	}
 }
 
-// send dispatches one batch and forgets the attempts that the node did not accept.
-func (served *served) send(ctx context.Context, batch assigned) {
+// send dispatches a batch and abandons the attempts that the node did not accept.
+func (served *servedPartition) send(ctx context.Context, batch dispatchBatch) {
 	callCtx, cancel := context.WithTimeout(ctx, served.service.settings.DispatchTimeout)
 	defer cancel()
 	accepted, err := served.service.dispatcher.Dispatch(callCtx, batch.nodeID, &controlv1.DispatchRequest{
@@ -221,7 +225,7 @@
 	}
 }
 
-// armFor returns the arm of a policy in an experiment.
+// armFor returns the arm of an experiment that uses the given policy.
 func armFor(document *experiment.Document, experimentName, policy string) (experiment.Arm, bool) {
 	found, ok := document.Experiment(experimentName)
 	if !ok {
--- a/internal/delivery/executor.go
+++ b/internal/delivery/executor.go
@@ -17,28 +17,29 @@
 	"github.com/thistlewalk/thistlewalk/internal/rollout"
 )
 
-// Scorer grades a finished sample; the platform's scoring service is behind it.
+// Scorer scores finished samples with the platform's scoring service.
 type Scorer interface {
 	Score(ctx context.Context, policy, prompt, completion string) (float64, error)
 }
 
-// Owners reaches the owner of a steps partition, wherever it is at the moment.
+// Owners returns a client of the current owner of a steps partition.
 type Owners interface {
 	Steps(partition uint32) (controlv1.Steps, error)
 }
 
-// ExecutorSettings of a node.
+// ExecutorSettings are the settings of an Executor.
 type ExecutorSettings struct {
-	// MaximumSlots bounds the slots that the node works on.
+	// MaximumSlots bounds the number of slots that the node runs concurrently.
 	MaximumSlots int
-	// RenewInterval is how often the owner is told what runs here.
+	// RenewInterval is the interval at which the node renews its attempts with the owners.
 	RenewInterval time.Duration
-	// CallTimeout bounds a call to the owner.
+	// CallTimeout bounds each call to an owner.
 	CallTimeout time.Duration
-	// SwapPatience is how long a rollout that is generated ahead waits for a replica that runs newer weights.
+	// SwapPatience is how long a rollout that is generated ahead waits for a replica with newer weights.
 	SwapPatience time.Duration
-	// RoomShare and AheadShare are how far rollouts of steps fill a replica's batch: of a step that its trainer waits for,
-	// and of one that is generated ahead. Zero queues at replicas.
+	// RoomShare and AheadShare are the shares of a replica's batch up to which rollouts are sent to the replica: RoomShare for
+	// a step whose trainer is waiting, AheadShare for a step that is generated ahead. Zero means no limit, and rollouts queue
+	// at the replicas.
 	RoomShare, AheadShare float64
 }
 
@@ -70,10 +71,10 @@
 	mu       sync.Mutex
 	stopping bool
 	running  map[slotKey]slotRun
-	epochs   map[uint32]uint64 // by partition: the greatest epoch that dispatched here
+	epochs   map[uint32]uint64 // by partition: the greatest epoch of any dispatch received
 }
 
-// NewExecutor returns an executor without work.
+// NewExecutor returns an executor that runs no slots yet.
 func NewExecutor(settings ExecutorSettings, nodeID string, runner *execution.Runner, scorer Scorer, owners Owners,
 	document func() *experiment.Document, logger *log.Logger) *Executor {
 	ctx, stop := context.WithCancel(context.Background())
@@ -81,7 +82,7 @@
 		logger: logger, ctx: ctx, stop: stop, running: make(map[slotKey]slotRun), epochs: make(map[uint32]uint64)}
 }
 
-// Dispatch implements the Twirp service: it accepts slots up to the node's limit, from the owner with the greatest epoch.
+// Dispatch implements the Twirp service. It accepts slots up to MaximumSlots, and none from an owner with an older epoch.
 func (executor *Executor) Dispatch(_ context.Context, request *controlv1.DispatchRequest) (*controlv1.DispatchResponse, error) {
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
@@ -103,16 +104,16 @@
 		response.Accepted = append(response.Accepted, work.GetSlot())
 		executor.pending.Go(func() {
 			defer cancel()
-			executor.fill(ctx, key, request.GetPartition(), work)
+			executor.fillSlot(ctx, key, request.GetPartition(), work)
 		})
 	}
 	return response, nil
 }
 
-// fill runs one slot to its end and brings the sample to the owner.
-func (executor *Executor) fill(ctx context.Context, key slotKey, index uint32, work *controlv1.SlotWork) {
-	defer executor.forget(key)
-	sample, err := executor.produce(ctx, key, work)
+// fillSlot generates the sample of a slot and submits it to the owner.
+func (executor *Executor) fillSlot(ctx context.Context, key slotKey, index uint32, work *controlv1.SlotWork) {
+	defer executor.removeRun(key)
+	sample, err := executor.generate(ctx, key, work)
 	if err != nil {
 		if ctx.Err() == nil {
 			executor.logger.Warn("slot failed", "step", key.stepID, "slot", key.slot, "code", result.CodeOf(err), "error", err)
@@ -132,12 +133,12 @@
 	}
 }
 
-// errTooOld ends a rollout whose oldest tokens have fallen behind the staleness bound.
-var errTooOld = errors.New("the rollout is over the staleness bound")
+// errTooStale aborts a rollout whose oldest tokens exceed the staleness bound.
+var errTooStale = errors.New("the rollout is over the staleness bound")
 
-// produce runs the rollout, again until it is whole, and has it scored. A rollout that has fallen behind the bound is
-// begun anew.
-func (executor *Executor) produce(ctx context.Context, key slotKey, work *controlv1.SlotWork) (*rollout.Sample, error) {
+// generate runs a rollout and has its sample scored. It retries a rollout that failed or exceeded the staleness bound,
+// unless the request is invalid.
+func (executor *Executor) generate(ctx context.Context, key slotKey, work *controlv1.SlotWork) (*rollout.Sample, error) {
 	policy := backoff.NewExponentialBackOff()
 	policy.InitialInterval = 50 * time.Millisecond
 	policy.MaxInterval = 2 * time.Second
@@ -162,48 +163,48 @@
 	return sample, err
 }
 
-// attempt runs the rollout once, beginning at least margin versions below the staleness bound where it can.
+// attempt runs the rollout once, on a replica whose version satisfies the staleness bound tightened by margin versions.
 func (executor *Executor) attempt(ctx context.Context, key slotKey, work *controlv1.SlotWork, margin uint64) (*rollout.Sample, error) {
 	document := executor.document()
 	arm, ok := armFor(document, work.GetExperiment(), work.GetPolicy())
 	if !ok {
 		return nil, result.New(result.InvalidNotFound, "experiment %q has no policy %q", work.GetExperiment(), work.GetPolicy())
 	}
-	arm.FirstVersion = max(arm.FirstVersion, oldestUseful(document, work, margin))
+	arm.FirstVersion = max(arm.FirstVersion, oldestAllowedVersion(document, work, margin))
 	outcome, err := executor.runner.Run(ctx, execution.Request{
 		RequestID: SlotRequestID(key.stepID, key.slot, work.GetGeneration()), Arm: arm, Prompt: work.GetPrompt(), MaxTokens: int(work.GetMaxTokens()),
-		Priority: int(work.GetPriority()), Repeatable: true, PrefixKey: work.GetPrompt(), RoomShare: executor.roomShare(work),
+		Priority: int(work.GetPriority()), Repeatable: true, PrefixKey: work.GetPrompt(), RoomShare: executor.batchShare(work),
 	}, func(chunk rollout.Chunk) error {
-		if chunk.Version < oldestUseful(executor.document(), work, 0) {
-			return errTooOld
+		if chunk.Version < oldestAllowedVersion(executor.document(), work, 0) {
+			return errTooStale
 		}
 		return nil
 	})
 	if err != nil {
 		return nil, err
 	}
-	if outcome.Sample.OldestVersion() < oldestUseful(executor.document(), work, 0) {
-		return nil, errTooOld
+	if outcome.Sample.OldestVersion() < oldestAllowedVersion(executor.document(), work, 0) {
+		return nil, errTooStale
 	}
 	if err := outcome.Sample.Check(); err != nil {
-		// An unlabelled sample is of no use for training: it is run again.
-		return nil, errors.Newf("the rollout cannot be used: %v", err)
+		// The new error carries no result code, so that generate retries the rollout.
+		return nil, errors.Newf("sample cannot be used for training: %v", err)
 	}
 	return &outcome.Sample, nil
 }
 
-// roomShare leaves room beside rollouts that a trainer waits for: those of a step that is generated ahead fill batches
-// less, so that the others run faster.
-func (executor *Executor) roomShare(work *controlv1.SlotWork) float64 {
+// batchShare returns the share of a replica's batch that the rollout may fill. The share is smaller for a step that is
+// generated ahead, to leave capacity for rollouts that a trainer is waiting for.
+func (executor *Executor) batchShare(work *controlv1.SlotWork) float64 {
 	if work.GetMargin() > 0 {
 		return executor.settings.AheadShare
 	}
 	return executor.settings.RoomShare
 }
 
-// oldestUseful returns the oldest version whose tokens the staleness bound still allows, with a margin: at most that of
-// the bound itself, so that the newest version is always of use.
-func oldestUseful(document *experiment.Document, work *controlv1.SlotWork, margin uint64) uint64 {
+// oldestAllowedVersion returns the oldest version that the staleness bound allows after it is tightened by margin versions.
+// A margin beyond the bound counts as the bound, so that the newest version is always allowed.
+func oldestAllowedVersion(document *experiment.Document, work *controlv1.SlotWork, margin uint64) uint64 {
 	found, ok := document.Experiment(work.GetExperiment())
 	policy, known := document.Policy(work.GetPolicy())
 	if !ok || !known || !found.Bound.HasVersions {
@@ -213,7 +214,8 @@
 	return policy.Newest() - min(policy.Newest(), allowed)
 }
 
-// submit brings samples until the owner has taken them, the slot is given up, or the answer is final.
+// submit sends samples to the owner. It retries until the owner accepts them or refuses them permanently, or until ctx is
+// done.
 func (executor *Executor) submit(ctx context.Context, request *controlv1.SubmitRequest) error {
 	policy := backoff.NewExponentialBackOff()
 	policy.InitialInterval = 50 * time.Millisecond
@@ -238,23 +240,23 @@
 	return err
 }
 
-func (executor *Executor) forget(key slotKey) {
+func (executor *Executor) removeRun(key slotKey) {
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
 	delete(executor.running, key)
 }
 
-type renewal struct {
+type renewalKey struct {
 	stepID    string
 	partition uint32
 }
 
-// Tick tells the owners what runs here, and cancels what they have given up.
+// Tick renews the running attempts with their owners, and cancels those that the owners have abandoned.
 func (executor *Executor) Tick(ctx context.Context) {
 	executor.mu.Lock()
-	requests := make(map[renewal]*controlv1.RenewRequest)
+	requests := make(map[renewalKey]*controlv1.RenewRequest)
 	for key, run := range executor.running {
-		group := renewal{key.stepID, run.partition}
+		group := renewalKey{key.stepID, run.partition}
 		request, ok := requests[group]
 		if !ok {
 			request = &controlv1.RenewRequest{StepId: key.stepID, Partition: run.partition, NodeId: executor.nodeID}
@@ -289,21 +291,21 @@
 	}
 }
 
-// Running returns the number of slots in work.
+// Running returns the number of slots that are running.
 func (executor *Executor) Running() int {
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
 	return len(executor.running)
 }
 
-// Refuse stops taking slots; those in work go on.
+// Refuse makes the executor accept no more slots. Running slots continue.
 func (executor *Executor) Refuse() {
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
 	executor.stopping = true
 }
 
-// Drain waits until the slots in work are done or the context ends.
+// Drain waits until no slots are running or ctx is done.
 func (executor *Executor) Drain(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
@@ -318,7 +320,7 @@
 	}
 }
 
-// Close gives up the slots in work.
+// Close refuses further slots and cancels the running ones.
 func (executor *Executor) Close() {
 	executor.Refuse()
 	executor.stop()
--- a/internal/delivery/listing.go
+++ b/internal/delivery/listing.go
@@ -13,7 +13,7 @@
 // List implements the Twirp service.
 func (service *Service) List(ctx context.Context, _ *controlv1.StepCall) (*controlv1.StepAnswer, error) {
 	list := ListAnswer{Staleness: service.staleness.summaries()}
-	for _, served := range service.all() {
+	for _, served := range service.servedPartitions() {
 		if err := served.changing.Acquire(ctx); err != nil {
 			return nil, twirp.DeadlineExceeded.Error(err.Error())
 		}
@@ -26,8 +26,8 @@
 	return &controlv1.StepAnswer{Outcome: result.ToMessage(err), Body: body}, nil
 }
 
-// summary describes a step; must hold changing.
-func (served *served) summary(owned *owned) Summary {
+// summary returns the summary of a step. The caller must hold changing.
+func (served *servedPartition) summary(owned *ownedStep) Summary {
 	definition := owned.step.Definition
 	return Summary{
 		StepID: definition.ID, Experiment: definition.Experiment, State: owned.step.Progress.State, Slots: definition.Slots(),
--- a/internal/delivery/service.go
+++ b/internal/delivery/service.go
@@ -16,35 +16,35 @@
 	"github.com/thistlewalk/thistlewalk/internal/step"
 )
 
-// Settings of the owner of steps.
+// Settings are the settings of a Service.
 type Settings struct {
-	// AttemptSilence is how long an executor may be silent about a slot before another one gets it.
+	// AttemptSilence is how long after its last renewal an attempt expires, and its slot may be dispatched again.
 	AttemptSilence time.Duration
-	// AdoptTime is how long a new owner waits for executors to tell what they run before it dispatches.
+	// AdoptTime is how long a new owner waits for executors to renew their running attempts before it dispatches slots.
 	AdoptTime time.Duration
-	// OutstandingSlots bounds the slots of one partition that are with executors.
+	// OutstandingSlots bounds the number of slots of one partition that executors are running.
 	OutstandingSlots int
-	// SlotsPerDispatch bounds the slots of one dispatch message.
+	// SlotsPerDispatch bounds the number of slots in one dispatch request.
 	SlotsPerDispatch int
-	// StragglerShare and StragglerTime allow a second attempt once at most this share of a step's slots is empty and the
-	// first attempt is older than the time. A zero time allows none.
+	// A slot gets a second attempt if at most StragglerShare of the step's slots are empty and its first attempt is older
+	// than StragglerTime. A zero StragglerTime disables second attempts.
 	StragglerShare float64
 	StragglerTime  time.Duration
-	// KeepClosed is how long a finished step is kept, for a trainer that asks again.
+	// KeepClosed is how long a closed step is kept, so that a trainer can repeat its last calls.
 	KeepClosed time.Duration
-	// DispatchTimeout bounds one dispatch call.
+	// DispatchTimeout bounds each dispatch call.
 	DispatchTimeout time.Duration
 }
 
-// Dispatcher hands slots to executors.
+// Dispatcher sends slots to executors.
 type Dispatcher interface {
-	// Executors returns the identifiers of nodes that may be given slots.
+	// Executors returns the identifiers of the nodes that may receive slots.
 	Executors() []string
-	// Dispatch returns the slots that the node accepted.
+	// Dispatch sends slots to a node and returns those that the node accepted.
 	Dispatch(ctx context.Context, nodeID string, request *controlv1.DispatchRequest) ([]uint32, error)
 }
 
-// Service owns steps partitions: it is their ownership.Handler and the Twirp service Steps.
+// Service serves the steps partitions that the node owns. It implements ownership.Handler and the Twirp service Steps.
 type Service struct {
 	settings   Settings
 	nodeID     string
@@ -54,35 +54,36 @@
 	staleness  *stalenessHistory
 
 	mu     sync.Mutex
-	served map[partition.Name]*served
+	served map[partition.Name]*servedPartition
 }
 
-// served is one owned partition. All changes go through commit.
-type served struct {
+// servedPartition is one partition that the node owns. All changes of stored state go through commit, or through the log
+// when a step is removed.
+type servedPartition struct {
 	service *Service
 	name    partition.Name
 	log     *partition.Log
-	since   time.Time
-	copies  int
+	since   time.Time // when the node began to serve the partition
+	copies  int       // number of replicas
 
-	changing lock.Lock // guards what follows; held while a change is stored
-	steps    map[string]*owned
-	attempt  uint64
-	changed  chan struct{} // closed and replaced when a sample is accepted
+	changing lock.Lock // guards the fields below; held while a change is stored
+	steps    map[string]*ownedStep
+	attempt  uint64        // number of the last attempt
+	changed  chan struct{} // closed and replaced when samples are accepted
 }
 
-// owned is one step with what is tracked about it in memory.
-type owned struct {
+// ownedStep is a step together with its state in the owner's memory.
+type ownedStep struct {
 	step     *step.Step
 	attempts *step.Attempts
-	// wanted is when the trainer last asked for samples.
-	wanted time.Time
+	// lastFetch is the time of the trainer's last fetch.
+	lastFetch time.Time
 }
 
-// NewService returns a service that owns nothing yet.
+// NewService returns a service without partitions.
 func NewService(settings Settings, nodeID string, document func() *experiment.Document, dispatcher Dispatcher, logger *log.Logger) *Service {
 	return &Service{settings: settings, nodeID: nodeID, document: document, dispatcher: dispatcher, logger: logger,
-		staleness: newStalenessHistory(), served: make(map[partition.Name]*served)}
+		staleness: newStalenessHistory(), served: make(map[partition.Name]*servedPartition)}
 }
 
 // Serve implements ownership.Handler.
@@ -95,10 +96,10 @@
 	if err != nil {
 		return err
 	}
-	found := &served{service: service, name: name, log: current, since: time.Now(), copies: len(assignment.Replicas),
-		changing: lock.New(), steps: make(map[string]*owned), changed: make(chan struct{}), attempt: current.Epoch() << attemptEpochShift}
+	found := &servedPartition{service: service, name: name, log: current, since: time.Now(), copies: len(assignment.Replicas),
+		changing: lock.New(), steps: make(map[string]*ownedStep), changed: make(chan struct{}), attempt: current.Epoch() << attemptEpochShift}
 	for id, recovered := range steps {
-		found.steps[id] = &owned{step: recovered, attempts: step.NewAttempts()}
+		found.steps[id] = &ownedStep{step: recovered, attempts: step.NewAttempts()}
 	}
 	if len(orphans) > 0 {
 		if err := current.Append(context.Background(), nil, orphans); err != nil {
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// attemptEpochShift puts the epoch above the counter of attempts, so that attempts of two owners differ.
+// attemptEpochShift puts the epoch into the high bits of attempt numbers, so that numbers of different owners differ.
 const attemptEpochShift = 32
 
 // Stop implements ownership.Handler.
@@ -121,7 +122,7 @@
 	delete(service.served, name)
 }
 
-func (service *Service) find(index uint32) (*served, error) {
+func (service *Service) find(index uint32) (*servedPartition, error) {
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	found, ok := service.served[partition.Name{Kind: partition.KindSteps, Index: index}]
@@ -131,18 +132,18 @@
 	return found, nil
 }
 
-func (service *Service) all() []*served {
+func (service *Service) servedPartitions() []*servedPartition {
 	service.mu.Lock()
 	defer service.mu.Unlock()
-	all := make([]*served, 0, len(service.served))
+	all := make([]*servedPartition, 0, len(service.served))
 	for _, found := range service.served {
 		all = append(all, found)
 	}
 	return all
 }
 
-// commit stores a change on a quorum and then applies it; must hold changing.
-func (served *served) commit(ctx context.Context, owned *owned, change step.Change) error {
+// commit stores a change on a write quorum and then applies it. The caller must hold changing.
+func (served *servedPartition) commit(ctx context.Context, owned *ownedStep, change step.Change) error {
 	if change.Empty() {
 		return nil
 	}
@@ -165,13 +166,13 @@
 	return list
 }
 
-// unavailable says that the call can be made again: all calls of trainers and executors can be repeated.
+// unavailable returns a retryable error. All calls of trainers and executors are safe to retry.
 func unavailable(cause error) error {
 	return result.New(result.NotRunNoOwner, "the step's stores: %v", cause).WithRetryAfter(time.Second)
 }
 
-// step returns an owned step; must hold changing.
-func (served *served) step(stepID string) (*owned, error) {
+// step returns a step of the partition. The caller must hold changing.
+func (served *servedPartition) step(stepID string) (*ownedStep, error) {
 	found, ok := served.steps[stepID]
 	if !ok {
 		return nil, result.New(result.InvalidNotFound, "step %q does not exist", stepID)
@@ -181,13 +182,13 @@
 
 // Create implements the Twirp service.
 func (service *Service) Create(ctx context.Context, call *controlv1.StepCall) (*controlv1.StepAnswer, error) {
-	return answer(ctx, service, call, func(served *served, request CreateCall) (CreateAnswer, error) {
+	return handleCall(ctx, service, call, func(served *servedPartition, request CreateCall) (CreateAnswer, error) {
 		return served.create(ctx, request)
 	})
 }
 
-// answer decodes a call, finds its partition and encodes the result.
-func answer[Request, Answer any](ctx context.Context, service *Service, call *controlv1.StepCall, work func(*served, Request) (Answer, error)) (*controlv1.StepAnswer, error) {
+// handleCall decodes a call, passes it to work with its partition, and encodes the response.
+func handleCall[Request, Answer any](ctx context.Context, service *Service, call *controlv1.StepCall, work func(*servedPartition, Request) (Answer, error)) (*controlv1.StepAnswer, error) {
 	var request Request
 	if err := cbor.Unmarshal(call.GetBody(), &request); err != nil {
 		return &controlv1.StepAnswer{Outcome: result.ToMessage(result.New(result.InvalidBody, "%v", err))}, nil
@@ -198,16 +199,16 @@
 	}
 	value, err := work(served, request)
 	if err != nil {
-		return &controlv1.StepAnswer{Outcome: result.ToMessage(served.confirmed(ctx, err))}, nil
+		return &controlv1.StepAnswer{Outcome: result.ToMessage(served.confirmOwnership(ctx, err))}, nil
 	}
 	body, err := cbor.Marshal(value)
 	return &controlv1.StepAnswer{Outcome: result.ToMessage(err), Body: body}, nil
 }
 
-// confirmed returns a refusal once a write quorum has confirmed that this node still owns the partition. A former owner that does not know
-// that it is one would refuse what its successor has: a step that was created there, a batch that was delivered there. What tells that the
-// call can be made again needs no proof.
-func (served *served) confirmed(ctx context.Context, refusal error) error {
+// confirmOwnership returns a refusal after a write quorum has confirmed that this node still owns the partition, or else a
+// retryable error. A deposed owner does not have the steps and batches of its successor, so its refusals may be wrong.
+// Refusals that are already retryable need no confirmation.
+func (served *servedPartition) confirmOwnership(ctx context.Context, refusal error) error {
 	if result.CodeOf(refusal).Class() == result.ClassNotRun {
 		return refusal
 	}
@@ -218,7 +219,7 @@
 	return refusal
 }
 
-func (served *served) create(ctx context.Context, request CreateCall) (CreateAnswer, error) {
+func (served *servedPartition) create(ctx context.Context, request CreateCall) (CreateAnswer, error) {
 	definition := request.Definition
 	if err := definition.Check(); err != nil {
 		return CreateAnswer{}, err
@@ -237,7 +238,7 @@
 		return CreateAnswer{Slots: definition.Slots(), Existed: true}, nil
 	}
 	definition.Created = time.Now()
-	created := &owned{step: step.New(definition), attempts: step.NewAttempts()}
+	created := &ownedStep{step: step.New(definition), attempts: step.NewAttempts()}
 	progress := created.step.Progress
 	if err := served.commit(ctx, created, step.Change{Definition: &definition, Progress: &progress}); err != nil {
 		return CreateAnswer{}, err
@@ -249,13 +250,13 @@
 
 // Fetch implements the Twirp service.
 func (service *Service) Fetch(ctx context.Context, call *controlv1.StepCall) (*controlv1.StepAnswer, error) {
-	return answer(ctx, service, call, func(served *served, request FetchCall) (FetchAnswer, error) {
+	return handleCall(ctx, service, call, func(served *servedPartition, request FetchCall) (FetchAnswer, error) {
 		return served.fetch(ctx, request)
 	})
 }
 
-// fetch answers at once when something can be delivered, else waits for samples as long as the trainer allows.
-func (served *served) fetch(ctx context.Context, request FetchCall) (FetchAnswer, error) {
+// fetch returns samples, or the state of a closed step, at once. Otherwise it waits for samples, for at most request.Wait.
+func (served *servedPartition) fetch(ctx context.Context, request FetchCall) (FetchAnswer, error) {
 	deadline := time.NewTimer(request.Wait)
 	defer deadline.Stop()
 	for {
@@ -273,7 +274,7 @@
 	}
 }
 
-func (served *served) fetchNow(ctx context.Context, request FetchCall) (FetchAnswer, <-chan struct{}, error) {
+func (served *servedPartition) fetchNow(ctx context.Context, request FetchCall) (FetchAnswer, <-chan struct{}, error) {
 	if err := served.changing.Acquire(ctx); err != nil {
 		return FetchAnswer{}, nil, unavailable(err)
 	}
@@ -282,7 +283,7 @@
 	if err != nil {
 		return FetchAnswer{}, nil, err
 	}
-	owned.wanted = time.Now()
+	owned.lastFetch = time.Now()
 	document := served.service.document()
 	bound, err := boundOf(document, owned)
 	if err != nil {
@@ -298,10 +299,11 @@
 			return FetchAnswer{}, nil, err
 		}
 	}
-	return served.fetched(owned, request, decided), served.changed, nil
+	return served.newFetchAnswer(owned, request, decided), served.changed, nil
 }
 
-func (served *served) fetched(owned *owned, request FetchCall, decided step.Answer) FetchAnswer {
+// newFetchAnswer returns the answer to a fetch and records the staleness of its samples.
+func (served *servedPartition) newFetchAnswer(owned *ownedStep, request FetchCall, decided step.Answer) FetchAnswer {
 	answer := FetchAnswer{NextCursor: request.Cursor, State: owned.step.Progress.State, Slots: owned.step.Definition.Slots(), Delivered: owned.step.Delivered()}
 	for _, delivery := range decided.Deliveries {
 		answer.Samples = append(answer.Samples, DeliveredSample{
@@ -316,7 +318,7 @@
 	return answer
 }
 
-func boundOf(document *experiment.Document, owned *owned) (experiment.Bound, error) {
+func boundOf(document *experiment.Document, owned *ownedStep) (experiment.Bound, error) {
 	found, ok := document.Experiment(owned.step.Definition.Experiment)
 	if !ok {
 		return experiment.Bound{}, result.New(result.InvalidNotFound, "experiment %q does not exist any more", owned.step.Definition.Experiment)
@@ -324,7 +326,7 @@
 	return found.Bound, nil
 }
 
-// newest returns the greater of what the configuration knows and what the trainer names.
+// newest returns the newest version of each policy: the greater of those in the configuration and in the trainer's call.
 func newest(document *experiment.Document, named map[string]uint64) step.Newest {
 	return func(name string) uint64 {
 		policy, _ := document.Policy(name)
@@ -334,8 +336,8 @@
 
 // Acknowledge implements the Twirp service.
 func (service *Service) Acknowledge(ctx context.Context, call *controlv1.StepCall) (*controlv1.StepAnswer, error) {
-	return answer(ctx, service, call, func(served *served, request AcknowledgeCall) (Summary, error) {
-		return served.close(ctx, request.StepID, func(owned *owned) (step.Change, error) {
+	return handleCall(ctx, service, call, func(served *servedPartition, request AcknowledgeCall) (Summary, error) {
+		return served.close(ctx, request.StepID, func(owned *ownedStep) (step.Change, error) {
 			return owned.step.Acknowledge(request.Cursor, time.Now())
 		})
 	})
@@ -343,15 +345,15 @@
 
 // End implements the Twirp service.
 func (service *Service) End(ctx context.Context, call *controlv1.StepCall) (*controlv1.StepAnswer, error) {
-	return answer(ctx, service, call, func(served *served, request EndCall) (Summary, error) {
-		return served.close(ctx, request.StepID, func(owned *owned) (step.Change, error) {
+	return handleCall(ctx, service, call, func(served *servedPartition, request EndCall) (Summary, error) {
+		return served.close(ctx, request.StepID, func(owned *ownedStep) (step.Change, error) {
 			return owned.step.End(time.Now()), nil
 		})
 	})
 }
 
-// close commits a change that may close the step.
-func (served *served) close(ctx context.Context, stepID string, decide func(*owned) (step.Change, error)) (Summary, error) {
+// close commits a change that may close the step, and returns the step's summary.
+func (served *servedPartition) close(ctx context.Context, stepID string, decide func(*ownedStep) (step.Change, error)) (Summary, error) {
 	if err := served.changing.Acquire(ctx); err != nil {
 		return Summary{}, unavailable(err)
 	}
--- a/internal/delivery/staleness.go
+++ b/internal/delivery/staleness.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// windowTime and windows set what "recent" means: the last ten to eleven minutes.
+	// A histogram covers the current window and the ten before it. Each window is at least windowTime long.
 	windowTime = time.Minute
 	windows    = 11
 
@@ -27,7 +27,7 @@
 	millis   *hdrhistogram.WindowedHistogram
 }
 
-// stalenessHistory keeps the staleness of recently delivered samples by policy. It is safe for concurrent use.
+// stalenessHistory records the staleness of recently delivered samples by policy. It is safe for concurrent use.
 type stalenessHistory struct {
 	mu       sync.Mutex
 	rotated  time.Time
@@ -38,7 +38,7 @@
 	return &stalenessHistory{rotated: time.Now(), policies: make(map[string]*policyHistory)}
 }
 
-// rotate drops windows that are over; must hold mu.
+// rotate drops expired windows. The caller must hold mu.
 func (history *stalenessHistory) rotate() {
 	passed := min(int(time.Since(history.rotated)/windowTime), windows)
 	for range passed {
--- a/internal/delivery/submissions.go
+++ b/internal/delivery/submissions.go
@@ -13,20 +13,20 @@
 	"github.com/thistlewalk/thistlewalk/internal/step"
 )
 
-// Submit implements the Twirp service: executors bring samples.
+// Submit implements the Twirp service. Executors call it to submit samples.
 func (service *Service) Submit(ctx context.Context, request *controlv1.SubmitRequest) (*controlv1.SubmitResponse, error) {
 	served, err := service.find(request.GetPartition())
 	if err == nil {
 		err = served.submit(ctx, request)
 		if err != nil {
-			err = served.confirmed(ctx, err)
+			err = served.confirmOwnership(ctx, err)
 		}
 	}
 	return &controlv1.SubmitResponse{Outcome: result.ToMessage(err)}, nil
 }
 
-// submit stores all samples that fill empty slots in one write.
-func (served *served) submit(ctx context.Context, request *controlv1.SubmitRequest) error {
+// submit stores the samples that fill empty slots, in one write.
+func (served *servedPartition) submit(ctx context.Context, request *controlv1.SubmitRequest) error {
 	if err := served.changing.Acquire(ctx); err != nil {
 		return unavailable(err)
 	}
@@ -36,7 +36,7 @@
 		return err
 	}
 	var change step.Change
-	taken := make(map[uint32]bool)
+	accepted := make(map[uint32]bool)
 	for _, submitted := range request.GetSamples() {
 		var sample rollout.Sample
 		if err := cbor.Unmarshal(submitted.GetSample(), &sample); err != nil {
@@ -46,30 +46,30 @@
 		if err != nil {
 			return err
 		}
-		if taken[submitted.GetSlot()] {
+		if accepted[submitted.GetSlot()] {
 			continue
 		}
-		taken[submitted.GetSlot()] = true
+		accepted[submitted.GetSlot()] = true
 		change.Slots = append(change.Slots, decided.Slots...)
 	}
 	if err := served.commit(ctx, owned, change); err != nil {
 		return err
 	}
-	for slot := range taken {
+	for slot := range accepted {
 		owned.attempts.Finish(slot)
 	}
-	served.announce()
+	served.wakeFetches()
 	return nil
 }
 
-// announce wakes waiting fetches; must hold changing.
-func (served *served) announce() {
+// wakeFetches wakes the waiting fetches. The caller must hold changing.
+func (served *servedPartition) wakeFetches() {
 	close(served.changed)
 	served.changed = make(chan struct{})
 }
 
-// Renew implements the Twirp service: executors tell which slots they work on. An attempt that this owner does not know,
-// of a slot that nobody fills, is adopted.
+// Renew implements the Twirp service. Executors call it periodically with their running attempts. The owner adopts unknown
+// attempts of empty slots, and returns the slots that need no attempt any more as abandoned.
 func (service *Service) Renew(ctx context.Context, request *controlv1.RenewRequest) (*controlv1.RenewResponse, error) {
 	served, err := service.find(request.GetPartition())
 	if err != nil {
