--- a/internal/step/attempts.go
+++ b/internal/step/attempts.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Attempt is one try, on one node, to fill a slot.
+// Attempt is one attempt by one node to fill a slot.
 type Attempt struct {
 	Number  uint64
 	Slot    uint32
@@ -14,8 +14,8 @@
 	Renewed time.Time
 }
 
-// Attempts tracks which node is filling which slot of a step. It is kept by the partition's owner, in memory only: a new
-// owner starts without attempts, and samples of attempts that it does not know are still welcome.
+// Attempts tracks the running attempts of a step. It exists only in the memory of the partition's owner: a new owner starts
+// without attempts, and accepts samples of attempts that it does not know.
 type Attempts struct {
 	running map[uint32][]Attempt // by slot
 }
@@ -23,12 +23,12 @@
 // NewAttempts returns an empty tracker.
 func NewAttempts() *Attempts { return &Attempts{running: make(map[uint32][]Attempt)} }
 
-// Begin notes an attempt.
+// Begin adds an attempt.
 func (attempts *Attempts) Begin(attempt Attempt) {
 	attempts.running[attempt.Slot] = append(attempts.running[attempt.Slot], attempt)
 }
 
-// Renew notes that the node still works on the attempt; it returns false when the attempt is not known any more.
+// Renew sets the renewal time of an attempt. It returns false if the attempt is unknown.
 func (attempts *Attempts) Renew(slot uint32, number uint64, now time.Time) bool {
 	for index := range attempts.running[slot] {
 		if attempts.running[slot][index].Number == number {
@@ -39,15 +39,15 @@
 	return false
 }
 
-// Finish forgets all attempts of a slot.
+// Finish removes all attempts of a slot.
 func (attempts *Attempts) Finish(slot uint32) { delete(attempts.running, slot) }
 
-// Abandon forgets one attempt.
+// Abandon removes one attempt.
 func (attempts *Attempts) Abandon(slot uint32, number uint64) {
 	attempts.keep(slot, func(attempt Attempt) bool { return attempt.Number != number })
 }
 
-// Expire forgets attempts that were not renewed for longer than the time given, and returns how many.
+// Expire removes the attempts whose last renewal is older than silence, and returns their number.
 func (attempts *Attempts) Expire(now time.Time, silence time.Duration) int {
 	expired := 0
 	for slot := range attempts.running {
@@ -70,10 +70,10 @@
 // Count returns the number of attempts running for a slot.
 func (attempts *Attempts) Count(slot uint32) int { return len(attempts.running[slot]) }
 
-// Running returns the number of slots with an attempt.
+// Running returns the number of slots with at least one attempt.
 func (attempts *Attempts) Running() int { return len(attempts.running) }
 
-// Oldest returns when the slot's first attempt that still runs began.
+// Oldest returns the oldest running attempt of a slot, and false if there is none.
 func (attempts *Attempts) Oldest(slot uint32) (Attempt, bool) {
 	if len(attempts.running[slot]) == 0 {
 		return Attempt{}, false
@@ -81,7 +81,7 @@
 	return attempts.running[slot][0], true
 }
 
-// Due returns up to limit empty slots of the step that nobody works on, in order.
+// Due returns up to limit empty slots without an attempt, in slot order.
 func (step *Step) Due(attempts *Attempts, limit int) []SlotState {
 	var due []SlotState
 	if step.Progress.State != StateOpen {
@@ -98,8 +98,8 @@
 	return due
 }
 
-// Stragglers returns the empty slots with exactly one attempt that began before the moment given: candidates for a second
-// attempt. It returns none unless at most the given number of slots are still empty.
+// Stragglers returns the empty slots whose only attempt began before the given time: the candidates for a second attempt.
+// It returns none while more than remaining slots are empty.
 func (step *Step) Stragglers(attempts *Attempts, before time.Time, remaining int) []SlotState {
 	if step.Progress.State != StateOpen || len(step.slots)-step.filled > remaining {
 		return nil
--- a/internal/step/definition.go
+++ b/internal/step/definition.go
@@ -1,6 +1,7 @@
-// Package step is the aggregate of one training step: N slots that are filled by samples, delivered to the trainer in
-// batches by cursor, each exactly once and never over the staleness bound. It is pure: decisions return a Change, and
-// the caller applies the change after it has been stored on a quorum of replicas.
+// Package step implements the state of one training step. A step has a fixed number of slots, each filled by one sample.
+// The trainer receives the samples in batches by cursor, each sample exactly once and never beyond the staleness bound.
+// The package does no I/O: methods that decide return a Change, and the caller applies it after a quorum of replicas has
+// stored it.
 package step
 
 import (
@@ -21,7 +22,7 @@
 	MaximumIDLength     = 128
 )
 
-// Definition is what the trainer asked for. Slot i belongs to prompt i / GroupSize.
+// Definition is the trainer's request for a step. Slot i belongs to prompt i / GroupSize.
 type Definition struct {
 	ID         string    `cbor:"1,keyasint"`
 	Experiment string    `cbor:"2,keyasint"`
@@ -31,7 +32,7 @@
 	Created    time.Time `cbor:"6,keyasint"`
 }
 
-// Slots returns the number of samples that the step asks for.
+// Slots returns the number of slots of the step.
 func (definition Definition) Slots() int { return len(definition.Prompts) * definition.GroupSize }
 
 // Prompt returns the prompt of a slot.
@@ -39,10 +40,10 @@
 	return definition.Prompts[int(slot)/definition.GroupSize]
 }
 
-// Group returns the index of the prompt that a slot belongs to; the slots of a group share their policy.
+// Group returns the index of the prompt that a slot belongs to. All slots of a group have the same policy.
 func (definition Definition) Group(slot uint32) int { return int(slot) / definition.GroupSize }
 
-// Check returns an error that names the first field out of its range.
+// Check returns an error that describes the first invalid field.
 func (definition Definition) Check() error {
 	if definition.ID == "" || len(definition.ID) > MaximumIDLength {
 		return result.New(result.InvalidField, "step: want an identifier of 1 to %d bytes", MaximumIDLength)
@@ -64,30 +65,30 @@
 	return nil
 }
 
-// ContentHash identifies what was asked for, without the time it was asked at.
+// ContentHash returns a hash of all fields except Created.
 func (definition Definition) ContentHash() uint64 {
 	definition.Created = time.Time{}
 	encoded, err := cbor.Marshal(definition)
 	if err != nil {
-		panic(err) // a Definition holds only values that CBOR can carry
+		panic(err) // CBOR can encode every Definition
 	}
 	return xxhash.Sum64(encoded)
 }
 
-// SlotState is the stored state of a slot. A nil Sample means empty. Generation grows with each sample dropped.
+// SlotState is the stored state of a slot. Sample is nil if the slot is empty. Generation counts the dropped samples.
 type SlotState struct {
 	Slot       uint32          `cbor:"1,keyasint"`
 	Generation uint32          `cbor:"2,keyasint"`
 	Sample     *rollout.Sample `cbor:"3,keyasint"`
 }
 
-// Batch is the fixed answer for one cursor.
+// Batch holds the slots that are delivered at one cursor.
 type Batch struct {
 	Cursor uint64   `cbor:"1,keyasint"`
 	Slots  []uint32 `cbor:"2,keyasint"`
 }
 
-// State is the life cycle of a step.
+// State is the state of a step in its life cycle.
 type State string
 
 // The states of a step.
@@ -97,20 +98,20 @@
 	StateEnded    State = "ended"    // the operator or the trainer ended it early
 )
 
-// Progress is the stored position of the trainer.
+// Progress is the stored state of a step apart from its definition, slots and batches.
 type Progress struct {
 	State State `cbor:"1,keyasint"`
 	// NextCursor is the first cursor that has not been acknowledged.
 	NextCursor uint64 `cbor:"2,keyasint"`
-	// LastFetch is the greatest fetch number answered.
+	// LastFetch is the greatest fetch number that was answered.
 	LastFetch uint64 `cbor:"3,keyasint"`
-	// Dropped counts the samples dropped as too old.
+	// Dropped counts the samples that were dropped because they exceeded the staleness bound.
 	Dropped uint64 `cbor:"4,keyasint"`
 	// Closed is when the step left StateOpen.
 	Closed time.Time `cbor:"5,keyasint"`
 }
 
-// Change is the outcome of a decision: the new values of the parts it names.
+// Change is a state change of a step: the new values of the parts that change.
 type Change struct {
 	Definition *Definition
 	Slots      []SlotState
@@ -118,7 +119,7 @@
 	Progress   *Progress
 }
 
-// Empty reports whether the change names no part.
+// Empty reports whether the change has no parts.
 func (change Change) Empty() bool {
 	return change.Definition == nil && len(change.Slots) == 0 && len(change.Batches) == 0 && change.Progress == nil
 }
--- a/internal/step/registers.go
+++ b/internal/step/registers.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Register is one stored part of a step: a key and its CBOR value. All keys of a step share its prefix.
+// Register is one stored part of a step: a key and its CBOR value. All keys of a step begin with its Prefix.
 type Register struct {
 	Key   string
 	Value []byte
@@ -23,14 +23,14 @@
 	keyBatch      = "batch"
 )
 
-// Prefix returns the prefix of the keys of a step.
+// Prefix returns the common prefix of the register keys of a step.
 func Prefix(stepID string) string { return keyRoot + escape(stepID) + "/" }
 
 func escape(stepID string) string {
 	return strings.ReplaceAll(strconv.QuoteToASCII(stepID), "/", "\\x2f")
 }
 
-// Registers encodes a change of the step.
+// Registers returns the registers that store a change.
 func (change Change) Registers(stepID string) ([]Register, error) {
 	var registers []Register
 	var failure error
@@ -54,8 +54,8 @@
 	return registers, failure
 }
 
-// Load rebuilds all steps from registers, by step identifier. Registers of a step without a definition are returned as
-// orphaned prefixes, to be removed.
+// Load decodes registers into steps by identifier. It also returns the key prefixes of steps without a stored
+// definition; the caller removes their registers.
 func Load(registers []Register) (map[string]*Step, []string, error) {
 	groups := make(map[string][]Register)
 	for _, register := range registers {
@@ -68,7 +68,7 @@
 	steps := make(map[string]*Step)
 	var orphans []string
 	for prefix, group := range groups {
-		step, err := loadOne(prefix, group)
+		step, err := loadStep(prefix, group)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -92,7 +92,7 @@
 	return key[:len(keyRoot)+end+1], true
 }
 
-func loadOne(prefix string, registers []Register) (*Step, error) {
+func loadStep(prefix string, registers []Register) (*Step, error) {
 	var step *Step
 	for _, register := range registers {
 		if register.Key == prefix+keyDefinition {
--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -9,18 +9,18 @@
 	"github.com/thistlewalk/thistlewalk/internal/rollout"
 )
 
-// Step is the aggregate. Methods that decide do not change it; Apply does.
+// Step is the state of one training step. Only Apply modifies it; methods that decide return a Change.
 // Invariants: a slot is in at most one batch; a slot in a batch is filled; only the last batch may be unacknowledged.
 type Step struct {
 	Definition Definition
 	Progress   Progress
 	slots      []SlotState
 	batches    []Batch
-	batched    []bool // by slot: whether some batch holds it
+	batched    []bool // by slot: whether it is in a batch
 	filled     int
 }
 
-// New returns a step without samples.
+// New returns an open step without samples.
 func New(definition Definition) *Step {
 	count := definition.Slots()
 	step := &Step{
@@ -35,7 +35,7 @@
 	return step
 }
 
-// Apply makes a stored change part of the step.
+// Apply applies a change that has been stored.
 func (step *Step) Apply(change Change) {
 	for _, state := range change.Slots {
 		if (step.slots[state.Slot].Sample != nil) != (state.Sample != nil) {
@@ -53,8 +53,8 @@
 	}
 }
 
-// release frees the contents of acknowledged samples, which nobody asks for any more, from a cursor on. The slots stay
-// filled; the stored registers keep the contents until the step is removed.
+// release frees the memory of acknowledged samples, which are not fetched again, from the given cursor on. The slots stay
+// filled, and the stored registers keep the samples until the step is removed.
 func (step *Step) release(from uint64) {
 	for cursor := from; cursor < step.Progress.NextCursor && step.hasBatch(cursor); cursor++ {
 		for _, slot := range step.batches[cursor].Slots {
@@ -85,10 +85,10 @@
 	}
 }
 
-// Filled returns the number of slots that hold a sample.
+// Filled returns the number of slots with a sample.
 func (step *Step) Filled() int { return step.filled }
 
-// Delivered returns the number of slots that some batch holds.
+// Delivered returns the number of slots that are in a batch.
 func (step *Step) Delivered() int {
 	count := 0
 	for _, batched := range step.batched {
@@ -102,7 +102,8 @@
 // Slot returns the state of a slot.
 func (step *Step) Slot(slot uint32) SlotState { return step.slots[slot] }
 
-// Offer decides on a sample: it fills an empty slot of an open step; any other sample is a duplicate and changes nothing.
+// Offer returns the change that fills a slot with a sample. If the slot is filled or the step is closed, the sample is a
+// duplicate and the change is empty.
 func (step *Step) Offer(slot uint32, sample rollout.Sample) (Change, result.Code, error) {
 	if int(slot) >= len(step.slots) {
 		return Change{}, result.InvalidField, result.New(result.InvalidField, "slot %d of %d", slot, len(step.slots))
@@ -118,17 +119,17 @@
 	return Change{Slots: []SlotState{state}}, result.Done, nil
 }
 
-// Newest tells the newest version known of a policy.
+// Newest returns the newest known version of a policy.
 type Newest func(policy string) uint64
 
-// Staleness of a sample at a moment.
+// Staleness is the staleness of a sample at a point in time.
 type Staleness struct {
 	Versions uint64
 	Age      time.Duration
 }
 
-// StalenessOf measures a sample by its oldest span: how many versions it is behind the newest, and the time since the
-// rollout was started. A version that is greater than the newest known is not stale.
+// StalenessOf returns how many versions the oldest span of a sample is behind newest, and the time since the rollout
+// started. A version greater than newest counts as not stale.
 func StalenessOf(sample rollout.Sample, newest uint64, now time.Time) Staleness {
 	staleness := Staleness{Age: max(0, now.Sub(sample.Started))}
 	if oldest := sample.OldestVersion(); newest > oldest {
@@ -137,7 +138,7 @@
 	return staleness
 }
 
-// Exceeds reports whether the staleness is over the bound.
+// Exceeds reports whether the staleness exceeds the bound.
 func (staleness Staleness) Exceeds(bound experiment.Bound) bool {
 	if bound.HasVersions && staleness.Versions > bound.Versions {
 		return true
@@ -145,16 +146,16 @@
 	return bound.Age > 0 && staleness.Age > bound.Age
 }
 
-// Fetch is a trainer's question for the samples at a cursor.
+// Fetch is a trainer's request for the samples at a cursor.
 type Fetch struct {
 	Cursor uint64
-	// Number must grow with each fetch of the step; a trainer uses only the answer to its greatest number.
+	// Number must increase with each fetch of the step. The trainer uses only the answer to its greatest number.
 	Number uint64
-	// Maximum is the most samples wanted.
+	// Maximum is the maximum number of samples to return.
 	Maximum int
 }
 
-// Delivery is one sample of an answer.
+// Delivery is one sample of an Answer, with its staleness at the fetch.
 type Delivery struct {
 	Slot       uint32
 	Generation uint32
@@ -162,16 +163,16 @@
 	Staleness  Staleness
 }
 
-// Answer is what a fetch delivers, with the change that must be stored before it is sent.
+// Answer is the result of a fetch. Change must be stored before the deliveries are sent to the trainer.
 type Answer struct {
 	Deliveries []Delivery
 	Change     Change
 	Dropped    int
 }
 
-// Fetch decides what the trainer gets. A cursor whose batch was fixed before gives the same samples, but for those that
-// have become too old since: fetching again tells that the earlier answer was not used, so they are dropped and their
-// slots generated again. docs/design/0003-delivery.md has the reasoning.
+// Fetch returns the samples at the trainer's cursor. A repeated fetch of a cursor returns the samples of its batch again,
+// except those that exceed the staleness bound by now. A repeated fetch implies that the trainer did not use the earlier
+// answer, so these samples are dropped and their slots are generated again. docs/design/0003-delivery.md explains why.
 func (step *Step) Fetch(fetch Fetch, bound experiment.Bound, newest Newest, now time.Time) (Answer, error) {
 	if step.Progress.State == StateEnded {
 		return Answer{}, result.New(result.InvalidState, "step %q was ended", step.Definition.ID)
@@ -208,7 +209,8 @@
 
 func (step *Step) hasBatch(cursor uint64) bool { return cursor < uint64(len(step.batches)) }
 
-// candidates returns the slots of the cursor's batch if it is fixed and not empty, else filled slots in no batch.
+// candidates returns the slots of the cursor's batch if it has any, or else up to fetch.Maximum filled slots that are in no
+// batch.
 func (step *Step) candidates(fetch Fetch) []uint32 {
 	if step.hasBatch(fetch.Cursor) && len(step.batches[fetch.Cursor].Slots) > 0 {
 		return slices.Clone(step.batches[fetch.Cursor].Slots)
@@ -229,8 +231,8 @@
 	return SlotState{Slot: state.Slot, Generation: state.Generation + 1}
 }
 
-// Expire decides to drop the samples that are over the bound and in no batch, so that their slots are generated again
-// before the trainer asks.
+// Expire returns the change that drops the undelivered samples that exceed the bound, so that their slots are generated
+// again before the trainer fetches.
 func (step *Step) Expire(bound experiment.Bound, newest Newest, now time.Time) Change {
 	var change Change
 	if step.Progress.State != StateOpen {
@@ -252,7 +254,8 @@
 	return change
 }
 
-// Acknowledge decides to move the cursor past a delivered batch. A cursor that was acknowledged before changes nothing.
+// Acknowledge returns the change that moves the cursor past a delivered batch. The change is empty if the cursor was
+// acknowledged before.
 func (step *Step) Acknowledge(cursor uint64, now time.Time) (Change, error) {
 	if cursor < step.Progress.NextCursor {
 		return Change{}, nil
@@ -269,7 +272,7 @@
 	return Change{Progress: &progress}, nil
 }
 
-// End decides to close an open step early; its remaining slots are given up.
+// End returns the change that closes an open step early. The change is empty if the step is closed.
 func (step *Step) End(now time.Time) Change {
 	if step.Progress.State != StateOpen {
 		return Change{}
--- a/internal/step/step_test.go
+++ b/internal/step/step_test.go
@@ -19,8 +19,8 @@
 	return rollout.Sample{Policy: "p", TokenIDs: []uint32{1}, Spans: []rollout.Span{{Version: version}}, Started: at}
 }
 
-// machine drives a step as its owner does: each change is stored as registers, and the step may be rebuilt from them at
-// any moment. The oracle is the list of slots that the trainer has taken.
+// machine drives a step as its owner does: it stores each change as registers, from which it can rebuild the step at any
+// time. The set of slots that the trainer has used is the oracle.
 type machine struct {
 	stored  map[string][]byte
 	step    *Step
@@ -30,7 +30,7 @@
 	number  uint64
 	cursor  uint64
 	taken   map[uint32]bool // slots that the trainer has used
-	pending []Delivery      // the answer that the trainer may still use or fetch again
+	pending []Delivery      // answer to the last fetch, which the trainer may use or fetch again
 }
 
 func (m *machine) commit(t *rapid.T, change Change) {
@@ -60,7 +60,7 @@
 	answer, err := m.step.Fetch(Fetch{Cursor: m.cursor, Number: m.number, Maximum: maximum}, m.bound, m.newestOf, m.now)
 	must.NoError(t, err)
 	for _, delivery := range answer.Deliveries {
-		must.False(t, m.taken[delivery.Slot], must.Sprintf("slot %d comes again", delivery.Slot))
+		must.False(t, m.taken[delivery.Slot], must.Sprintf("slot %d is delivered again after its sample was used", delivery.Slot))
 		must.LessEq(t, m.bound.Versions, m.newest-min(m.newest, delivery.Sample.OldestVersion()))
 		must.LessEq(t, m.bound.Age, m.now.Sub(delivery.Sample.Started))
 	}
@@ -68,7 +68,7 @@
 	for _, earlier := range m.pending {
 		kept := slices.ContainsFunc(answer.Deliveries, func(d Delivery) bool { return d.Slot == earlier.Slot && d.Generation == earlier.Generation })
 		fresh := !StalenessOf(earlier.Sample, m.newest, m.now).Exceeds(m.bound)
-		must.Eq(t, fresh, kept, must.Sprint("the same cursor gives the same samples, but for those now too old"))
+		must.Eq(t, fresh, kept, must.Sprint("a repeated fetch must return the same samples, except stale ones"))
 		if fresh {
 			stillFresh++
 		}
@@ -80,6 +80,8 @@
 	m.pending = answer.Deliveries
 }
 
+// Guards against samples that are lost, delivered again after use, or delivered beyond the staleness bound, in random
+// sequences of calls and restarts of the owner.
 func TestStepAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		definition := Definition{ID: "s", Experiment: "e", Prompts: []string{"a", "b", "c"}, GroupSize: 2, MaxTokens: 1, Created: start}
@@ -129,7 +131,7 @@
 				must.Eq(t, len(m.taken) == definition.Slots(), complete)
 				due := m.step.Due(NewAttempts(), definition.Slots())
 				for _, state := range due {
-					must.False(t, m.taken[state.Slot], must.Sprint("a slot that was used is dispatched again"))
+					must.False(t, m.taken[state.Slot], must.Sprint("a slot whose sample was used is due again"))
 				}
 			},
 		})
