--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -9,8 +9,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/result"
 )
 
-// A rollout goes over attempts; chunks of abandoned attempts, of other requests and of wrong places are mixed in. The
-// oracle is the list of versions of the tokens of the chunks that belong to it.
+// Guards against chunks of abandoned attempts, of other requests or at wrong positions that enter a sample, and against
+// tokens with a wrong version.
 func TestTranscriptAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		transcript := NewTranscript("r", 10)
@@ -28,24 +28,24 @@
 				Position: len(versions) + rapid.SampledFrom([]int{0, 0, 0, 1, -1}).Draw(draw, "gap"),
 				Version:  uint64(rapid.IntRange(1, 3).Draw(draw, "version")),
 				TokenIDs: make([]uint32, rapid.IntRange(0, 3).Draw(draw, "tokens"))}
-			taken, err := transcript.Append(chunk)
-			ours := chunk.RequestID == "r" && chunk.Attempt == attempt
-			must.Eq(draw, ours && chunk.Position == len(versions), taken)
-			must.Eq(draw, ours && chunk.Position != len(versions), err != nil)
-			if taken {
+			accepted, err := transcript.Append(chunk)
+			current := chunk.RequestID == "r" && chunk.Attempt == attempt
+			must.Eq(draw, current && chunk.Position == len(versions), accepted)
+			must.Eq(draw, current && chunk.Position != len(versions), err != nil)
+			if accepted {
 				for range chunk.TokenIDs {
 					versions = append(versions, chunk.Version)
 				}
 			}
 		}
 		sample := transcript.Sample()
-		var labelled []uint64
+		var spanVersions []uint64
 		for _, span := range sample.Spans {
 			for range span.Last - span.First + 1 {
-				labelled = append(labelled, span.Version)
+				spanVersions = append(spanVersions, span.Version)
 			}
 		}
-		must.Eq(draw, versions, labelled)
+		must.Eq(draw, versions, spanVersions)
 		must.Eq(draw, len(versions) > 0, sample.Check() == nil)
 	})
 }
--- a/internal/rollout/sample.go
+++ b/internal/rollout/sample.go
@@ -1,5 +1,5 @@
-// Package rollout holds the values of one rollout: the tokens it produced, the weight versions that truly produced
-// them, and the attempt that gathers them from an engine's stream. It is pure.
+// Package rollout assembles the samples of rollouts from the streams of engines: the generated tokens, and the weight
+// version that produced each of them. It does no I/O.
 package rollout
 
 import (
@@ -8,20 +8,20 @@
 	"github.com/thistlewalk/thistlewalk/internal/result"
 )
 
-// Span says that the tokens First to Last (counted from zero, inclusive) were produced under Version.
+// Span is a range of tokens produced by one weight version: First to Last, counted from zero, both inclusive.
 type Span struct {
 	Version uint64 `json:"version" cbor:"1,keyasint"`
 	First   int    `json:"first" cbor:"2,keyasint"`
 	Last    int    `json:"last" cbor:"3,keyasint"`
 }
 
-// Token is one generated token with its log-probability under the version that produced it.
+// Token is one generated token with its log probability under the weight version that produced it.
 type Token struct {
 	ID             uint32  `json:"id" cbor:"1,keyasint"`
 	LogProbability float32 `json:"logprob" cbor:"2,keyasint"`
 }
 
-// Sample is a complete rollout as it is stored and delivered.
+// Sample is a complete rollout in its stored and delivered form.
 type Sample struct {
 	Policy        string    `json:"policy" cbor:"1,keyasint"`
 	RequestID     string    `json:"request" cbor:"2,keyasint"`
@@ -37,7 +37,7 @@
 	EngineAttempt []uint64  `json:"engine_attempts" cbor:"12,keyasint"`
 }
 
-// OldestVersion returns the smallest version of all spans; zero when there is none.
+// OldestVersion returns the smallest version of all spans, or zero if there are none.
 func (sample Sample) OldestVersion() uint64 {
 	oldest := uint64(0)
 	for _, span := range sample.Spans {
@@ -48,8 +48,8 @@
 	return oldest
 }
 
-// Check reports why the sample cannot be used for training, or nil: its spans must cover its tokens without gap or
-// overlap, and each must name a version.
+// Check returns an error if the sample cannot be used for training: its spans must cover all tokens without gaps or
+// overlaps, and each span must have a version.
 func (sample Sample) Check() error {
 	if len(sample.TokenIDs) == 0 {
 		return result.New(result.InvalidField, "a sample without tokens")
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// AppendSpan adds count tokens of a version after those that spans already cover.
+// AppendSpan extends spans by count tokens of the given version.
 func AppendSpan(spans []Span, version uint64, count int) []Span {
 	if count <= 0 {
 		return spans
--- a/internal/rollout/transcript.go
+++ b/internal/rollout/transcript.go
@@ -2,8 +2,8 @@
 
 import "github.com/thistlewalk/thistlewalk/internal/result"
 
-// Chunk is one event of an engine's stream. The engine names the request, the attempt and the position it belongs to,
-// so that a chunk of an abandoned attempt, a repeated chunk or a gap is recognised.
+// Chunk is one event of an engine's stream. Its request, attempt and position come from the engine, so that a Transcript
+// detects chunks of abandoned attempts, repeated chunks and gaps.
 type Chunk struct {
 	RequestID    string
 	Attempt      uint64
@@ -11,23 +11,23 @@
 	Text         string
 	TokenIDs     []uint32
 	LogProbs     []float32
-	Version      uint64 // zero when the engine did not say
-	FinishReason string // empty but on the last chunk
+	Version      uint64 // weight version; zero if the engine did not report it
+	FinishReason string // set only on the last chunk
 }
 
-// Transcript gathers the chunks of a rollout over one or more attempts. Its zero value is not usable; see NewTranscript.
+// Transcript assembles a rollout from the chunks of one or more attempts. Use NewTranscript to create one.
 type Transcript struct {
-	requestID    string
-	attempt      uint64
-	text         []byte
-	tokenIDs     []uint32
-	logProbs     []float32
-	spans        []Span
-	finishReason string
-	unlabelled   bool
+	requestID      string
+	attempt        uint64
+	text           []byte
+	tokenIDs       []uint32
+	logProbs       []float32
+	spans          []Span
+	finishReason   string
+	missingVersion bool
 }
 
-// NewTranscript returns a transcript without chunks. tokens is the expected length, used to size buffers.
+// NewTranscript returns an empty transcript with buffers for the expected number of tokens.
 func NewTranscript(requestID string, tokens int) *Transcript {
 	const bytesPerToken = 6
 	return &Transcript{
@@ -38,11 +38,11 @@
 	}
 }
 
-// BeginAttempt makes attempt the only one whose chunks are taken.
+// BeginAttempt makes the transcript accept only chunks of the given attempt.
 func (transcript *Transcript) BeginAttempt(attempt uint64) { transcript.attempt = attempt }
 
-// Append takes a chunk. It returns false, without error, for a chunk of another request or an abandoned attempt, and an
-// error when tokens are missing before the chunk or it overlaps what is there.
+// Append adds a chunk. It returns false without an error if the chunk belongs to another request or attempt, and an error
+// if the chunk leaves a gap after the transcript's tokens or overlaps them.
 func (transcript *Transcript) Append(chunk Chunk) (bool, error) {
 	if chunk.RequestID != transcript.requestID || chunk.Attempt != transcript.attempt {
 		return false, nil
@@ -55,7 +55,7 @@
 	transcript.logProbs = append(transcript.logProbs, chunk.LogProbs...)
 	transcript.spans = AppendSpan(transcript.spans, chunk.Version, len(chunk.TokenIDs))
 	if chunk.Version == 0 && len(chunk.TokenIDs) > 0 {
-		transcript.unlabelled = true
+		transcript.missingVersion = true
 	}
 	if chunk.FinishReason != "" {
 		transcript.finishReason = chunk.FinishReason
@@ -63,22 +63,23 @@
 	return true, nil
 }
 
-// Complete reports whether the last chunk has come.
+// Complete reports whether the last chunk was added.
 func (transcript *Transcript) Complete() bool { return transcript.finishReason != "" }
 
-// Trainable reports whether every token names its version.
-func (transcript *Transcript) Trainable() bool { return !transcript.unlabelled }
+// Trainable reports whether every token has a version.
+func (transcript *Transcript) Trainable() bool { return !transcript.missingVersion }
 
-// Tokens returns the number of tokens gathered.
+// Tokens returns the number of tokens added so far.
 func (transcript *Transcript) Tokens() int { return len(transcript.tokenIDs) }
 
-// TokenIDs returns the tokens gathered; the caller must not change them.
+// TokenIDs returns the tokens added so far. The caller must not modify them.
 func (transcript *Transcript) TokenIDs() []uint32 { return transcript.tokenIDs }
 
-// Text returns the text gathered.
+// Text returns the text added so far.
 func (transcript *Transcript) Text() string { return string(transcript.text) }
 
-// Sample fills the produced fields of a sample; the caller adds policy, times and score.
+// Sample returns a sample with the fields that the engine produced. The caller sets policy, times, score, replicas and
+// engine attempts.
 func (transcript *Transcript) Sample() Sample {
 	return Sample{
 		RequestID:    transcript.requestID,
