--- a/internal/samplestore/store.go
+++ b/internal/samplestore/store.go
@@ -1,6 +1,6 @@
-// Package samplestore keeps partitions' registers in a bbolt file of the node's data folder. Every value carries a
-// checksum. A file that cannot be read is moved aside and replaced by an empty one with a new identity, so that the
-// other replicas fill it again.
+// Package samplestore stores the registers of partitions in a bbolt file in the node's data folder. Every value has a
+// checksum. An unreadable file is renamed and replaced by an empty file with a new identity. The owners of partitions
+// then restore the registers from the other replicas.
 package samplestore
 
 import (
@@ -35,19 +35,19 @@
 	promiseKey  = []byte("\x00promise")
 )
 
-// ErrCorrupt means that stored bytes do not match their checksum.
+// ErrCorrupt means that the file is damaged or a value does not match its checksum.
 var ErrCorrupt = errors.New("stored bytes do not match their checksum")
 
-// Store is a partition.Storage in one file. It is safe for concurrent use.
+// Store implements partition.Storage in one file. It is safe for concurrent use.
 type Store struct {
 	database *bolt.DB
 	identity string
 	path     string
-	// Replaced is the path that an unreadable file was moved to; empty when the file was read.
+	// Replaced is the path that an unreadable file was renamed to, or empty if the file was readable.
 	Replaced string
 }
 
-// Open opens the store in a data folder, creating it when missing.
+// Open opens the store in a data folder, and creates the folder and the store if they do not exist.
 func Open(folder string) (*Store, error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return nil, errors.Wrap(err, "data folder")
@@ -60,19 +60,19 @@
 	if errors.Is(err, bolterrors.ErrTimeout) {
 		return nil, errors.Wrapf(err, "%s is in use by another process", path)
 	}
-	aside := fmt.Sprintf("%s.unreadable-%d", path, time.Now().UnixNano())
-	if renameErr := os.Rename(path, aside); renameErr != nil {
+	unreadablePath := fmt.Sprintf("%s.unreadable-%d", path, time.Now().UnixNano())
+	if renameErr := os.Rename(path, unreadablePath); renameErr != nil {
 		return nil, errors.CombineErrors(err, renameErr)
 	}
 	store, err = open(path)
 	if err != nil {
 		return nil, err
 	}
-	store.Replaced = aside
+	store.Replaced = unreadablePath
 	return store, nil
 }
 
-// open opens one file and verifies all of it.
+// open opens a file and verifies its whole content.
 func open(path string) (store *Store, err error) {
 	defer func() {
 		// bbolt panics on some damaged files.
@@ -96,7 +96,7 @@
 	return store, nil
 }
 
-// verify checks the pages' structure and every checksum.
+// verify checks the page structure and every checksum.
 func (store *Store) verify() error {
 	return store.database.View(func(transaction *bolt.Tx) error {
 		for err := range transaction.Check() {
@@ -104,7 +104,7 @@
 		}
 		return transaction.ForEach(func(name []byte, bucket *bolt.Bucket) error {
 			return bucket.ForEach(func(key, value []byte) error {
-				_, err := open8(value)
+				_, err := unseal(value)
 				return errors.Wrapf(err, "%s: bucket %s, key %q", store.path, name, key)
 			})
 		})
@@ -118,7 +118,7 @@
 			return err
 		}
 		if sealed := bucket.Get(identityKey); sealed != nil {
-			identity, err := open8(sealed)
+			identity, err := unseal(sealed)
 			store.identity = string(identity)
 			return err
 		}
@@ -127,24 +127,25 @@
 	})
 }
 
-// seal puts a checksum before the content; open8 checks and removes it.
+// seal prepends a checksum to content.
 func seal(content []byte) []byte {
 	sealed := make([]byte, checksumLength, checksumLength+len(content))
 	binary.BigEndian.PutUint64(sealed, xxhash.Sum64(content))
 	return append(sealed, content...)
 }
 
-func open8(sealed []byte) ([]byte, error) {
+// unseal verifies and removes the checksum that seal prepended.
+func unseal(sealed []byte) ([]byte, error) {
 	if len(sealed) < checksumLength || binary.BigEndian.Uint64(sealed) != xxhash.Sum64(sealed[checksumLength:]) {
 		return nil, ErrCorrupt
 	}
 	return sealed[checksumLength:], nil
 }
 
-// Identity names the file; a replaced or emptied file has another one.
+// Identity returns the identity of the file. A file that replaces a lost or unreadable one has another identity.
 func (store *Store) Identity() string { return store.identity }
 
-// Close closes the file.
+// Close closes the store.
 func (store *Store) Close() error { return store.database.Close() }
 
 // Load implements partition.Storage.
@@ -157,7 +158,7 @@
 			return nil
 		}
 		return bucket.ForEach(func(key, sealed []byte) error {
-			content, err := open8(sealed)
+			content, err := unseal(sealed)
 			if err != nil {
 				return errors.Wrapf(err, "partition %s, key %q", name, key)
 			}
@@ -172,11 +173,11 @@
 	return promised, registers, errors.Wrap(err, "sample store")
 }
 
-// DecodeRegister reads a stored register.
+// DecodeRegister decodes a stored register.
 func DecodeRegister(content []byte) (partition.Register, error) {
 	var register partition.Register
 	err := cbor.Unmarshal(content, &register)
-	return register, errors.Wrap(err, "stored register")
+	return register, errors.Wrap(err, "decode stored register")
 }
 
 // Save implements partition.Storage.
--- a/internal/samplestore/store_test.go
+++ b/internal/samplestore/store_test.go
@@ -13,7 +13,7 @@
 
 var name = partition.Name{Kind: partition.KindSteps, Index: 3}
 
-func open1(t *testing.T, folder string) *Store {
+func openStore(t *testing.T, folder string) *Store {
 	store, err := Open(folder)
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = store.Close() })
@@ -22,12 +22,12 @@
 
 func TestStoredStateSurvives(t *testing.T) {
 	folder := t.TempDir()
-	store := open1(t, folder)
+	store := openStore(t, folder)
 	identity := store.Identity()
 	must.NoError(t, store.Save(name, 4, nil, []partition.Register{{Key: "a/1", Value: []byte("x")}, {Key: "b/1"}}))
 	must.NoError(t, store.Save(name, 5, []string{"b/"}, nil))
 	must.NoError(t, store.Close())
-	store = open1(t, folder)
+	store = openStore(t, folder)
 	promised, registers, err := store.Load(name)
 	must.NoError(t, err)
 	must.Eq(t, 5, promised)
@@ -35,6 +35,7 @@
 	must.Eq(t, identity, store.Identity())
 }
 
+// Guards against a replica that keeps its identity after it has lost its promises and registers.
 func TestADamagedFileIsMovedAsideAndGetsANewIdentity(t *testing.T) {
 	damages := map[string]func(path string) error{
 		"torn": func(path string) error { return os.Truncate(path, 5000) },
@@ -52,15 +53,15 @@
 			return os.WriteFile(path, []byte("something else that is long enough"), 0o600)
 		},
 	}
-	for what, damage := range damages {
-		t.Run(what, func(t *testing.T) {
+	for kind, damage := range damages {
+		t.Run(kind, func(t *testing.T) {
 			folder := t.TempDir()
-			store := open1(t, folder)
+			store := openStore(t, folder)
 			identity := store.Identity()
 			must.NoError(t, store.Save(name, 4, nil, []partition.Register{{Key: "a/1", Value: []byte("x")}}))
 			must.NoError(t, store.Close())
 			must.NoError(t, damage(filepath.Join(folder, fileName)))
-			store = open1(t, folder)
+			store = openStore(t, folder)
 			must.NotEq(t, "", store.Replaced)
 			must.FileExists(t, store.Replaced)
 			must.NotEq(t, identity, store.Identity())
