--- a/internal/delivery/service.go
+++ b/internal/delivery/service.go
@@ -303,7 +303,7 @@
 }
 
 // newFetchAnswer returns the answer to a fetch and records the staleness of its samples.
-func (served *servedPartition) newFetchAnswer(owned *ownedStep, request FetchCall, decided step.Answer) FetchAnswer {
+func (served *servedPartition) newFetchAnswer(owned *ownedStep, request FetchCall, decided step.FetchResult) FetchAnswer {
 	answer := FetchAnswer{NextCursor: request.Cursor, State: owned.step.Progress.State, Slots: owned.step.Definition.Slots(), Delivered: owned.step.Delivered()}
 	for _, delivery := range decided.Deliveries {
 		answer.Samples = append(answer.Samples, DeliveredSample{
--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -155,7 +155,7 @@
 	Maximum int
 }
 
-// Delivery is one sample of an Answer, with its staleness at the fetch.
+// Delivery is one sample of a FetchResult, with its staleness at the fetch.
 type Delivery struct {
 	Slot       uint32
 	Generation uint32
@@ -163,8 +163,8 @@
 	Staleness  Staleness
 }
 
-// Answer is the result of a fetch. Change must be stored before the deliveries are sent to the trainer.
-type Answer struct {
+// FetchResult is the outcome of Step.Fetch. Change must be stored before the deliveries are sent to the trainer.
+type FetchResult struct {
 	Deliveries []Delivery
 	Change     Change
 	Dropped    int
@@ -173,18 +173,18 @@
 // Fetch returns the samples at the trainer's cursor. A repeated fetch of a cursor returns the samples of its batch again,
 // except those that exceed the staleness bound by now. A repeated fetch implies that the trainer did not use the earlier
 // answer, so these samples are dropped and their slots are generated again. docs/design/0003-delivery.md explains why.
-func (step *Step) Fetch(fetch Fetch, bound experiment.Bound, newest Newest, now time.Time) (Answer, error) {
+func (step *Step) Fetch(fetch Fetch, bound experiment.Bound, newest Newest, now time.Time) (FetchResult, error) {
 	if step.Progress.State == StateEnded {
-		return Answer{}, result.New(result.InvalidState, "step %q was ended", step.Definition.ID)
+		return FetchResult{}, result.New(result.InvalidState, "step %q was ended", step.Definition.ID)
 	}
 	if fetch.Cursor != step.Progress.NextCursor {
-		return Answer{}, result.New(result.ConflictFetch, "cursor %d: the next one is %d", fetch.Cursor, step.Progress.NextCursor)
+		return FetchResult{}, result.New(result.ConflictFetch, "cursor %d: the next one is %d", fetch.Cursor, step.Progress.NextCursor)
 	}
 	if fetch.Number <= step.Progress.LastFetch {
-		return Answer{}, result.New(result.ConflictFetch, "fetch number %d: %d was answered", fetch.Number, step.Progress.LastFetch)
+		return FetchResult{}, result.New(result.ConflictFetch, "fetch number %d: %d was answered", fetch.Number, step.Progress.LastFetch)
 	}
 	candidates := step.candidates(fetch)
-	answer := Answer{}
+	answer := FetchResult{}
 	batch := Batch{Cursor: fetch.Cursor}
 	for _, slot := range candidates {
 		state := step.slots[slot]
