--- a/internal/configuration/committer.go
+++ b/internal/configuration/committer.go
@@ -12,19 +12,20 @@
 	"github.com/thistlewalk/thistlewalk/internal/result"
 )
 
-// Committer changes the document by compare-and-swap.
+// Committer changes the configuration document by compare-and-swap.
 type Committer struct {
 	service  keyvalue.Client
 	follower *Follower
 }
 
-// NewCommitter returns a committer that offers what it commits to the follower.
+// NewCommitter returns a committer that passes the documents it commits to the follower.
 func NewCommitter(service keyvalue.Client, follower *Follower) *Committer {
 	return &Committer{service: service, follower: follower}
 }
 
-// Commit applies a command to the newest document and returns the document that holds it. A lost answer is settled by
-// reading back; it stays UnknownNotWritten only when the context ends before the service can be read.
+// Commit applies a command to the current document and returns the document that includes it. It retries conflicts, rate limits, failed
+// connections and lost responses until the context ends. A retry after a lost response reads the document again, and applying a command a
+// second time has no effect. UnknownNotWritten means that a response was lost and no later attempt succeeded.
 func (committer *Committer) Commit(ctx context.Context, envelope experiment.Envelope) (experiment.Document, error) {
 	uncertain := false
 	operation := func() (experiment.Document, error) {
@@ -62,7 +63,7 @@
 	}
 }
 
-// attempt reads, applies and swaps once.
+// attempt reads the document, applies the command and tries one compare-and-swap.
 func (committer *Committer) attempt(ctx context.Context, envelope experiment.Envelope) (experiment.Document, error) {
 	listing, err := committer.service.List(ctx, DocumentKey)
 	if err != nil {
@@ -94,7 +95,7 @@
 	return next, nil
 }
 
-// pickDocument returns the document of a listing and its key's revision; both zero when it does not exist.
+// pickDocument returns the document in a listing and the revision of its key. Both are zero if the document does not exist.
 func pickDocument(listing keyvalue.Listing) (experiment.Document, uint64, error) {
 	for _, item := range listing.Items {
 		if item.Key == DocumentKey {
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -18,15 +18,15 @@
 	"github.com/thistlewalk/thistlewalk/internal/result"
 )
 
-// service is a key-value service with one key whose calls fail as told.
-type service struct {
+// fakeService is a key-value service with one key. Its calls fail with the given errors in order.
+type fakeService struct {
 	keyvalue.Client
 	mu       sync.Mutex
 	item     keyvalue.Item
-	failures []error // of the next calls; ErrUncertain fails a swap after it took effect
+	failures []error // of the next calls; ErrUncertain is returned by a swap that took effect
 }
 
-func (s *service) next() error {
+func (s *fakeService) next() error {
 	if len(s.failures) == 0 {
 		return nil
 	}
@@ -35,7 +35,7 @@
 	return failure
 }
 
-func (s *service) List(context.Context, string) (keyvalue.Listing, error) {
+func (s *fakeService) List(context.Context, string) (keyvalue.Listing, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.next(); err != nil {
@@ -48,11 +48,11 @@
 	return listing, nil
 }
 
-func (s *service) Watch(ctx context.Context, prefix string, _ uint64, _ time.Duration) (keyvalue.Listing, error) {
+func (s *fakeService) Watch(ctx context.Context, prefix string, _ uint64, _ time.Duration) (keyvalue.Listing, error) {
 	return s.List(ctx, prefix)
 }
 
-func (s *service) CompareAndSwap(_ context.Context, swap keyvalue.Swap) (uint64, error) {
+func (s *fakeService) CompareAndSwap(_ context.Context, swap keyvalue.Swap) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	failure := s.next()
@@ -66,7 +66,7 @@
 	return s.item.Revision, failure
 }
 
-func (s *service) document(t must.T) experiment.Document {
+func (s *fakeService) document(t must.T) experiment.Document {
 	var document experiment.Document
 	must.NoError(t, json.Unmarshal(s.item.Value, &document))
 	return document
@@ -78,7 +78,7 @@
 
 func TestALostAnswerIsSettledByReadingBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &service{failures: []error{nil, keyvalue.ErrUncertain, keyvalue.ErrUnreachable, keyvalue.ErrLimited}}
+		s := &fakeService{failures: []error{nil, keyvalue.ErrUncertain, keyvalue.ErrUnreachable, keyvalue.ErrLimited}}
 		committer := NewCommitter(s, NewFollower())
 		document, err := committer.Commit(t.Context(), add("a"))
 		must.NoError(t, err)
@@ -95,17 +95,17 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
-		_, err := NewCommitter(&service{failures: append([]error{nil, keyvalue.ErrUncertain}, down...)}, NewFollower()).Commit(ctx, add("a"))
+		_, err := NewCommitter(&fakeService{failures: append([]error{nil, keyvalue.ErrUncertain}, down...)}, NewFollower()).Commit(ctx, add("a"))
 		must.Eq(t, result.UnknownNotWritten, result.CodeOf(err))
 		ctx, cancel = context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
-		_, err = NewCommitter(&service{failures: down}, NewFollower()).Commit(ctx, add("a"))
+		_, err = NewCommitter(&fakeService{failures: down}, NewFollower()).Commit(ctx, add("a"))
 		must.Eq(t, result.NotRunService, result.CodeOf(err))
 	})
 }
 
 func TestTheLaterOfTwoOperatorsHearsTheRevisionThatWon(t *testing.T) {
-	s := &service{}
+	s := &fakeService{}
 	committer := NewCommitter(s, NewFollower())
 	_, err := committer.Commit(t.Context(), add("a"))
 	must.NoError(t, err)
@@ -117,11 +117,11 @@
 	err = swap("second", 3)
 	must.Eq(t, result.ConflictRevision, result.CodeOf(err))
 	must.StrContains(t, err.Error(), "revision 2")
-	must.NoError(t, swap("first", 2), must.Sprint("the same command again is the same"))
+	must.NoError(t, swap("first", 2), must.Sprint("a repeated command has no further effect"))
 }
 
 func TestAnOlderServiceIsRefused(t *testing.T) {
-	s := &service{}
+	s := &fakeService{}
 	follower := NewFollower()
 	committer := NewCommitter(s, follower)
 	_, err := committer.Commit(t.Context(), add("a"))
@@ -136,7 +136,7 @@
 	must.Eq(t, result.InternalOlder, result.CodeOf(err))
 }
 
-// Documents arrive in any order from any side; the revision in force never shrinks.
+// The document in force must have the greatest revision received, in whatever order documents arrive.
 func TestFollowerNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		follower := NewFollower()
@@ -149,10 +149,10 @@
 	})
 }
 
-// Operators race over a service that loses answers; every command that was told done is in the document once.
+// Concurrent commits through a service that loses responses must each take effect exactly once.
 func TestRacingOperators(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &service{}
+		s := &fakeService{}
 		for index := range 60 {
 			s.failures = append(s.failures, []error{nil, keyvalue.ErrUncertain, nil, keyvalue.ErrLimited, nil}[index%5])
 		}
--- a/internal/configuration/follower.go
+++ b/internal/configuration/follower.go
@@ -1,5 +1,5 @@
-// Package configuration carries the operators' document: Follower holds the newest revision that a node knows and never
-// goes back; Committer changes it in the key-value service; Relay watches the service for a zone.
+// Package configuration distributes the operators' configuration document. Committer changes the document in the key-value service, Relay
+// watches the service on behalf of a zone, and Follower holds the newest revision that a node has received.
 package configuration
 
 import (
@@ -15,10 +15,11 @@
 	"github.com/thistlewalk/thistlewalk/internal/partition"
 )
 
-// DocumentKey is the document's key in the key-value service.
+// DocumentKey is the key of the configuration document in the key-value service.
 const DocumentKey = "configuration/document"
 
-// Follower holds what a node knows of the configuration, the partitions and the machine list. It takes only greater revisions.
+// Follower holds a node's copies of the configuration document, the partition table and the machine list. Each copy is replaced only by one
+// with a greater revision.
 type Follower struct {
 	mu       sync.Mutex // guards writes
 	document atomic.Pointer[experiment.Document]
@@ -27,7 +28,7 @@
 	changed  chan struct{} // closed and replaced on each change; guarded by mu
 }
 
-// NewFollower returns a follower that knows nothing: revision zero.
+// NewFollower returns a follower with empty copies at revision zero.
 func NewFollower() *Follower {
 	follower := &Follower{changed: make(chan struct{})}
 	follower.document.Store(&experiment.Document{})
@@ -36,13 +37,13 @@
 	return follower
 }
 
-// Document returns the newest document known. The caller must not change it.
+// Document returns the newest document received. The caller must not change it.
 func (follower *Follower) Document() *experiment.Document { return follower.document.Load() }
 
-// Table returns the newest partition table known. The caller must not change it.
+// Table returns the newest partition table received. The caller must not change it.
 func (follower *Follower) Table() *partition.Table { return follower.table.Load() }
 
-// Machines returns the newest machine list known. The caller must not change it.
+// Machines returns the newest machine list received. The caller must not change it.
 func (follower *Follower) Machines() *machines.List { return follower.machines.Load() }
 
 // Changed returns a channel that is closed at the next change.
@@ -52,7 +53,7 @@
 	return follower.changed
 }
 
-// Offer takes a document of a greater revision; it returns false for any other.
+// Offer stores a document with a greater revision than the current one. It returns false, and stores nothing, for any other.
 func (follower *Follower) Offer(document experiment.Document) bool {
 	follower.mu.Lock()
 	defer follower.mu.Unlock()
@@ -60,11 +61,11 @@
 		return false
 	}
 	follower.document.Store(&document)
-	follower.announce()
+	follower.notifyChanged()
 	return true
 }
 
-// OfferTable takes a table of a greater revision; it returns false for any other.
+// OfferTable stores a partition table with a greater revision than the current one. It returns false, and stores nothing, for any other.
 func (follower *Follower) OfferTable(table partition.Table) bool {
 	follower.mu.Lock()
 	defer follower.mu.Unlock()
@@ -72,11 +73,11 @@
 		return false
 	}
 	follower.table.Store(&table)
-	follower.announce()
+	follower.notifyChanged()
 	return true
 }
 
-// OfferMachines takes a machine list of a greater revision; it returns false for any other.
+// OfferMachines stores a machine list with a greater revision than the current one. It returns false, and stores nothing, for any other.
 func (follower *Follower) OfferMachines(list machines.List) bool {
 	follower.mu.Lock()
 	defer follower.mu.Unlock()
@@ -84,28 +85,28 @@
 		return false
 	}
 	follower.machines.Store(&list)
-	follower.announce()
+	follower.notifyChanged()
 	return true
 }
 
-// announce wakes those who wait for a change; must hold mu.
-func (follower *Follower) announce() {
+// notifyChanged wakes all goroutines that wait for a change. The caller must hold mu.
+func (follower *Follower) notifyChanged() {
 	close(follower.changed)
 	follower.changed = make(chan struct{})
 }
 
-// EncodeDocument returns the document's form in the key-value service, which people can read.
+// EncodeDocument encodes a document for the key-value service as JSON, so that people can read it there.
 func EncodeDocument(document experiment.Document) ([]byte, error) { return json.Marshal(document) }
 
-// DecodeDocument reads the form in the key-value service.
+// DecodeDocument decodes a document from the key-value service.
 func DecodeDocument(content []byte) (experiment.Document, error) {
 	var document experiment.Document
 	err := json.Unmarshal(content, &document)
 	return document, errors.Wrap(err, "configuration document")
 }
 
-// EncodeBetweenNodes returns the compact form that nodes exchange.
+// EncodeBetweenNodes encodes a value for messages between nodes as CBOR.
 func EncodeBetweenNodes(value any) ([]byte, error) { return cbor.Marshal(value) }
 
-// DecodeBetweenNodes reads the compact form.
+// DecodeBetweenNodes decodes a value from a message between nodes.
 func DecodeBetweenNodes(content []byte, value any) error { return cbor.Unmarshal(content, value) }
--- a/internal/configuration/relay.go
+++ b/internal/configuration/relay.go
@@ -14,50 +14,50 @@
 
 // Prefixes of the keys that relays watch.
 const (
-	// WatchedPrefix covers all keys of this system; it is empty of anything that changes often.
-	WatchedPrefix = ""
-	// PartitionPrefix holds one partition.Assignment a key.
+	// AllKeysPrefix covers all keys of this system, none of which changes often.
+	AllKeysPrefix = ""
+	// PartitionPrefix is the prefix of the keys that hold one partition.Assignment each.
 	PartitionPrefix = "partitions/"
-	// LeasePrefix holds one key a live owner, attached to the owner's lease.
+	// LeasePrefix is the prefix of the keys of live owners. Each key is attached to its owner's lease.
 	LeasePrefix = "owners/"
 )
 
-// ErrOlder means that the service holds an older revision than the one in force; it is refused.
+// ErrOlder means that the service holds an older revision than the one in force. The older document is rejected.
 var ErrOlder = errors.New("the key-value service holds an older revision")
 
-// Relay reads the service for its zone.
+// Relay watches the key-value service and passes changes to a follower.
 type Relay struct {
 	service  keyvalue.Client
 	follower *Follower
-	seen     uint64
+	revision uint64
 }
 
-// NewRelay returns a relay that has seen nothing.
+// NewRelay returns a relay that starts watching at revision zero.
 func NewRelay(service keyvalue.Client, follower *Follower) *Relay {
 	return &Relay{service: service, follower: follower}
 }
 
-// Poll waits up to wait for a change in the service and offers it to the follower. It returns ErrOlder when the service
-// came back with an older document, which a second reading confirms: a watch that was answered before this node's own
-// change is older too, and no fault.
+// Poll waits for a change in the service, for at most the given time, and passes it to the follower. It returns ErrOlder if the service has
+// lost changes and holds an older document. A second read confirms this, since the watch may have been answered before this node's own
+// latest change.
 func (relay *Relay) Poll(ctx context.Context, wait time.Duration) error {
-	listing, err := relay.service.Watch(ctx, WatchedPrefix, relay.seen, wait)
+	listing, err := relay.service.Watch(ctx, AllKeysPrefix, relay.revision, wait)
 	if err != nil {
 		return err
 	}
-	relay.seen = listing.Revision
-	if err := relay.Take(listing); !errors.Is(err, ErrOlder) {
+	relay.revision = listing.Revision
+	if err := relay.offerListing(listing); !errors.Is(err, ErrOlder) {
 		return err
 	}
-	if listing, err = relay.service.List(ctx, WatchedPrefix); err != nil {
+	if listing, err = relay.service.List(ctx, AllKeysPrefix); err != nil {
 		return err
 	}
-	relay.seen = listing.Revision
-	return relay.Take(listing)
+	relay.revision = listing.Revision
+	return relay.offerListing(listing)
 }
 
-// Take offers a listing of all keys to the follower.
-func (relay *Relay) Take(listing keyvalue.Listing) error {
+// offerListing passes the partition table and the document in a listing of all keys to the follower.
+func (relay *Relay) offerListing(listing keyvalue.Listing) error {
 	document, _, err := pickDocument(listing)
 	if err != nil {
 		return err
