--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -18,22 +18,22 @@
 	"github.com/knadh/koanf/v2"
 )
 
-// Problem is one wrong setting.
+// Problem is one invalid setting.
 type Problem struct {
-	Source string // file name or "flag"
-	Key    string
-	What   string
+	Source  string // file name or "flag"
+	Key     string
+	Message string
 }
 
 // String returns the problem in one line.
 func (problem Problem) String() string {
-	return fmt.Sprintf("%s: %s: %s", problem.Source, problem.Key, problem.What)
+	return fmt.Sprintf("%s: %s: %s", problem.Source, problem.Key, problem.Message)
 }
 
-// Problems is the error of Load when settings are wrong.
+// Problems is the error that Load and Parse return for invalid settings.
 type Problems []Problem
 
-// Error implements error: one line a problem.
+// Error implements error. It returns one line per problem.
 func (problems Problems) Error() string {
 	lines := make([]string, 0, len(problems))
 	for _, problem := range problems {
@@ -43,19 +43,19 @@
 }
 
 const (
-	delimiter  = "."
-	flagSource = "flag"
-	noSource   = "default"
+	delimiter     = "."
+	flagSource    = "flag"
+	defaultSource = "default"
 )
 
-// Override is a setting given by a flag.
+// Override is a setting given by a command-line flag.
 type Override struct {
 	Key   string
 	Value any
 }
 
-// Load returns defaults overlaid by the file and the overrides. file may be empty. The error is Problems when settings
-// are wrong.
+// Load returns the defaults overlaid by the file, if one is named, and then by the overrides. The error is of type Problems if settings are
+// invalid.
 func Load(file string, overrides []Override) (Settings, error) {
 	var content []byte
 	if file != "" {
@@ -67,12 +67,12 @@
 	return Parse(file, content, overrides)
 }
 
-// Parse is Load for content that was read.
+// Parse is Load for the content of a file that has already been read.
 func Parse(file string, content []byte, overrides []Override) (Settings, error) {
 	given := koanf.New(delimiter)
 	if len(content) > 0 {
 		if err := given.Load(rawbytes.Provider(content), yaml.Parser()); err != nil {
-			return Settings{}, Problems{{Source: file, Key: "(whole file)", What: err.Error()}}
+			return Settings{}, Problems{{Source: file, Key: "(whole file)", Message: err.Error()}}
 		}
 	}
 	sources := make(map[string]string)
@@ -82,7 +82,7 @@
 	for _, override := range overrides {
 		sources[override.Key] = flagSource
 		if err := given.Load(confmap.Provider(map[string]any{override.Key: override.Value}, delimiter), nil); err != nil {
-			return Settings{}, Problems{{Source: flagSource, Key: override.Key, What: err.Error()}}
+			return Settings{}, Problems{{Source: flagSource, Key: override.Key, Message: err.Error()}}
 		}
 	}
 	settings := Defaults()
@@ -95,18 +95,18 @@
 	return settings, nil
 }
 
-// decode sets each given key by itself, so that every wrong one is found.
+// decode sets each given key separately, so that every invalid value is reported.
 func decode(given *koanf.Koanf, settings *Settings, sources map[string]string) Problems {
 	fields := fieldsByKey(reflect.ValueOf(settings).Elem(), "")
 	var problems Problems
 	for _, key := range given.Keys() {
 		field, known := fields[key]
 		if !known {
-			problems = append(problems, Problem{Source: sources[key], Key: key, What: unknownKey(key, fields)})
+			problems = append(problems, Problem{Source: sources[key], Key: key, Message: unknownKey(key, fields)})
 			continue
 		}
 		if err := setField(field, given.Get(key)); err != nil {
-			problems = append(problems, Problem{Source: sources[key], Key: key, What: err.Error()})
+			problems = append(problems, Problem{Source: sources[key], Key: key, Message: err.Error()})
 		}
 	}
 	return problems
@@ -149,7 +149,7 @@
 	return fields
 }
 
-// setField decodes one value strictly: no number for a text, no text for a number. Durations are text such as "1m30s".
+// setField decodes one value without conversions between numbers and strings. A duration is a string such as "1m30s".
 func setField(field reflect.Value, value any) error {
 	if field.Type() == reflect.TypeFor[time.Duration]() {
 		text, ok := value.(string)
@@ -189,7 +189,7 @@
 		if reported {
 			continue
 		}
-		problems = append(problems, Problem{Source: sourceOf(key, sources), Key: key, What: allowed(failure)})
+		problems = append(problems, Problem{Source: sourceOf(key, sources), Key: key, Message: describeFailure(failure)})
 	}
 	return problems
 }
@@ -199,11 +199,11 @@
 	if source, ok := sources[base]; ok {
 		return source
 	}
-	return noSource
+	return defaultSource
 }
 
-// allowed says in words what a failed check wants.
-func allowed(failure validator.FieldError) string {
+// describeFailure returns the message for a failed validation.
+func describeFailure(failure validator.FieldError) string {
 	limit := failure.Param()
 	switch failure.Tag() {
 	case "required":
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,10 +1,10 @@
-// Package settings reads and checks the settings of a node: defaults, then a YAML file, then flags. All problems are
-// reported at once, each with its file, key and what is allowed.
+// Package settings loads and validates the settings of a node from defaults, a YAML file and flags; later sources override earlier ones. All
+// problems are reported at once, each with its source, its key and the allowed values.
 package settings
 
 import "time"
 
-// Settings of a node. The help tags are the source of the table in docs/OPERATIONS.md.
+// Settings are the settings of a node. The help tags are the source of the table in docs/SETTINGS.md.
 type Settings struct {
 	Node       Node       `koanf:"node"`
 	Platform   Platform   `koanf:"platform"`
@@ -18,7 +18,7 @@
 	Log        Log        `koanf:"log"`
 }
 
-// Node says who and where the node is.
+// Node identifies the node and sets its addresses.
 type Node struct {
 	ID         string   `koanf:"id" validate:"required,max=64" help:"name of the node, unique; kept over restarts"`
 	Zone       string   `koanf:"zone" validate:"required,max=64" help:"zone that the node runs in"`
@@ -29,7 +29,7 @@
 	Seeds      []string `koanf:"seeds" validate:"dive,ip_port" help:"control addresses to join through, beside those of the machine list"`
 }
 
-// Platform says where the platform's services are.
+// Platform sets the URLs of the platform's services and the timeout of calls to them.
 type Platform struct {
 	KeyValue string        `koanf:"key_value" validate:"required,http_url" help:"URL of the key-value service"`
 	Machines string        `koanf:"machines" validate:"required,http_url" help:"URL of the machine list"`
@@ -37,7 +37,7 @@
 	Timeout  time.Duration `koanf:"timeout" validate:"min=10ms,max=1m" help:"time that one call to a platform service may take"`
 }
 
-// Security sets who may call.
+// Security sets authentication and TLS.
 type Security struct {
 	OperatorTokens []string `koanf:"operator_tokens" validate:"dive,min=16" help:"bearer tokens that may change the configuration; none allows all, on loopback only"`
 	CallerTokens   []string `koanf:"caller_tokens" validate:"dive,min=16" help:"bearer tokens that may run rollouts and steps; none allows all, on loopback only"`
@@ -47,7 +47,7 @@
 	AllowPlain     bool     `koanf:"allow_plain" help:"serve addresses other than loopback without tokens or TLS"`
 }
 
-// Admission bounds the work taken from callers.
+// Admission limits the requests accepted from callers.
 type Admission struct {
 	Concurrency     int     `koanf:"concurrency" validate:"min=1,max=100000" help:"requests of callers that run at a time"`
 	Queue           int     `koanf:"queue" validate:"min=0,max=100000" help:"requests of callers that wait"`
@@ -58,7 +58,7 @@
 	RetryReserve    float64 `koanf:"retry_reserve" validate:"min=0,max=100000" help:"retries that can be saved up"`
 }
 
-// Rollout sets how a rollout is run.
+// Rollout sets how rollout requests are routed, timed out and retried.
 type Rollout struct {
 	RouteWait       time.Duration `koanf:"route_wait" validate:"min=0,max=10m" help:"wait for a serviceable replica before a caller's request is refused"`
 	StallTime       time.Duration `koanf:"stall_time" validate:"min=10ms,max=1h" help:"silence of a stream that counts as broken"`
@@ -67,7 +67,7 @@
 	Routing         string        `koanf:"routing" validate:"oneof=scored round-robin least-reported" help:"how replicas are picked: scored, or a baseline"`
 }
 
-// Steps sets how training steps are run.
+// Steps sets how training steps are dispatched and executed.
 type Steps struct {
 	MaximumSlots     int           `koanf:"maximum_slots" validate:"min=0,max=100000" help:"slots that this node works on"`
 	OutstandingSlots int           `koanf:"outstanding_slots" validate:"min=1,max=1000000" help:"slots of one partition that are with executors"`
@@ -83,7 +83,7 @@
 	TickInterval     time.Duration `koanf:"tick_interval" validate:"min=10ms,max=1m" help:"how often empty slots are dispatched"`
 }
 
-// Membership sets how nodes find each other.
+// Membership sets the gossip between nodes and its failure detector.
 type Membership struct {
 	ProbeInterval  time.Duration `koanf:"probe_interval" validate:"min=10ms,max=1m" help:"time between two probes by a node"`
 	ProbeTimeout   time.Duration `koanf:"probe_timeout" validate:"min=5ms,max=30s" help:"wait for a probe's answer, and again for indirect ones"`
@@ -94,7 +94,7 @@
 	RelaysPerZone  int           `koanf:"relays_per_zone" validate:"min=1,max=10" help:"nodes of a zone that watch the platform's services"`
 }
 
-// Ownership sets how partitions are owned.
+// Ownership sets how nodes take over and replicate partitions.
 type Ownership struct {
 	SettleTime      time.Duration `koanf:"settle_time" validate:"min=0,max=10m" help:"wait after the start before partitions are taken"`
 	WriteTimeout    time.Duration `koanf:"write_timeout" validate:"min=10ms,max=1m" help:"wait for a copy to store a write"`
@@ -104,7 +104,7 @@
 	TickInterval    time.Duration `koanf:"tick_interval" validate:"min=10ms,max=1m" help:"how often partitions are looked at"`
 }
 
-// Replicas sets how back ends are watched.
+// Replicas sets how replicas are polled and ordered to load weights.
 type Replicas struct {
 	PollInterval  time.Duration `koanf:"poll_interval" validate:"min=10ms,max=1m" help:"time between two polls of a replica by its home"`
 	CallTimeout   time.Duration `koanf:"call_timeout" validate:"min=10ms,max=1m" help:"wait for a replica's report or order"`
@@ -114,12 +114,12 @@
 	OrderAttempts int           `koanf:"order_attempts" validate:"min=1,max=1000" help:"equal orders before the replica is reported"`
 }
 
-// Log sets what is logged.
+// Log sets the logging.
 type Log struct {
 	Level string `koanf:"level" validate:"oneof=debug info warn error" help:"least level that is logged"`
 }
 
-// Defaults returns the settings that hold where neither file nor flags say otherwise.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{
 		Node:     Node{Region: "default"},
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -31,7 +31,7 @@
 	must.True(t, errors.As(err, &problems))
 	text := make(map[string]string)
 	for _, problem := range problems {
-		text[problem.Key] = problem.Source + ": " + problem.What
+		text[problem.Key] = problem.Source + ": " + problem.Message
 	}
 	must.MapLen(t, 11, text, must.Sprint(err))
 	must.StrContains(t, text["node.zone"], "want string, got 7")
--- a/internal/settings/table.go
+++ b/internal/settings/table.go
@@ -27,12 +27,12 @@
 			rows = append(rows, rowsOf(value.Field(index), key+delimiter)...)
 			continue
 		}
-		rows = append(rows, Row{Key: key, Default: shown(value.Field(index)), Allowed: allowedBy(field), Help: field.Tag.Get("help")})
+		rows = append(rows, Row{Key: key, Default: formatDefault(value.Field(index)), Allowed: describeChecks(field), Help: field.Tag.Get("help")})
 	}
 	return rows
 }
 
-func shown(value reflect.Value) string {
+func formatDefault(value reflect.Value) string {
 	text := fmt.Sprint(value.Interface())
 	if value.Kind() == reflect.Slice && value.Len() == 0 {
 		return ""
@@ -40,8 +40,8 @@
 	return text
 }
 
-// allowedBy writes a field's checks for people.
-func allowedBy(field reflect.StructField) string {
+// describeChecks describes the type and the validation rules of a field.
+func describeChecks(field reflect.StructField) string {
 	kind := field.Type.String()
 	if field.Type == reflect.TypeFor[time.Duration]() {
 		kind = "duration"
