--- a/internal/result/message.go
+++ b/internal/result/message.go
@@ -6,7 +6,7 @@
 	controlv1 "github.com/thistlewalk/thistlewalk/api/control/v1"
 )
 
-// ToMessage returns the form of a result between nodes; nil is Done.
+// ToMessage converts a result to the message that nodes exchange. A nil error becomes Done.
 func ToMessage(err error) *controlv1.Outcome {
 	if err == nil {
 		return &controlv1.Outcome{Code: uint32(Done)}
@@ -19,7 +19,7 @@
 	}
 }
 
-// FromMessage returns the error that an outcome carries; nil for one of class done.
+// FromMessage converts a message to an error. It returns nil if the code is of ClassDone.
 func FromMessage(outcome *controlv1.Outcome) error {
 	code := Code(outcome.GetCode())
 	if code.Class() == ClassDone {
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -1,7 +1,7 @@
 // Package result defines the numbered result codes that callers, trainers, operators and nodes see.
 //
-// The hundreds digit of a code is its class; the class says whether the request may have run and whether sending it
-// again is safe. docs/RESULT_CODES.md has the same table, and a test holds the two together.
+// The hundreds digit of a code is its class. The class determines whether the request may have run and whether it is safe to send it again.
+// docs/RESULT_CODES.md holds the same table; a test compares the two.
 package result
 
 import (
@@ -12,20 +12,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Class groups codes by what a caller may conclude from them.
+// Class groups codes by what a caller can conclude from them.
 type Class int
 
 // The classes of result codes.
 const (
 	ClassDone     Class = 1 // the request was carried out
-	ClassNotRun   Class = 2 // the request truly did not run; sending it again is safe
+	ClassNotRun   Class = 2 // the request did not run; it is safe to send it again
 	ClassUnknown  Class = 3 // the request may have run
-	ClassInvalid  Class = 4 // the request can never be carried out as it stands; it did not run
-	ClassConflict Class = 5 // the request clashes with the present state; it did not run
+	ClassInvalid  Class = 4 // the request can never be carried out unchanged; it did not run
+	ClassConflict Class = 5 // the request conflicts with the current state; it did not run
 	ClassInternal Class = 6 // a fault of a node outside the request path
 )
 
-// String returns the class's name as used in JSON answers.
+// String returns the name of the class in JSON responses.
 func (class Class) String() string {
 	switch class {
 	case ClassDone:
@@ -46,7 +46,7 @@
 // Code is a numbered result.
 type Code uint32
 
-// The result codes. Numbers are never reused.
+// The result codes. Numbers must never be reused.
 const (
 	Done            Code = 100
 	DoneAlready     Code = 101
@@ -91,7 +91,7 @@
 	InternalNotReady Code = 603
 )
 
-// Description is one row of the table of codes.
+// Description is one row of the table of result codes.
 type Description struct {
 	Code    Code
 	Name    string
@@ -147,10 +147,10 @@
 	return index
 }()
 
-// Descriptions returns the whole table in order of code.
+// Descriptions returns the whole table, ordered by code.
 func Descriptions() []Description { return descriptions }
 
-// Describe returns the row of a code; an unlisted code is described as InternalFault.
+// Describe returns the row of a code, or the row of InternalFault if the code is unknown.
 func (code Code) Describe() Description {
 	if description, ok := byCode[code]; ok {
 		return description
@@ -164,11 +164,11 @@
 // String returns the code's name.
 func (code Code) String() string { return code.Describe().Name }
 
-// Error is a result other than done. It says whether sending the request again is safe.
+// Error is a result of any class but ClassDone.
 type Error struct {
 	Code       Code
 	Message    string
-	RetryAfter time.Duration // zero when the client may not or need not wait
+	RetryAfter time.Duration // the time after which the client may send the request again; zero if none is given
 }
 
 // Error implements error.
@@ -181,13 +181,13 @@
 	return &Error{Code: code, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// WithRetryAfter returns the error with a time after which the client may come back.
+// WithRetryAfter sets the time after which the client may retry and returns the same error.
 func (failure *Error) WithRetryAfter(wait time.Duration) *Error {
 	failure.RetryAfter = wait
 	return failure
 }
 
-// From returns the Error in the chain of err, or an InternalFault that carries err's text. It returns nil for nil.
+// From returns the first Error in the chain of err, or an InternalFault with the text of err if there is none. It returns nil for nil.
 func From(err error) *Error {
 	if err == nil {
 		return nil
@@ -199,7 +199,7 @@
 	return New(InternalFault, "%v", err)
 }
 
-// CodeOf returns the code of err: Done for nil.
+// CodeOf returns the result code of err, which is Done for nil.
 func CodeOf(err error) Code {
 	if err == nil {
 		return Done
--- a/internal/result/result_test.go
+++ b/internal/result/result_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// The table in the docs is compared as a whole: a code that is added, removed or reworded must change there too.
+// The whole table in docs/RESULT_CODES.md must match the code, so that no code is added, removed or reworded in one place only.
 func TestTableInDocsAgreesWithCode(t *testing.T) {
 	page, err := os.ReadFile("../../docs/RESULT_CODES.md")
 	must.NoError(t, err)
