--- a/internal/keyvalue/http.go
+++ b/internal/keyvalue/http.go
@@ -15,17 +15,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maximumAnswer bounds the bytes read of one answer of the service.
-const maximumAnswer = 32 << 20
+const maxResponseBytes = 32 << 20
 
-// HTTP is the Client for the service's HTTP protocol.
+// HTTP implements Client for the service's HTTP protocol.
 type HTTP struct {
 	base    string
 	client  *http.Client
 	timeout time.Duration
 }
 
-// NewHTTP returns a client of the service at base, "http://host:port". timeout bounds each call but watches' waiting.
+// NewHTTP returns a client of the service at base, such as "http://host:port". The timeout bounds each call; a watch may take longer by
+// its wait.
 func NewHTTP(base string, client *http.Client, timeout time.Duration) *HTTP {
 	return &HTTP{base: base, client: client, timeout: timeout}
 }
@@ -63,9 +63,9 @@
 }
 
 // GrantLease implements Client.
-func (service *HTTP) GrantLease(ctx context.Context, life time.Duration) (LeaseID, error) {
+func (service *HTTP) GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	var lease leaseBody
-	err := service.call(ctx, http.MethodPost, "/v1/leases", leaseBody{Milliseconds: life.Milliseconds()}, &lease, service.timeout)
+	err := service.call(ctx, http.MethodPost, "/v1/leases", leaseBody{Milliseconds: ttl.Milliseconds()}, &lease, service.timeout)
 	return lease.ID, err
 }
 
@@ -79,13 +79,13 @@
 	return service.call(ctx, http.MethodDelete, "/v1/leases/"+url.PathEscape(string(lease)), nil, nil, service.timeout)
 }
 
-// call sends one request and sorts its failure by what may have happened.
+// call sends one request and maps a failure to one of the errors of Client, by whether the service may have changed anything.
 func (service *HTTP) call(ctx context.Context, method, path string, body, answer any, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	var written atomic.Bool
+	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { written.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
 	request, err := service.request(ctx, method, path, body)
 	if err != nil {
@@ -93,13 +93,13 @@
 	}
 	response, err := service.client.Do(request)
 	if err != nil {
-		if written.Load() && method != http.MethodGet {
+		if connected.Load() && method != http.MethodGet {
 			return errors.Mark(errors.Wrap(err, "key-value service"), ErrUncertain)
 		}
 		return errors.Mark(errors.Wrap(err, "key-value service"), ErrUnreachable)
 	}
 	defer response.Body.Close()
-	content, err := io.ReadAll(io.LimitReader(response.Body, maximumAnswer))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return errors.Mark(errors.Wrap(err, "key-value service"), ErrUncertain)
 	}
