--- a/internal/machines/list.go
+++ b/internal/machines/list.go
@@ -1,4 +1,4 @@
-// Package machines reads the platform's lagging list of live and leaving back ends and nodes.
+// Package machines reads the platform's list of engines and nodes that are running or about to leave. The list may be stale.
 package machines
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Role says what a machine runs.
+// Role is what a machine runs.
 type Role string
 
-// The roles of the machine list.
+// The roles of machines.
 const (
 	RoleEngine Role = "engine"
 	RoleNode   Role = "node"
 )
 
-// Machine is one entry.
+// Machine is one entry of the list.
 type Machine struct {
 	ID      string `json:"id" cbor:"1,keyasint"`
 	Address string `json:"address" cbor:"2,keyasint"`
@@ -38,25 +38,25 @@
 	Machines []Machine `json:"machines" cbor:"2,keyasint"`
 }
 
-// Source gives the newest list.
+// Source provides the machine list.
 type Source interface {
-	// Newer returns a list of a greater revision than the one given; false when there is none.
+	// Newer returns the list if its revision is greater than the given one; the bool is false if there is no such list.
 	Newer(ctx context.Context, after uint64) (List, bool, error)
 }
 
-// HTTP is the Source for the platform's HTTP protocol (docs/PLATFORM.md).
+// HTTP implements Source for the platform's HTTP protocol (docs/PLATFORM.md).
 type HTTP struct {
 	base    string
 	client  *http.Client
 	timeout time.Duration
 }
 
-// NewHTTP returns a source at base, "http://host:port".
+// NewHTTP returns a source at base, such as "http://host:port".
 func NewHTTP(base string, client *http.Client, timeout time.Duration) *HTTP {
 	return &HTTP{base: base, client: client, timeout: timeout}
 }
 
-const maximumAnswer = 8 << 20
+const maxResponseBytes = 8 << 20
 
 // Newer implements Source.
 func (source *HTTP) Newer(ctx context.Context, after uint64) (List, bool, error) {
@@ -79,6 +79,6 @@
 		return List{}, false, errors.Newf("machine list answered %d", response.StatusCode)
 	}
 	var list List
-	err = json.NewDecoder(io.LimitReader(response.Body, maximumAnswer)).Decode(&list)
+	err = json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(&list)
 	return list, err == nil && list.Revision > after, errors.Wrap(err, "machine list")
 }
