--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging makes the loggers of all programs: one line of key=value pairs an event.
+// Package logging creates the loggers of all programs. They write logfmt: one line of key=value pairs per event.
 package logging
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// New returns a logger in logfmt at a level: debug, info, warn or error.
+// New returns a logger that writes logfmt at the given level: debug, info, warn or error.
 func New(output io.Writer, level string) (*log.Logger, error) {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
@@ -24,9 +24,9 @@
 	}), nil
 }
 
-// Structured returns the logger as a handler of the standard library's slog, at level warn, for libraries that log.
+// Structured returns a logger of the standard library's slog, at level warn, for libraries that log through slog.
 func Structured(logger *log.Logger) *slog.Logger {
-	quiet := logger.With("component", "library")
-	quiet.SetLevel(log.WarnLevel)
-	return slog.New(quiet)
+	warnings := logger.With("component", "library")
+	warnings.SetLevel(log.WarnLevel)
+	return slog.New(warnings)
 }
--- a/internal/logging/queue.go
+++ b/internal/logging/queue.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Queue is a writer that never blocks: lines wait in a bounded queue, and those that find it full are dropped and counted.
+// Queue is a writer that never blocks. It buffers lines in a bounded queue. While the queue is full, it drops and counts lines.
 type Queue struct {
 	lines   chan []byte
 	dropped atomic.Int64
@@ -15,17 +15,17 @@
 	closed  chan struct{}
 }
 
-// queueLines bounds the lines that wait to be written.
+// queueLines is the capacity of the queue, in lines.
 const queueLines = 2048
 
-// NewQueue returns a queue in front of a writer that may stall.
+// NewQueue returns a queue that writes to output, which may stall.
 func NewQueue(output io.Writer) *Queue {
 	queue := &Queue{lines: make(chan []byte, queueLines), done: make(chan struct{}), closed: make(chan struct{})}
 	go queue.drain(output)
 	return queue
 }
 
-// Write implements io.Writer. It never fails.
+// Write implements io.Writer. It never returns an error.
 func (queue *Queue) Write(line []byte) (int, error) {
 	copied := append([]byte(nil), line...)
 	select {
@@ -39,7 +39,7 @@
 // Dropped returns how many lines were dropped.
 func (queue *Queue) Dropped() int64 { return queue.dropped.Load() }
 
-// Close writes what waits, for at most the time given.
+// Close waits until the queued lines are written, for at most the given time.
 func (queue *Queue) Close(limit time.Duration) {
 	close(queue.done)
 	select {
@@ -54,7 +54,7 @@
 	for {
 		select {
 		case line := <-queue.lines:
-			_, _ = output.Write(line) // there is nowhere to say that logging fails
+			_, _ = output.Write(line) // a failure to log can't be logged
 		case <-queue.done:
 			if len(queue.lines) == 0 {
 				return
--- a/internal/logging/queue_test.go
+++ b/internal/logging/queue_test.go
@@ -12,30 +12,30 @@
 	"github.com/thistlewalk/thistlewalk/internal/logging"
 )
 
-// stalled is a reader of logs that takes nothing until it is let go.
-type stalled struct {
+// stalledWriter is a writer whose Write blocks until release is closed.
+type stalledWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	content bytes.Buffer
 }
 
-func (stalled *stalled) Write(line []byte) (int, error) {
-	<-stalled.release
-	stalled.mu.Lock()
-	defer stalled.mu.Unlock()
-	return stalled.content.Write(line)
+func (writer *stalledWriter) Write(line []byte) (int, error) {
+	<-writer.release
+	writer.mu.Lock()
+	defer writer.mu.Unlock()
+	return writer.content.Write(line)
 }
 
-func (stalled *stalled) text() string {
-	stalled.mu.Lock()
-	defer stalled.mu.Unlock()
-	return stalled.content.String()
+func (writer *stalledWriter) text() string {
+	writer.mu.Lock()
+	defer writer.mu.Unlock()
+	return writer.content.String()
 }
 
-// A reader of logs that stalls stalls nobody who logs: lines beyond the queue are dropped, counted and told of.
+// A stalled log output must not block callers. Lines beyond the queue's capacity must be dropped, counted and reported.
 func TestStalledReaderBlocksNobody(t *testing.T) {
-	reader := &stalled{release: make(chan struct{})}
-	queue := logging.NewQueue(reader)
+	writer := &stalledWriter{release: make(chan struct{})}
+	queue := logging.NewQueue(writer)
 	logger, err := logging.New(queue, "info")
 	must.NoError(t, err)
 	started := time.Now()
@@ -45,8 +45,8 @@
 	}
 	must.Less(t, 3*time.Second, time.Since(started))
 	must.Between(t, 3000, queue.Dropped(), lines)
-	close(reader.release)
+	close(writer.release)
 	queue.Close(3 * time.Second)
-	must.StrContains(t, reader.text(), "number=0")
-	must.StrContains(t, reader.text(), fmt.Sprintf("total=%d", queue.Dropped()))
+	must.StrContains(t, writer.text(), "number=0")
+	must.StrContains(t, writer.text(), fmt.Sprintf("total=%d", queue.Dropped()))
 }
