--- a/internal/node/automatic.go
+++ b/internal/node/automatic.go
@@ -11,15 +11,15 @@
 
 const (
 	automaticInterval = time.Second
-	// stagedShare is how much of the replicas must hold the published version ready before an automatic swap: those that
-	// miss it are not waited for.
+	// stagedShare is the share of replicas that must hold the published version before an automatic swap. It is below 1 so
+	// that a few slow replicas do not block the swap.
 	stagedShare = 0.9
 )
 
-// swapAutomatic swaps automatic policies to their published version once it is staged. The node that is ranked first among
-// the live ones does it; should two do it, the swap is the same command and takes effect once.
+// swapAutomatic swaps automatic policies to their published version once it is staged. Only the swap coordinator does this.
+// If two nodes consider themselves coordinator, both send the same command identifier, and the swap is applied once.
 func (node *Node) swapAutomatic(ctx context.Context) {
-	if !node.isFirst() {
+	if !node.isSwapCoordinator() {
 		return
 	}
 	for _, policy := range node.follower.Document().Policies {
@@ -36,8 +36,8 @@
 	}
 }
 
-// isFirst reports whether this node is ranked first among the live ones.
-func (node *Node) isFirst() bool {
+// isSwapCoordinator reports whether this node ranks first among the live members.
+func (node *Node) isSwapCoordinator() bool {
 	var live []string
 	for _, member := range node.members.View().Live {
 		live = append(live, member.NodeID)
@@ -45,7 +45,7 @@
 	return placement.Best("automatic", live) == node.settings.Node.ID
 }
 
-// staged reports whether enough of the replicas known here hold the published version ready.
+// staged reports whether enough serving replicas have staged or activated the published version.
 func (node *Node) staged(policy experiment.Policy) bool {
 	ready, serving := 0, 0
 	for _, replica := range node.loads.List() {
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -16,8 +16,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/settings"
 )
 
-// owner returns the owner of a partition by the newest table.
-func (node *Node) owner(name partition.Name) (partition.Holder, error) {
+// partitionOwner returns the owner of a partition by the newest partition table.
+func (node *Node) partitionOwner(name partition.Name) (partition.Holder, error) {
 	assignment, ok := node.follower.Table().Assignment(name)
 	if !ok {
 		return partition.Holder{}, result.New(result.NotRunNoOwner, "partition %s has no owner", name).WithRetryAfter(time.Second)
@@ -27,7 +27,7 @@
 
 // Steps implements gateway.Cluster and delivery.Owners.
 func (node *Node) Steps(index uint32) (controlv1.Steps, error) {
-	owner, err := node.owner(partition.Name{Kind: partition.KindSteps, Index: index})
+	owner, err := node.partitionOwner(partition.Name{Kind: partition.KindSteps, Index: index})
 	if err != nil {
 		return nil, err
 	}
@@ -39,7 +39,7 @@
 
 // Claims implements gateway.Cluster.
 func (node *Node) Claims(index uint32) (controlv1.Claims, error) {
-	owner, err := node.owner(partition.Name{Kind: partition.KindClaims, Index: index})
+	owner, err := node.partitionOwner(partition.Name{Kind: partition.KindClaims, Index: index})
 	if err != nil {
 		return nil, err
 	}
@@ -50,9 +50,9 @@
 }
 
 // Holder implements gateway.Cluster.
-func (node *Node) Holder() (string, uint64) { return node.settings.Node.ID, node.life }
+func (node *Node) Holder() (string, uint64) { return node.settings.Node.ID, node.processIncarnation }
 
-// dispatcher hands slots to the executors of live nodes.
+// dispatcher sends slots to the executors of live nodes.
 type dispatcher struct{ node *Node }
 
 // Executors implements delivery.Dispatcher.
@@ -80,10 +80,10 @@
 			return response.GetAccepted(), err
 		}
 	}
-	return nil, errors.Newf("node %q is no live member", nodeID)
+	return nil, errors.Newf("node %q is not a live member", nodeID)
 }
 
-// Weights of the scorers: load decides, a warm cache and the newest version come next, the zone last.
+// Weights of the routing scorers. Load counts most, then the version, cache affinity and the zone.
 const (
 	loadWeight     = 4.0
 	versionWeight  = 2.0
@@ -91,7 +91,7 @@
 	zoneWeight     = 0.5
 )
 
-// newRouter puts the routing together that the settings name.
+// newRouter returns a router with the picker that the settings name.
 func newRouter(config settings.Settings, follower *configuration.Follower) *routing.Router {
 	router := &routing.Router{
 		Filters: []routing.Filter{
@@ -118,7 +118,7 @@
 	return router
 }
 
-// registerMetrics adds the node's own figures.
+// registerMetrics registers the metrics that the node itself provides.
 func (node *Node) registerMetrics(metrics *gateway.Metrics) {
 	metrics.Gauge("thistlewalk_configuration_revision", "Revision of the configuration in force.", func() float64 { return float64(node.follower.Document().Revision) })
 	metrics.Gauge("thistlewalk_members_live", "Nodes that are believed alive.", func() float64 { return float64(len(node.members.View().Live)) })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,4 @@
-// Package node puts the parts of a node together and runs their life: start, planned stop and crash.
+// Package node assembles the components of a node and runs it from start to planned stop or crash.
 package node
 
 import (
@@ -36,87 +36,89 @@
 	"github.com/thistlewalk/thistlewalk/internal/settings"
 )
 
-// Networks that a node uses. They may be the same.
+// Networks holds the networks that a node uses. Both may be the same.
 type Networks struct {
-	// Control carries messages between nodes.
+	// Control carries traffic between nodes.
 	Control network.Network
-	// Data carries callers, back ends and the platform.
+	// Data carries traffic with callers, replicas and the platform.
 	Data network.Network
 }
 
-// Options of a node beside its settings.
+// Options holds the settings of a node and what else New needs.
 type Options struct {
 	Settings settings.Settings
 	Networks Networks
 	Logger   *log.Logger
-	// Life must be greater than in any earlier life of the same node identifier; the start time in milliseconds does.
+	// Life numbers the incarnation of the process. It must be greater than in every earlier process with the same node
+	// identifier; the start time in milliseconds meets this.
 	Life uint64
-	// Seed starts the random choices of probing.
+	// Seed seeds the random number generator of the failure detector.
 	Seed uint64
-	// ProcessMetrics adds the figures of the process; nodes that share a process leave it off.
+	// ProcessMetrics registers the metrics of the process. It must be false for nodes that share a process.
 	ProcessMetrics bool
 }
 
 // Node is one running node.
 type Node struct {
-	settings settings.Settings
-	networks Networks
-	logger   *log.Logger
-	life     uint64
+	settings           settings.Settings
+	networks           Networks
+	logger             *log.Logger
+	processIncarnation uint64
 
-	follower  *configuration.Follower
-	committer *configuration.Committer
-	service   keyvalue.Client
-	source    machines.Source
-	relay     *configuration.Relay
-	directory *peers.Directory
-	members   *membership.Table
-	prober    *membership.Prober
-	loads     *loads.Table
-	homes     *home.Home
-	store     *samplestore.Store // nil without a data folder
-	copies    *ownership.Copies
-	manager   *ownership.Manager
-	steps     *delivery.Service
-	executor  *delivery.Executor
-	claims    *claim.Service
-	runner    *execution.Runner
-	gateway   *gateway.Gateway
-	limiter   *admission.Limiter
-	security  *security.Reloader // nil for plain HTTP
+	follower      *configuration.Follower
+	committer     *configuration.Committer
+	keyValue      keyvalue.Client
+	machineSource machines.Source
+	relay         *configuration.Relay
+	directory     *peers.Directory
+	members       *membership.Table
+	prober        *membership.Prober
+	loads         *loads.Table
+	homes         *home.Home
+	store         *samplestore.Store // nil without a data folder
+	copies        *ownership.Copies
+	manager       *ownership.Manager
+	steps         *delivery.Service
+	executor      *delivery.Executor
+	claims        *claim.Service
+	runner        *execution.Runner
+	gateway       *gateway.Gateway
+	limiter       *admission.Limiter
+	security      *security.Reloader // nil for plain HTTP
 
-	system      *actors.System
-	spread      *spread
-	clients     []*http.Client
-	controlHTTP *http.Server
-	apiHTTP     *http.Server
-	listeners   []net.Listener
-	serving     sync.WaitGroup
-	// controlCalls counts the control calls answered.
+	system       *actors.System
+	synchronizer *synchronizer
+	clients      []*http.Client
+	controlHTTP  *http.Server
+	apiHTTP      *http.Server
+	listeners    []net.Listener
+	serving      sync.WaitGroup
+	// controlCalls counts the calls received from other nodes.
 	controlCalls atomic.Int64
 	closeOnce    sync.Once
 }
 
-// Connections kept: control messages are few and mostly to a zone's some fifty nodes, streams to a replica many.
+// Limits of pooled connections. A node sends few control messages, mostly to the about 50 nodes of its zone, but opens many
+// concurrent streams to a replica.
 var (
 	controlConnections = network.Connections{PerHost: 2, Total: 72}
 	dataConnections    = network.Connections{PerHost: 256, Total: 8192}
 )
 
 const (
-	idleTime      = 90 * time.Second
+	idleTimeout   = 90 * time.Second
 	ownerWait     = 20 * time.Second
 	headerTimeout = 10 * time.Second
 )
 
-// New puts a node together and opens its listeners and data folder. Start runs it.
+// New assembles a node and opens its listeners and data folder. Start runs it.
 func New(options Options) (*Node, error) {
 	node := &Node{
-		settings: options.Settings, networks: options.Networks, life: options.Life,
+		settings: options.Settings, networks: options.Networks, processIncarnation: options.Life,
 		logger:   options.Logger.With("node", options.Settings.Node.ID),
 		follower: configuration.NewFollower(), loads: loads.NewTable(),
 	}
-	if err := node.secure(); err != nil {
+	if err := node.configureSecurity(); err != nil {
 		return nil, err
 	}
 	if err := node.openStore(); err != nil {
@@ -131,8 +133,9 @@
 	return node, nil
 }
 
-// secure reads the key files, and refuses to serve others than this machine without tokens and TLS unless told to.
-func (node *Node) secure() error {
+// configureSecurity reads the key files, if any are set. It returns an error if an address is not a loopback address and TLS
+// or tokens are missing, unless the settings allow that.
+func (node *Node) configureSecurity() error {
 	config := node.settings
 	files := security.Files{Certificate: config.Security.Certificate, Key: config.Security.Key, Authority: config.Security.Authority}
 	if files.Enabled() {
@@ -142,15 +145,15 @@
 		}
 		node.security = reloader
 	}
-	guarded := files.Enabled() && len(config.Security.OperatorTokens) > 0 && len(config.Security.CallerTokens) > 0
-	if guarded || security.OnLoopback(config.Node.API) && security.OnLoopback(config.Node.Control) {
+	protected := files.Enabled() && len(config.Security.OperatorTokens) > 0 && len(config.Security.CallerTokens) > 0
+	if protected || security.OnLoopback(config.Node.API) && security.OnLoopback(config.Node.Control) {
 		return nil
 	}
 	if !config.Security.AllowPlain {
 		return errors.Newf("addresses %s and %s are open to other machines: set security.certificate, security.key, security.operator_tokens and security.caller_tokens, or security.allow_plain",
 			config.Node.API, config.Node.Control)
 	}
-	node.logger.Warn("other machines are served without TLS or tokens, as security.allow_plain says")
+	node.logger.Warn("serving other machines without TLS or tokens: security.allow_plain is set")
 	return nil
 }
 
@@ -164,20 +167,20 @@
 		return err
 	}
 	if store.Replaced != "" {
-		node.logger.Error("sample store was unreadable and is filled anew from the other copies", "moved", store.Replaced, "store", store.Identity())
+		node.logger.Error("sample store was unreadable; rebuilding it from the other copies", "moved", store.Replaced, "store", store.Identity())
 	}
 	node.store = store
 	return nil
 }
 
 // client returns an HTTP client that Kill closes.
-func (node *Node) client(through network.Network, connections network.Connections) *http.Client {
-	client := network.NewClient(through, idleTime, connections)
+func (node *Node) client(transport network.Network, connections network.Connections) *http.Client {
+	client := network.NewClient(transport, idleTimeout, connections)
 	node.clients = append(node.clients, client)
 	return client
 }
 
-// buildControl makes what nodes do among themselves.
+// buildControl builds the components that communicate with other nodes and the platform.
 func (node *Node) buildControl(seed uint64) {
 	config := node.settings
 	node.system = actors.NewSystem(logging.Structured(node.logger))
@@ -187,13 +190,13 @@
 	}
 	node.directory = peers.NewDirectory(node.client(node.networks.Control, connections), scheme)
 	platform := node.client(node.networks.Data, controlConnections)
-	node.service = keyvalue.NewHTTP(config.Platform.KeyValue, platform, config.Platform.Timeout)
-	node.source = machines.NewHTTP(config.Platform.Machines, platform, config.Platform.Timeout)
-	node.relay = configuration.NewRelay(node.service, node.follower)
-	node.committer = configuration.NewCommitter(node.service, node.follower)
+	node.keyValue = keyvalue.NewHTTP(config.Platform.KeyValue, platform, config.Platform.Timeout)
+	node.machineSource = machines.NewHTTP(config.Platform.Machines, platform, config.Platform.Timeout)
+	node.relay = configuration.NewRelay(node.keyValue, node.follower)
+	node.committer = configuration.NewCommitter(node.keyValue, node.follower)
 
 	self := membership.Member{NodeID: config.Node.ID, Address: config.Node.Control, Zone: config.Node.Zone, Region: config.Node.Region,
-		Incarnation: node.life * ownership.LifeStep}
+		Incarnation: node.processIncarnation * ownership.LifeStep}
 	if node.store != nil {
 		self.StoreID = node.store.Identity()
 	}
@@ -201,22 +204,22 @@
 		SuspicionTime: config.Membership.SuspicionTime, ForgetTime: config.Membership.ForgetTime,
 		RetransmitFactor: retransmitFactor, ChangesPerMessage: changesPerMessage,
 	}, time.Now())
-	node.spread = newSpread(node)
+	node.synchronizer = newSynchronizer(node)
 	node.prober = membership.NewProber(membership.ProberSettings{
 		ProbeTimeout: config.Membership.ProbeTimeout, IndirectTimeout: config.Membership.ProbeTimeout,
 		IndirectProbes: config.Membership.IndirectProbes, SyncInterval: syncInterval, RejoinInterval: rejoinProbes * config.Membership.ProbeInterval,
-	}, node.members, node.directory, node.spread, node.seeds, seed, node.logger)
+	}, node.members, node.directory, node.synchronizer, node.seeds, seed, node.logger)
 }
 
 const (
 	retransmitFactor  = 3
 	changesPerMessage = 12
 	syncInterval      = 10 * time.Second
-	// rejoinProbes is how many probe intervals pass between two tries to reach a seed that is no member.
+	// rejoinProbes is the number of probe intervals between two attempts to reach a seed that is not a member.
 	rejoinProbes = 2
 )
 
-// seeds are the configured addresses and the nodes of the machine list.
+// seeds returns the configured addresses and those of the nodes on the machine list that are not leaving.
 func (node *Node) seeds() []string {
 	seeds := append([]string(nil), node.settings.Node.Seeds...)
 	for _, machine := range node.follower.Machines().Machines {
@@ -227,20 +230,20 @@
 	return seeds
 }
 
-// buildData makes what serves callers, trainers and back ends.
+// buildData builds the components that serve callers and trainers and communicate with replicas.
 func (node *Node) buildData(processMetrics bool) {
 	config := node.settings
-	streams := engine.NewHTTP(node.client(node.networks.Data, dataConnections))
-	orders := engine.NewHTTP(node.client(node.networks.Data, controlConnections))
+	streamClient := engine.NewHTTP(node.client(node.networks.Data, dataConnections))
+	orderClient := engine.NewHTTP(node.client(node.networks.Data, controlConnections))
 	node.homes = home.New(home.Settings{
 		SettleTime:  config.Ownership.SettleTime,
 		CallTimeout: config.Replicas.CallTimeout, FailedAfter: config.Replicas.FailedAfter,
 		OrderRetry: config.Replicas.OrderRetry, OrderAttempts: config.Replicas.OrderAttempts,
-	}, config.Node.ID, config.Node.Zone, orders, node.loads, node.members, node.follower.Machines, node.follower.Document, node.spread.pushLoads, node.joining, node.logger)
+	}, config.Node.ID, config.Node.Zone, orderClient, node.loads, node.members, node.follower.Machines, node.follower.Document, node.synchronizer.pushLoads, node.joining, node.logger)
 	node.runner = execution.NewRunner(execution.Settings{
 		RouteWait: config.Rollout.RouteWait, StallTime: config.Rollout.StallTime,
 		CancelTimeout: config.Replicas.CallTimeout, MaximumAttempts: config.Rollout.MaximumAttempts,
-	}, config.Node.Zone, streams, node.loads, newRouter(config, node.follower), admission.NewRetryBudget(config.Admission.RetryShare, config.Admission.RetryReserve), node.follower.Document)
+	}, config.Node.Zone, streamClient, node.loads, newRouter(config, node.follower), admission.NewRetryBudget(config.Admission.RetryShare, config.Admission.RetryReserve), node.follower.Document)
 
 	node.claims = claim.NewService(node.holderAlive)
 	node.steps = delivery.NewService(delivery.Settings{
@@ -258,7 +261,8 @@
 	node.buildGateway(processMetrics)
 }
 
-// adoptRenewals is how many renewals of executors a new owner of steps waits for before it dispatches.
+// adoptRenewals is the number of renewal intervals that a new owner of steps waits before it dispatches, so that executors
+// can report the slots that they are running.
 const adoptRenewals = 2
 
 func (node *Node) buildOwnership() {
@@ -269,17 +273,18 @@
 		storeID = node.store.Identity()
 		storage = node.store
 	}
-	node.copies = ownership.NewCopies(storage, storeID, ownership.MemoryReplicaID(config.Node.ID, node.life*ownership.LifeStep))
+	node.copies = ownership.NewCopies(storage, storeID, ownership.MemoryReplicaID(config.Node.ID, node.processIncarnation*ownership.LifeStep))
 	self := partition.Holder{NodeID: config.Node.ID, Address: config.Node.Control, Zone: config.Node.Zone}
 	handlers := map[partition.Kind]ownership.Handler{partition.KindSteps: node.steps, partition.KindClaims: node.claims}
 	node.manager = ownership.NewManager(ownership.Settings{
 		SettleTime: config.Ownership.SettleTime, WriteTimeout: config.Ownership.WriteTimeout, ReplaceAfter: config.Ownership.ReplaceAfter,
 		LeaseTime: config.Ownership.LeaseTime, HistoryPatience: config.Ownership.HistoryPatience,
-	}, self, node.copies, node.members, node.follower, node.service, node.directory, handlers, node.listedGone, node.isolated, node.logger)
+	}, self, node.copies, node.members, node.follower, node.keyValue, node.directory, handlers, node.removedFromMachineList, node.isolated, node.logger)
 }
 
-// listedGone reports whether the machine list has nodes, and not this one.
-func (node *Node) listedGone(nodeID string) bool {
+// removedFromMachineList reports whether the node is missing from a machine list that contains other nodes. An empty list
+// does not count as removal.
+func (node *Node) removedFromMachineList(nodeID string) bool {
 	listsNodes := false
 	for _, machine := range node.follower.Machines().Machines {
 		if machine.Role != machines.RoleNode {
@@ -293,8 +298,8 @@
 	return listsNodes
 }
 
-// isolated reports whether this node sees fewer than half of the nodes on the machine list: it has not joined yet, or it is
-// on the smaller side of a cut. Taking partitions over is then left to the others.
+// isolated reports whether this node sees fewer than half of the nodes on the machine list as live members. It then has not
+// joined yet, or is on the minority side of a network partition, and must not take over partitions.
 func (node *Node) isolated() bool {
 	listed := 0
 	for _, machine := range node.follower.Machines().Machines {
@@ -305,7 +310,7 @@
 	return 2*len(node.members.View().Live) < listed
 }
 
-// joining reports whether this node has yet to see half of the listed nodes of its own zone.
+// joining reports whether this node sees fewer than half of the listed nodes of its own zone as live members.
 func (node *Node) joining() bool {
 	listed, seen := 0, 0
 	for _, machine := range node.follower.Machines().Machines {
@@ -340,18 +345,18 @@
 	})
 }
 
-// listen opens both listeners and makes their servers.
+// listen opens both listeners and creates their HTTP servers.
 func (node *Node) listen() error {
 	control := http.NewServeMux()
-	for _, service := range []interface {
+	for _, server := range []interface {
 		http.Handler
 		PathPrefix() string
 	}{
-		controlv1.NewMembershipServer(node.prober), controlv1.NewConfigurationServer(node.spread), controlv1.NewLoadServer(node.spread),
+		controlv1.NewMembershipServer(node.prober), controlv1.NewConfigurationServer(node.synchronizer), controlv1.NewLoadServer(node.synchronizer),
 		controlv1.NewPartitionServer(node.copies), controlv1.NewStepsServer(node.steps), controlv1.NewExecutorServer(node.executor),
 		controlv1.NewClaimsServer(node.claims),
 	} {
-		control.Handle(service.PathPrefix(), service)
+		control.Handle(server.PathPrefix(), server)
 	}
 	counted := http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		node.controlCalls.Add(1)
@@ -378,7 +383,7 @@
 	return nil
 }
 
-// Start serves and starts the actors.
+// Start starts serving requests and starts the periodic tasks.
 func (node *Node) Start() {
 	for index, server := range []*http.Server{node.controlHTTP, node.apiHTTP} {
 		listener := node.listeners[index]
@@ -389,36 +394,36 @@
 		"store", node.store != nil)
 }
 
-// startActors starts what lives long.
+// startActors starts the periodic tasks.
 func (node *Node) startActors() {
 	config := node.settings
 	node.system.Every("prober", actors.Fixed(config.Membership.ProbeInterval), node.prober.Tick)
 	homes := node.system.Every("home", actors.Fixed(config.Replicas.PollInterval), node.homes.Tick)
-	node.system.Every("exchange", actors.Fixed(config.Replicas.PollInterval), node.spread.exchange)
-	node.system.Every("machines", actors.Fixed(machinesInterval), node.spread.pollMachines)
-	node.system.Every("service", actors.Fixed(relayPause), node.spread.pollService)
+	node.system.Every("exchange", actors.Fixed(config.Replicas.PollInterval), node.synchronizer.exchange)
+	node.system.Every("machines", actors.Fixed(machinesInterval), node.synchronizer.pollMachines)
+	node.system.Every("service", actors.Fixed(relayPollInterval), node.synchronizer.pollKeyValue)
 	manager := node.system.Every("ownership", actors.Fixed(config.Ownership.TickInterval), node.manager.Tick)
 	node.system.Every("steps", actors.Fixed(config.Steps.TickInterval), node.steps.Tick)
 	node.system.Every("renewals", actors.Fixed(config.Steps.RenewInterval), node.executor.Tick)
 	node.system.Every("claims", actors.Fixed(time.Minute), node.claims.Tick)
 	node.system.Every("automatic", actors.Fixed(automaticInterval), node.swapAutomatic)
-	node.spread.run(func() {
+	node.synchronizer.run(func() {
 		homes.Wake()
 		manager.Wake()
 	})
 }
 
 const (
-	machinesInterval = 2 * time.Second
-	relayPause       = 100 * time.Millisecond
+	machinesInterval  = 2 * time.Second
+	relayPollInterval = 100 * time.Millisecond
 )
 
-// holderAlive tells whether a process that made a claim still lives.
-func (node *Node) holderAlive(nodeID string, life uint64) bool {
+// holderAlive reports whether the process that made a claim may still be running.
+func (node *Node) holderAlive(nodeID string, processIncarnation uint64) bool {
 	for _, member := range node.members.View().All {
 		if member.NodeID == nodeID {
-			// A member that left as planned still finishes its requests.
-			return ownership.Life(member.Incarnation) == life && member.State != membership.StateDead
+			// A member in the state left still finishes its requests.
+			return ownership.Life(member.Incarnation) == processIncarnation && member.State != membership.StateDead
 		}
 	}
 	return false
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -6,12 +6,12 @@
 	"github.com/thistlewalk/thistlewalk/internal/partition"
 )
 
-// Observations for experiments that run many nodes in one process.
+// This file holds accessors for experiments that run many nodes in one process.
 
 // Revision returns the revision of the configuration in force.
 func (node *Node) Revision() uint64 { return node.follower.Document().Revision }
 
-// Sees reports whether this node believes another one alive, suspects included.
+// Sees reports whether the node is a live member in this node's view. Suspects count as live.
 func (node *Node) Sees(nodeID string) bool {
 	for _, member := range node.members.View().Live {
 		if member.NodeID == nodeID {
@@ -21,10 +21,10 @@
 	return false
 }
 
-// LiveMembers returns how many nodes are believed alive, this one included.
+// LiveMembers returns the number of live members in this node's view, including itself.
 func (node *Node) LiveMembers() int { return len(node.members.View().Live) }
 
-// Serves reports whether this node would give work to a replica.
+// Serves reports whether this node considers a replica to be serving, by its newest digest.
 func (node *Node) Serves(replicaID string) bool {
 	replica := node.loads.Get(replicaID)
 	if replica == nil {
@@ -34,19 +34,19 @@
 	return !digest.Leaving && !digest.Failed && time.Since(digest.Received()) <= node.settings.Replicas.MaximumAge
 }
 
-// KnownReplicas returns how many replicas' loads are known.
+// KnownReplicas returns the number of replicas with a load digest on this node.
 func (node *Node) KnownReplicas() int { return len(node.loads.List()) }
 
-// FalseDeaths returns how many suspicions the node's member list has taken, and how often the node heard of its own death.
+// FalseDeaths returns the number of suspicions that this node received or raised, and how often it refuted its own death.
 func (node *Node) FalseDeaths() (suspicions, deaths int) {
 	counters := node.members.Counters()
 	return counters.Suspects, counters.RefutedDeaths
 }
 
-// ControlCalls returns how many control calls this node has answered.
+// ControlCalls returns the number of calls received from other nodes.
 func (node *Node) ControlCalls() int64 { return node.controlCalls.Load() }
 
-// OwnedPartitions returns how many partitions the newest table gives to this node.
+// OwnedPartitions returns the number of partitions that this node owns by the newest partition table.
 func (node *Node) OwnedPartitions() int {
 	owned := 0
 	for _, assignment := range node.follower.Table().Assignments {
@@ -57,8 +57,8 @@
 	return owned
 }
 
-// PartitionsSettled reports whether every partition has an owner and as many copies as it can have by the table known
-// here; stores tells how many nodes have a data folder.
+// PartitionsSettled reports whether every partition has an owner and as many copies as it can have, by the newest partition
+// table. stores is the number of nodes with a data folder, which limits the copies of a steps partition.
 func (node *Node) PartitionsSettled(stores int) bool {
 	table := node.follower.Table()
 	for _, name := range partition.Names() {
--- a/internal/node/query.go
+++ b/internal/node/query.go
@@ -47,11 +47,11 @@
 	}
 }
 
-func number[Integer ~int | ~int64 | ~uint64 | ~uint32](value Integer) string {
+func formatInteger[Integer ~int | ~int64 | ~uint64 | ~uint32](value Integer) string {
 	return fmt.Sprintf("%d", value)
 }
 
-func seconds(value float64) string { return strconv.FormatFloat(value, 'f', 3, 64) }
+func formatSeconds(value float64) string { return strconv.FormatFloat(value, 'f', 3, 64) }
 
 func (node *Node) versionsTable() query.Table {
 	table := query.Table{Subject: "versions", Columns: []string{"policy", "replica", "zone", "active", "staged", "target", "published"}}
@@ -60,7 +60,7 @@
 		digest := replica.Digest()
 		for _, policy := range document.Policies {
 			held := digest.HeldVersion(policy.Name)
-			table.Add(policy.Name, digest.ID, digest.Zone, number(held.GetActive()), number(held.GetStaged()), number(policy.Target), number(policy.Published))
+			table.Add(policy.Name, digest.ID, digest.Zone, formatInteger(held.GetActive()), formatInteger(held.GetStaged()), formatInteger(policy.Target), formatInteger(policy.Published))
 		}
 	}
 	return table
@@ -76,7 +76,7 @@
 				onTarget++
 			}
 		}
-		table.Add(policy.Name, string(policy.State), number(policy.Target), number(policy.Published), strconv.FormatBool(policy.Automatic), number(onTarget), number(len(replicas)))
+		table.Add(policy.Name, string(policy.State), formatInteger(policy.Target), formatInteger(policy.Published), strconv.FormatBool(policy.Automatic), formatInteger(onTarget), formatInteger(len(replicas)))
 	}
 	return table
 }
@@ -85,17 +85,17 @@
 	table := query.Table{Subject: "experiments", Columns: []string{"experiment", "policy", "share", "versions", "bound"}}
 	for _, found := range node.follower.Document().Experiments {
 		for _, arm := range found.Arms {
-			table.Add(found.Name, arm.Policy, number(arm.Share), versionsOf(arm), query.DescribeBound(found.Bound))
+			table.Add(found.Name, arm.Policy, formatInteger(arm.Share), formatVersionRange(arm), query.DescribeBound(found.Bound))
 		}
 	}
 	return table
 }
 
-func versionsOf(arm experiment.Arm) string {
+func formatVersionRange(arm experiment.Arm) string {
 	if arm.LastVersion == 0 {
-		return number(arm.FirstVersion) + ".."
+		return formatInteger(arm.FirstVersion) + ".."
 	}
-	return number(arm.FirstVersion) + ".." + number(arm.LastVersion)
+	return formatInteger(arm.FirstVersion) + ".." + formatInteger(arm.LastVersion)
 }
 
 func stateName(state membership.State) string {
@@ -138,18 +138,18 @@
 		case replica.Open(time.Now()):
 			state = "broken"
 		}
-		table.Add(digest.ID, digest.Zone, state, number(digest.Running), number(digest.Queued), number(digest.Capacity),
-			seconds(time.Since(digest.Received()).Seconds()), homes[digest.ID])
+		table.Add(digest.ID, digest.Zone, state, formatInteger(digest.Running), formatInteger(digest.Queued), formatInteger(digest.Capacity),
+			formatSeconds(time.Since(digest.Received()).Seconds()), homes[digest.ID])
 	}
 	return table
 }
 
 func (node *Node) partitionsTable() query.Table {
 	table := query.Table{Subject: "partitions", Columns: []string{"partition", "kind", "epoch", "owner", "copies", "zones", "leased", "history_lost"}}
-	known := node.follower.Table()
+	ownershipTable := node.follower.Table()
 	single := 0
 	for _, name := range partition.Names() {
-		assignment, owned := known.Assignment(name)
+		assignment, owned := ownershipTable.Assignment(name)
 		if !owned {
 			table.Add(name.String(), string(name.Kind), "0", "", "0", "", "false", "")
 			continue
@@ -165,25 +165,25 @@
 		if name.Kind == partition.KindSteps && len(assignment.Replicas) == 1 {
 			single++
 		}
-		table.Add(name.String(), string(name.Kind), number(assignment.Epoch), assignment.Owner.NodeID, number(len(assignment.Replicas)),
-			strings.Join(zones, " "), strconv.FormatBool(known.Leased(assignment.Owner.NodeID)), lost)
+		table.Add(name.String(), string(name.Kind), formatInteger(assignment.Epoch), assignment.Owner.NodeID, formatInteger(len(assignment.Replicas)),
+			strings.Join(zones, " "), strconv.FormatBool(ownershipTable.Leased(assignment.Owner.NodeID)), lost)
 	}
 	table.Notes = replicationNotes(single)
 	return table
 }
 
-func replicationNotes(single int) []string {
-	if single == 0 {
+func replicationNotes(singleCopies int) []string {
+	if singleCopies == 0 {
 		return nil
 	}
-	return []string{fmt.Sprintf("%d steps partitions have one copy only: nothing is replicated there", single)}
+	return []string{fmt.Sprintf("%d steps partitions have one copy only: nothing is replicated there", singleCopies)}
 }
 
 func (node *Node) configurationTable() query.Table {
 	document := node.follower.Document()
 	table := query.Table{Subject: "configuration", Columns: []string{"node", "revision", "policies", "experiments", "drained", "partitions_revision", "machines_revision"}}
-	table.Add(node.settings.Node.ID, number(document.Revision), number(len(document.Policies)), number(len(document.Experiments)),
-		number(len(document.Drained)), number(node.follower.Table().Revision), number(node.follower.Machines().Revision))
+	table.Add(node.settings.Node.ID, formatInteger(document.Revision), formatInteger(len(document.Policies)), formatInteger(len(document.Experiments)),
+		formatInteger(len(document.Drained)), formatInteger(node.follower.Table().Revision), formatInteger(node.follower.Machines().Revision))
 	return table
 }
 
@@ -191,13 +191,14 @@
 	counters := node.runner.Counters()
 	running, waiting := node.limiter.Occupancy()
 	table := query.Table{Subject: "health", Columns: []string{"node", "running", "waiting", "slots", "tokens", "retries", "resumes"}}
-	table.Add(node.settings.Node.ID, number(running), number(waiting), number(node.executor.Running()), number(counters.Tokens),
-		number(counters.Retries), number(counters.Resumes))
+	table.Add(node.settings.Node.ID, formatInteger(running), formatInteger(waiting), formatInteger(node.executor.Running()), formatInteger(counters.Tokens),
+		formatInteger(counters.Retries), formatInteger(counters.Resumes))
 	return table
 }
 
-// listOwners asks every owner of a steps partition for its steps. Owners that do not answer are named in the notes.
-func (node *Node) listOwners(ctx context.Context) ([]delivery.ListAnswer, []string) {
+// listAllSteps requests the steps of every owner of a steps partition. The notes name partitions without an owner and
+// owners that failed.
+func (node *Node) listAllSteps(ctx context.Context) ([]delivery.ListAnswer, []string) {
 	asked := make(map[string]bool)
 	var answers []delivery.ListAnswer
 	var notes []string
@@ -215,7 +216,7 @@
 			continue
 		}
 		asked[assignment.Owner.NodeID] = true
-		answer, err := node.listOwner(ctx, index)
+		answer, err := node.listSteps(ctx, index)
 		if err != nil {
 			notes = append(notes, fmt.Sprintf("node %s did not answer: %v", assignment.Owner.NodeID, err))
 			continue
@@ -225,7 +226,7 @@
 	return answers, append(notes, replicationNotes(single)...)
 }
 
-func (node *Node) listOwner(ctx context.Context, index uint32) (delivery.ListAnswer, error) {
+func (node *Node) listSteps(ctx context.Context, index uint32) (delivery.ListAnswer, error) {
 	var list delivery.ListAnswer
 	owner, err := node.Steps(index)
 	if err != nil {
@@ -242,12 +243,12 @@
 
 func (node *Node) stepsTable(ctx context.Context) (query.Table, error) {
 	table := query.Table{Subject: "steps", Columns: []string{"step", "experiment", "state", "slots", "filled", "delivered", "running", "dropped", "owner", "copies", "created"}}
-	answers, notes := node.listOwners(ctx)
+	answers, notes := node.listAllSteps(ctx)
 	table.Notes = notes
 	for _, answer := range answers {
 		for _, step := range answer.Steps {
-			table.Add(step.StepID, step.Experiment, string(step.State), number(step.Slots), number(step.Filled), number(step.Delivered),
-				number(step.Running), number(step.Dropped), step.Owner, number(step.Copies), step.Created.UTC().Format(time.RFC3339))
+			table.Add(step.StepID, step.Experiment, string(step.State), formatInteger(step.Slots), formatInteger(step.Filled), formatInteger(step.Delivered),
+				formatInteger(step.Running), formatInteger(step.Dropped), step.Owner, formatInteger(step.Copies), step.Created.UTC().Format(time.RFC3339))
 		}
 	}
 	return table, nil
@@ -256,12 +257,12 @@
 func (node *Node) stalenessTable(ctx context.Context) (query.Table, error) {
 	table := query.Table{Subject: "staleness", Columns: []string{"policy", "owner_samples", "versions_p50", "versions_p90", "versions_p99", "versions_max",
 		"seconds_p50", "seconds_p90", "seconds_p99", "seconds_max"}}
-	answers, notes := node.listOwners(ctx)
+	answers, notes := node.listAllSteps(ctx)
 	table.Notes = append(notes, "one row for each owner that delivered samples in the last ten minutes")
 	for _, answer := range answers {
 		for _, row := range answer.Staleness {
-			table.Add(row.Policy, number(row.Count), number(row.Versions[0]), number(row.Versions[1]), number(row.Versions[2]), number(row.Versions[3]),
-				seconds(row.Seconds[0]), seconds(row.Seconds[1]), seconds(row.Seconds[2]), seconds(row.Seconds[3]))
+			table.Add(row.Policy, formatInteger(row.Count), formatInteger(row.Versions[0]), formatInteger(row.Versions[1]), formatInteger(row.Versions[2]), formatInteger(row.Versions[3]),
+				formatSeconds(row.Seconds[0]), formatSeconds(row.Seconds[1]), formatSeconds(row.Seconds[2]), formatSeconds(row.Seconds[3]))
 		}
 	}
 	return table, nil
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -6,55 +6,56 @@
 )
 
 const (
-	// tellOnLeave is how many members hear at once that the node leaves.
-	tellOnLeave = 4
-	// handOverWait bounds the wait for others to take the node's partitions and claims copies.
-	handOverWait = 15 * time.Second
-	handOverPoll = 50 * time.Millisecond
-	// refuseTime is how long new requests are refused before idle connections are closed.
-	refuseTime = 2 * time.Second
+	// leaveNotifications is the number of members that are notified directly when the node leaves.
+	leaveNotifications = 4
+	// handoverTimeout bounds the wait for other nodes to take over the node's partitions and copies of claims.
+	handoverTimeout      = 15 * time.Second
+	handoverPollInterval = 50 * time.Millisecond
+	// refusalPeriod is the time for which new requests are refused before idle connections are closed.
+	refusalPeriod = 2 * time.Second
 )
 
-// Stop is a planned stop: it refuses new work, tells the members, lets others take over its partitions, finishes every
-// request and slot in progress, and closes. Only the context can cut requests off.
+// Stop is a planned stop. It refuses new work, notifies other members, releases the ownership of partitions, waits for the
+// requests and slots in progress and then closes the node. Requests are cut off only if the context ends.
 func (node *Node) Stop(ctx context.Context) error {
 	node.logger.Info("planned stop")
 	node.gateway.Refuse()
 	node.executor.Refuse()
-	node.prober.Leave(ctx, tellOnLeave)
+	node.prober.Leave(ctx, leaveNotifications)
 	node.manager.Release(ctx)
-	// Callers on kept connections hear the refusal, which closes their connection; only then are idle ones closed, since
-	// closing one as a request arrives on it would cut that request off.
-	sleep(ctx, refuseTime)
-	failure := node.finish(ctx)
-	node.handOver(ctx)
+	// A refusal closes the connection that it is sent on. Idle connections are closed later, because closing one while a
+	// request arrives on it would cut off that request.
+	sleep(ctx, refusalPeriod)
+	failure := node.drain(ctx)
+	node.awaitHandover(ctx)
 	node.Kill()
 	node.logger.Info("node stopped", "cut_off", failure != nil)
 	return failure
 }
 
-// finish waits for the calls and slots in progress.
-func (node *Node) finish(ctx context.Context) error {
+// drain waits for the slots and requests in progress.
+func (node *Node) drain(ctx context.Context) error {
 	if err := node.executor.Drain(ctx); err != nil {
 		return err
 	}
 	return node.apiHTTP.Shutdown(ctx)
 }
 
-// handOver waits until no partition depends on this process, as long as somebody is there to take them.
-func (node *Node) handOver(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, handOverWait)
+// awaitHandover waits until this node owns no partition and holds no copy of a claims partition, while other live
+// members exist.
+func (node *Node) awaitHandover(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
 	for ctx.Err() == nil && node.manager.Held() > 0 && len(node.members.View().Live) > 0 {
-		sleep(ctx, handOverPoll)
+		sleep(ctx, handoverPollInterval)
 	}
 }
 
-// Kill closes the node at once, as a crash would, but for what the operating system does on its own.
+// Kill closes the node at once, without draining or handover.
 func (node *Node) Kill() {
 	node.closeOnce.Do(func() {
 		node.executor.Close()
-		node.spread.halt()
+		node.synchronizer.close()
 		if node.controlHTTP != nil {
 			_ = node.controlHTTP.Close()
 			_ = node.apiHTTP.Close()
