--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -41,8 +41,8 @@
 	return node.apiHTTP.Shutdown(ctx)
 }
 
-// awaitHandover waits until this node owns no partition and holds no copy of a claims partition, while other live
-// members exist.
+// awaitHandover waits until other nodes have taken over this node's partitions and copies of claims. It returns at once if
+// there are no other live members.
 func (node *Node) awaitHandover(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
