--- a/internal/experiment/apply.go
+++ b/internal/experiment/apply.go
@@ -13,18 +13,19 @@
 
 // Command is one change of the configuration.
 type Command interface {
-	// apply changes a private copy of the document; the caller sets the revision.
+	// apply changes the document in place. The caller passes a copy that already has the new revision.
 	apply(document *Document, now time.Time) error
-	// modified returns the revision that last changed what the command names, zero when nothing can clash.
-	modified(document Document) uint64
+	// lastModified returns the revision that last changed the policy or experiment of the command, or zero if the command
+	// cannot conflict with others.
+	lastModified(document Document) uint64
 }
 
-// Envelope is a command with what its sender knew.
+// Envelope is a command with its identifier and the revision that it is based on.
 type Envelope struct {
 	CommandID string
 	Command   Command
-	// BaseRevision is the revision that the sender decided on; zero accepts any. A command whose policy or experiment
-	// was changed after it is refused with ConflictRevision.
+	// BaseRevision is the revision that the command is based on; zero accepts any. If the policy or experiment was changed
+	// after BaseRevision, the command fails with ConflictRevision.
 	BaseRevision uint64
 }
 
@@ -41,7 +42,8 @@
 	Version uint64
 }
 
-// PublishVersion records a version that a trainer has put into the weight store. Published versions only grow.
+// PublishVersion records a version that a trainer has put into the weight store. Each published version must be greater than
+// the one before.
 type PublishVersion struct {
 	Name    string
 	Version uint64
@@ -67,7 +69,7 @@
 	Age      *time.Duration
 }
 
-// VersionsBound is the part of a staleness bound that counts versions; not Set means none.
+// VersionsBound is the part of a staleness bound that counts versions. There is no such bound if Set is false.
 type VersionsBound struct {
 	Set      bool
 	Versions uint64
@@ -76,21 +78,21 @@
 // RemoveExperiment deletes an experiment.
 type RemoveExperiment struct{ Name string }
 
-// DrainReplica keeps new work off a replica, or allows it again.
+// DrainReplica stops new work on a replica, or allows it again.
 type DrainReplica struct {
 	ReplicaID string
 	Drained   bool
 }
 
-// Apply returns the document that the command makes of this one, with the next revision and the command remembered.
-// The receiver is not changed. A command that was applied before returns the receiver unchanged and no error.
+// Apply returns a new document with the command applied and recorded, and the revision increased by one. The receiver is not
+// changed. If the command was applied before, Apply returns the receiver and no error.
 func (document Document) Apply(envelope Envelope, now time.Time) (Document, error) {
 	commandID, command := envelope.CommandID, envelope.Command
 	if _, done := document.Applied(commandID); done {
 		return document, nil
 	}
-	if winner := command.modified(document); envelope.BaseRevision != 0 && winner > envelope.BaseRevision {
-		return document, result.New(result.ConflictRevision, "revision %d changed the same object after revision %d", winner, envelope.BaseRevision)
+	if latest := command.lastModified(document); envelope.BaseRevision != 0 && latest > envelope.BaseRevision {
+		return document, result.New(result.ConflictRevision, "revision %d changed the same object after revision %d", latest, envelope.BaseRevision)
 	}
 	next := document.clone()
 	next.Revision++
@@ -98,7 +100,7 @@
 		return document, err
 	}
 	next.Commands = append(next.Commands, AppliedCommand{ID: commandID, Revision: next.Revision})
-	if excess := len(next.Commands) - rememberedCommands; excess > 0 {
+	if excess := len(next.Commands) - retainedCommands; excess > 0 {
 		next.Commands = slices.Delete(next.Commands, 0, excess)
 	}
 	return next, nil
@@ -114,27 +116,27 @@
 	return experiment.Modified
 }
 
-func (command AddPolicy) modified(document Document) uint64 {
+func (command AddPolicy) lastModified(document Document) uint64 {
 	return document.policyModified(command.Name)
 }
-func (command SwapPolicy) modified(document Document) uint64 {
+func (command SwapPolicy) lastModified(document Document) uint64 {
 	return document.policyModified(command.Name)
 }
-func (command PublishVersion) modified(Document) uint64 { return 0 }
-func (command SetPolicyState) modified(document Document) uint64 {
+func (command PublishVersion) lastModified(Document) uint64 { return 0 }
+func (command SetPolicyState) lastModified(document Document) uint64 {
 	return document.policyModified(command.Name)
 }
-func (command PutExperiment) modified(document Document) uint64 {
+func (command PutExperiment) lastModified(document Document) uint64 {
 	return document.experimentModified(command.Experiment.Name)
 }
-func (command AlterExperiment) modified(document Document) uint64 {
+func (command AlterExperiment) lastModified(document Document) uint64 {
 	return document.experimentModified(command.Name)
 }
-func (command RemoveExperiment) modified(document Document) uint64 {
+func (command RemoveExperiment) lastModified(document Document) uint64 {
 	return document.experimentModified(command.Name)
 }
 
-func (DrainReplica) modified(Document) uint64 { return 0 }
+func (DrainReplica) lastModified(Document) uint64 { return 0 }
 
 func (document Document) clone() Document {
 	copied := document
@@ -151,8 +153,9 @@
 	return copied
 }
 
-// policyToChange returns a pointer into the document, valid until Policies changes.
-func (document *Document) policyToChange(name string) (*Policy, error) {
+// mutablePolicy returns a pointer to the named policy in the document, or an error if it is retired or does not exist. The
+// pointer is valid until Policies is resized or sorted.
+func (document *Document) mutablePolicy(name string) (*Policy, error) {
 	for index := range document.Policies {
 		policy := &document.Policies[index]
 		if policy.Name != name {
@@ -195,15 +198,15 @@
 	}
 	policy := Policy{Name: command.Name, State: PolicyActive, Target: command.Version, Published: command.Version,
 		Automatic: command.Automatic, Modified: document.Revision}
-	policy.notePublication(command.Version, now)
+	policy.recordPublication(command.Version, now)
 	document.Policies = append(document.Policies, policy)
 	slices.SortFunc(document.Policies, func(a, b Policy) int { return strings.Compare(a.Name, b.Name) })
 	return nil
 }
 
-func (policy *Policy) notePublication(version uint64, now time.Time) {
+func (policy *Policy) recordPublication(version uint64, now time.Time) {
 	policy.Publications = append(policy.Publications, Publication{Version: version, Millisecond: now.UnixMilli()})
-	if excess := len(policy.Publications) - publishedRemembered; excess > 0 {
+	if excess := len(policy.Publications) - retainedPublications; excess > 0 {
 		policy.Publications = slices.Delete(policy.Publications, 0, excess)
 	}
 }
@@ -212,7 +215,7 @@
 	if err := checkVersion(command.Version); err != nil {
 		return err
 	}
-	policy, err := document.policyToChange(command.Name)
+	policy, err := document.mutablePolicy(command.Name)
 	if err != nil {
 		return err
 	}
@@ -230,7 +233,7 @@
 	if err := checkVersion(command.Version); err != nil {
 		return err
 	}
-	policy, err := document.policyToChange(command.Name)
+	policy, err := document.mutablePolicy(command.Name)
 	if err != nil {
 		return err
 	}
@@ -238,12 +241,12 @@
 		return result.New(result.ConflictRevision, "policy %q: version %d is not newer than published version %d", command.Name, command.Version, policy.Published)
 	}
 	policy.Published = command.Version
-	policy.notePublication(command.Version, now)
+	policy.recordPublication(command.Version, now)
 	return nil
 }
 
 func (command SetPolicyState) apply(document *Document, _ time.Time) error {
-	policy, err := document.policyToChange(command.Name)
+	policy, err := document.mutablePolicy(command.Name)
 	if err != nil {
 		return err
 	}
@@ -300,7 +303,7 @@
 	return nil
 }
 
-// maximumDrained bounds the replicas that can be drained at a time.
+// maximumDrained bounds the number of drained replicas.
 const maximumDrained = 1024
 
 func (command DrainReplica) apply(document *Document, _ time.Time) error {
@@ -338,7 +341,7 @@
 	if total != shareTotal {
 		return result.New(result.InvalidShares, "shares of experiment %q add up to %d, want %d", experiment.Name, total, shareTotal)
 	}
-	if experiment.Bound.Age < 0 || experiment.Bound.Versions > MaximumStalenessBounds {
+	if experiment.Bound.Age < 0 || experiment.Bound.Versions > MaximumStalenessVersions {
 		return result.New(result.InvalidField, "staleness bound of experiment %q is out of range", experiment.Name)
 	}
 	return nil
--- a/internal/experiment/document.go
+++ b/internal/experiment/document.go
@@ -1,6 +1,6 @@
-// Package experiment is the aggregate that holds the operators' configuration: policies, the weight versions each may
-// use, experiments with shares and staleness bounds. It is pure: a command applied to a document gives a new document
-// or a numbered error. Storage and distribution are in package configuration.
+// Package experiment defines the operators' configuration: policies with their weight versions, and experiments with shares
+// and staleness bounds. Applying a command to a document returns a new document or an error with a result code. The package
+// does no I/O; package configuration stores and distributes documents.
 package experiment
 
 import (
@@ -15,17 +15,17 @@
 
 // Limits of a document.
 const (
-	MaximumPolicies        = 256
-	MaximumExperiments     = 256
-	MaximumNameLength      = 64
-	rememberedCommands     = 256
-	shareTotal             = 100
-	maximumVersion         = 1 << 53
-	publishedRemembered    = 64
-	MaximumStalenessBounds = 1 << 20
+	MaximumPolicies          = 256
+	MaximumExperiments       = 256
+	MaximumNameLength        = 64
+	retainedCommands         = 256
+	shareTotal               = 100
+	maximumVersion           = 1 << 53
+	retainedPublications     = 64
+	MaximumStalenessVersions = 1 << 20
 )
 
-// PolicyState is the life cycle of a policy.
+// PolicyState is the state of a policy in its life cycle.
 type PolicyState string
 
 // The states of a policy. Retired is final.
@@ -41,13 +41,13 @@
 	State PolicyState `json:"state" cbor:"2,keyasint"`
 	// Target is the version that every replica is ordered to run.
 	Target uint64 `json:"target" cbor:"3,keyasint"`
-	// Published is the newest version that a trainer has published; staleness counts from it.
+	// Published is the newest version that a trainer has published. Staleness is measured against it.
 	Published uint64 `json:"published" cbor:"4,keyasint"`
-	// Automatic policies are swapped to the published version by the system once it is staged.
+	// Automatic is true if the policy is swapped to the published version once enough replicas have staged it.
 	Automatic bool `json:"automatic" cbor:"5,keyasint"`
-	// Publications are the newest publications in order of version; they turn a version into an age.
+	// Publications are the newest publications in order of version. They give the age of a version.
 	Publications []Publication `json:"publications" cbor:"7,keyasint"`
-	// Modified is the revision of the last change of this policy by an operator.
+	// Modified is the revision of the last command that changed this policy. Publications do not count.
 	Modified uint64 `json:"modified" cbor:"8,keyasint"`
 }
 
@@ -57,10 +57,10 @@
 	Millisecond int64  `json:"millisecond" cbor:"2,keyasint"` // Unix time
 }
 
-// Newest returns the greatest version that the document knows of the policy.
+// Newest returns the greatest version of the policy in the document.
 func (policy Policy) Newest() uint64 { return max(policy.Target, policy.Published) }
 
-// Arm is one policy's part in an experiment.
+// Arm is one policy of an experiment, with its share and versions.
 type Arm struct {
 	Policy string `json:"policy" cbor:"1,keyasint"`
 	Share  int    `json:"share" cbor:"2,keyasint"` // percent of rollouts
@@ -74,8 +74,8 @@
 	return version >= arm.FirstVersion && (arm.LastVersion == 0 || version <= arm.LastVersion)
 }
 
-// Bound is the staleness that a delivered sample may have at most. A zero field sets no bound of that kind, and
-// HasVersions tells a bound of zero versions (only the newest weights) from none.
+// Bound is the greatest staleness of a delivered sample. Versions applies only if HasVersions is true; zero versions then
+// allow only the newest weights. An Age of zero sets no bound.
 type Bound struct {
 	HasVersions bool          `json:"has_versions" cbor:"1,keyasint"`
 	Versions    uint64        `json:"versions" cbor:"2,keyasint"`
@@ -100,7 +100,8 @@
 	return experiment.Arms[index], true
 }
 
-// AppliedCommand remembers that a command took effect, so that a lost answer is settled by reading back.
+// AppliedCommand records that a command took effect. A sender that got no answer can look it up, and a repeated command is
+// not applied again.
 type AppliedCommand struct {
 	ID       string `json:"id" cbor:"1,keyasint"`
 	Revision uint64 `json:"revision" cbor:"2,keyasint"`
@@ -113,11 +114,11 @@
 	Policies    []Policy         `json:"policies" cbor:"2,keyasint"`
 	Experiments []Experiment     `json:"experiments" cbor:"3,keyasint"`
 	Commands    []AppliedCommand `json:"commands" cbor:"4,keyasint"`
-	// Drained are the replicas that operators want no new work on, sorted.
+	// Drained lists the identifiers of drained replicas, sorted. They get no new work.
 	Drained []string `json:"drained" cbor:"5,keyasint"`
 }
 
-// DrainedReplica reports whether operators want no new work on the replica.
+// DrainedReplica reports whether the replica is drained.
 func (document Document) DrainedReplica(replicaID string) bool {
 	_, found := slices.BinarySearch(document.Drained, replicaID)
 	return found
@@ -145,7 +146,7 @@
 	return document.Experiments[index], true
 }
 
-// Applied returns the revision at which the command took effect, if the document remembers it.
+// Applied returns the revision at which the command took effect, if the document still records it.
 func (document Document) Applied(commandID string) (uint64, bool) {
 	for _, applied := range document.Commands {
 		if applied.ID == commandID {
@@ -155,9 +156,9 @@
 	return 0, false
 }
 
-// AssignPolicy picks the arm of a rollout by its key: the same key always gets the same arm of an unchanged experiment,
-// and keys spread over the arms by share. Arms whose policy is not active give their share to the others; when none is
-// active the error is NotRunPaused.
+// AssignPolicy picks the arm of a rollout by a hash of its key. The same key gets the same arm while the experiment and the
+// states of its policies do not change. Keys are distributed over the arms with an active policy in proportion to their
+// shares. If no policy is active, the error is NotRunPaused.
 func (document Document) AssignPolicy(experimentName, key string) (Arm, error) {
 	experiment, ok := document.Experiment(experimentName)
 	if !ok {
