--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -47,7 +47,7 @@
 	must.Len(t, 3, statements)
 	must.Eq(t, "steps", statements[1].Show.Subject)
 	must.Len(t, 2, statements[1].Show.Where)
-	must.True(t, statements[1].Show.Reverse)
+	must.True(t, statements[1].Show.Descending)
 	must.Eq(t, "s 1", statements[2].EndStep)
 }
 
--- a/internal/command/grammar.go
+++ b/internal/command/grammar.go
@@ -1,5 +1,4 @@
-// Package command is the operators' query and command language. Parse turns text into statements; docs/LANGUAGE.md has
-// the language with examples.
+// Package command parses the operators' query and command language, which docs/LANGUAGE.md describes.
 package command
 
 import (
@@ -90,7 +89,7 @@
 	Age  duration `parser:"| @Duration )"`
 }
 
-// duration captures a Duration token.
+// duration is the parsed value of a Duration token.
 type duration time.Duration
 
 // Capture implements participle.Capture.
@@ -100,14 +99,14 @@
 	return err
 }
 
-// Show is a query: a subject, conditions, an order and a limit.
+// Show is a query with its subject, conditions, order and limit.
 type Show struct {
-	Subject string       `parser:"@( 'versions' | 'policies' | 'experiments' | 'nodes' | 'replicas' | 'steps' | 'partitions' | 'staleness' | 'configuration' | 'health' )"`
-	Policy  string       `parser:"( 'of' 'policy' @Name )?"`
-	Where   []*Condition `parser:"( 'where' @@ ( 'and' @@ )* )?"`
-	OrderBy string       `parser:"( 'order' 'by' @Name"`
-	Reverse bool         `parser:"  ( @'descending' | 'ascending' )? )?"`
-	Limit   *int         `parser:"( 'limit' @Number )?"`
+	Subject    string       `parser:"@( 'versions' | 'policies' | 'experiments' | 'nodes' | 'replicas' | 'steps' | 'partitions' | 'staleness' | 'configuration' | 'health' )"`
+	Policy     string       `parser:"( 'of' 'policy' @Name )?"`
+	Where      []*Condition `parser:"( 'where' @@ ( 'and' @@ )* )?"`
+	OrderBy    string       `parser:"( 'order' 'by' @Name"`
+	Descending bool         `parser:"  ( @'descending' | 'ascending' )? )?"`
+	Limit      *int         `parser:"( 'limit' @Number )?"`
 }
 
 // Condition compares a column with a value.
@@ -117,7 +116,7 @@
 	Value    string `parser:"@( Name | Number | Duration | Text )"`
 }
 
-var definition = lexer.MustSimple([]lexer.SimpleRule{
+var lexerDefinition = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Comment", Pattern: `--[^\n]*`},
 	{Name: "Space", Pattern: `\s+`},
 	{Name: "Text", Pattern: `"(\\.|[^"\\\n])*"`},
@@ -129,16 +128,16 @@
 })
 
 var parser = participle.MustBuild[script](
-	participle.Lexer(definition),
+	participle.Lexer(lexerDefinition),
 	participle.Elide("Comment", "Space"),
 	participle.Unquote("Text"),
 	participle.UseLookahead(2),
 )
 
-// MaximumText bounds the bytes of one script.
+// MaximumText bounds the length of a script in bytes.
 const MaximumText = 64 << 10
 
-// parse reads a script. Its error is InvalidSyntax with line, column and what was expected.
+// parse parses a script. A syntax error has the code InvalidSyntax and names the line, the column and the expected token.
 func parse(text string) (*script, error) {
 	if len(text) > MaximumText {
 		return nil, result.New(result.InvalidTooLarge, "a script of %d bytes: at most %d", len(text), MaximumText)
--- a/internal/command/statement.go
+++ b/internal/command/statement.go
@@ -15,7 +15,7 @@
 	Show    *Show
 }
 
-// Parse reads a script: statements separated by semicolons, comments from "--" to the end of the line.
+// Parse parses a script. Semicolons separate statements; comments extend from "--" to the end of the line.
 func Parse(text string) ([]Statement, error) {
 	parsed, err := parse(text)
 	if err != nil {
@@ -23,25 +23,25 @@
 	}
 	statements := make([]Statement, 0, len(parsed.Statements))
 	for _, node := range parsed.Statements {
-		statement := node.meaning()
+		statement := node.toStatement()
 		statement.Text = text[node.Pos.Offset:min(node.EndPos.Offset, len(text))]
 		statements = append(statements, statement)
 	}
 	return statements, nil
 }
 
-func (node *statement) meaning() Statement {
+func (node *statement) toStatement() Statement {
 	switch {
 	case node.Show != nil:
 		return Statement{Show: node.Show}
 	case node.End != nil:
 		return Statement{EndStep: *node.End}
 	default:
-		return Statement{Change: node.change()}
+		return Statement{Change: node.toCommand()}
 	}
 }
 
-func (node *statement) change() experiment.Command {
+func (node *statement) toCommand() experiment.Command {
 	switch {
 	case node.Add != nil:
 		return experiment.AddPolicy{Name: node.Add.Name, Version: node.Add.Version, Automatic: node.Add.Automatic}
@@ -56,11 +56,11 @@
 	case node.Retire != nil:
 		return experiment.SetPolicyState{Name: *node.Retire, State: experiment.PolicyRetired}
 	case node.Create != nil:
-		created := experiment.Experiment{Name: node.Create.Name, Arms: arms(node.Create.Arms)}
-		node.Create.Bound.overlay(&created.Bound)
+		created := experiment.Experiment{Name: node.Create.Name, Arms: toArms(node.Create.Arms)}
+		node.Create.Bound.applyTo(&created.Bound)
 		return experiment.PutExperiment{Experiment: created}
 	case node.Alter != nil:
-		return node.Alter.change()
+		return node.Alter.toCommand()
 	case node.Remove != nil:
 		return experiment.RemoveExperiment{Name: *node.Remove}
 	case node.Drain != nil:
@@ -70,7 +70,7 @@
 	}
 }
 
-func arms(clauses []*armClause) []experiment.Arm {
+func toArms(clauses []*armClause) []experiment.Arm {
 	if len(clauses) == 0 {
 		return nil
 	}
@@ -88,8 +88,8 @@
 	return list
 }
 
-func (node *alterStatement) change() experiment.Command {
-	alter := experiment.AlterExperiment{Name: node.Name, Arms: arms(node.Arms)}
+func (node *alterStatement) toCommand() experiment.Command {
+	alter := experiment.AlterExperiment{Name: node.Name, Arms: toArms(node.Arms)}
 	if node.Bound.Versions != nil {
 		alter.Versions = &experiment.VersionsBound{Set: !node.Bound.Versions.None, Versions: node.Bound.Versions.Versions}
 	}
@@ -100,8 +100,8 @@
 	return alter
 }
 
-// overlay sets the given parts of a bound.
-func (clause boundClause) overlay(bound *experiment.Bound) {
+// applyTo sets those parts of a bound that the clause contains.
+func (clause boundClause) applyTo(bound *experiment.Bound) {
 	if clause.Versions != nil {
 		bound.HasVersions = !clause.Versions.None
 		bound.Versions = clause.Versions.Versions
--- a/internal/query/difference.go
+++ b/internal/query/difference.go
@@ -8,7 +8,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/experiment"
 )
 
-// Difference says in one line what changed between two documents.
+// Difference describes the changes between two documents in one line.
 func Difference(before, after experiment.Document) string {
 	var parts []string
 	for _, policy := range after.Policies {
@@ -64,7 +64,7 @@
 	return fmt.Sprintf("(%s; staleness %s)", strings.Join(arms, ", "), DescribeBound(current.Bound))
 }
 
-// DescribeBound writes a staleness bound for people.
+// DescribeBound returns a readable form of a staleness bound.
 func DescribeBound(bound experiment.Bound) string {
 	var parts []string
 	if bound.HasVersions {
--- a/internal/query/table.go
+++ b/internal/query/table.go
@@ -1,4 +1,5 @@
-// Package query holds the tables that queries answer with, and narrows them by a query's conditions. It is pure.
+// Package query defines the tables that answer queries, and applies a query's conditions, order and limit to them. It does
+// no I/O.
 package query
 
 import (
@@ -11,19 +12,19 @@
 	"github.com/thistlewalk/thistlewalk/internal/result"
 )
 
-// Table is the answer to a query. All rows have one cell for each column.
+// Table is the answer to a query. Each row has one cell for each column.
 type Table struct {
 	Subject string     `json:"subject"`
 	Columns []string   `json:"columns"`
 	Rows    [][]string `json:"rows"`
-	// Notes are sentences for the operator, such as that nothing is replicated.
+	// Notes are remarks for the operator, for example that a partition has no owner.
 	Notes []string `json:"notes,omitempty"`
 }
 
-// Add adds a row.
+// Add appends a row.
 func (table *Table) Add(cells ...string) { table.Rows = append(table.Rows, cells) }
 
-// Narrow applies a query's policy, conditions, order and limit.
+// Narrow returns the table with the query's policy, conditions, order and limit applied.
 func (table Table) Narrow(show *command.Show) (Table, error) {
 	conditions := slices.Clone(show.Where)
 	if show.Policy != "" {
@@ -35,7 +36,7 @@
 			return Table{}, err
 		}
 		table.Rows = slices.DeleteFunc(slices.Clone(table.Rows), func(row []string) bool {
-			return !holds(row[index], condition.Operator, condition.Value)
+			return !matches(row[index], condition.Operator, condition.Value)
 		})
 	}
 	if show.OrderBy != "" {
@@ -43,7 +44,7 @@
 		if err != nil {
 			return Table{}, err
 		}
-		slices.SortStableFunc(table.Rows, func(a, b []string) int { return direction(show.Reverse) * compare(a[index], b[index]) })
+		slices.SortStableFunc(table.Rows, func(a, b []string) int { return sortSign(show.Descending) * compare(a[index], b[index]) })
 	}
 	if show.Limit != nil {
 		table.Rows = table.Rows[:min(*show.Limit, len(table.Rows))]
@@ -51,8 +52,8 @@
 	return table, nil
 }
 
-func direction(reverse bool) int {
-	if reverse {
+func sortSign(descending bool) int {
+	if descending {
 		return -1
 	}
 	return 1
@@ -66,7 +67,7 @@
 	return index, nil
 }
 
-// compare compares as numbers where both are, else as text.
+// compare compares two cells as numbers if both are numbers, otherwise as text.
 func compare(a, b string) int {
 	left, leftErr := strconv.ParseFloat(a, 64)
 	right, rightErr := strconv.ParseFloat(b, 64)
@@ -76,7 +77,7 @@
 	return strings.Compare(a, b)
 }
 
-func holds(cell, operator, value string) bool {
+func matches(cell, operator, value string) bool {
 	order := compare(cell, value)
 	switch operator {
 	case "=":
