--- a/internal/operator/output.go
+++ b/internal/operator/output.go
@@ -16,22 +16,22 @@
 	"github.com/thistlewalk/thistlewalk/internal/result"
 )
 
-// Format is how answers are written.
+// Format is an output format.
 type Format string
 
-// The formats.
+// The output formats.
 const (
 	FormatTable Format = "table"
 	FormatJSON  Format = "json"
 )
 
-// Write writes the outcomes of a script and returns the first failure, nil when all statements were done.
+// Write writes the response to a script. It returns the error of the first failed statement, or nil.
 func Write(output io.Writer, format Format, response gateway.CommandResponse) error {
 	if format == FormatJSON {
 		encoder := json.NewEncoder(output)
 		encoder.SetIndent("", "  ")
 		if err := encoder.Encode(response); err != nil {
-			return errors.Wrap(err, "output")
+			return errors.Wrap(err, "write output")
 		}
 		return firstFailure(response)
 	}
@@ -67,7 +67,7 @@
 	}
 }
 
-// WriteTable writes a table in aligned columns, with its notes below.
+// WriteTable writes a table in aligned columns, followed by its notes.
 func WriteTable(output io.Writer, table query.Table) {
 	const padding = 2
 	aligned := tabwriter.NewWriter(output, 0, 0, padding, ' ', 0)
@@ -81,26 +81,26 @@
 	}
 }
 
-var placePattern = regexp.MustCompile(`^line (\d+), column (\d+): `)
+var positionPattern = regexp.MustCompile(`^line (\d+), column (\d+): `)
 
-// Explain writes a failure for people; a syntax error shows the line with a mark under the column.
+// Explain writes an error for the operator. For a syntax error it also writes the line, with a caret under the column.
 func Explain(output io.Writer, text string, failure error) {
-	told := result.From(failure)
-	place := placePattern.FindStringSubmatch(told.Message)
-	if told.Code != result.InvalidSyntax || place == nil {
-		fmt.Fprintf(output, "%d %s: %s\n", told.Code, told.Code, told.Message)
+	problem := result.From(failure)
+	position := positionPattern.FindStringSubmatch(problem.Message)
+	if problem.Code != result.InvalidSyntax || position == nil {
+		fmt.Fprintf(output, "%d %s: %s\n", problem.Code, problem.Code, problem.Message)
 		return
 	}
-	lineNumber, _ := strconv.Atoi(place[1])
-	column, _ := strconv.Atoi(place[2])
+	lineNumber, _ := strconv.Atoi(position[1])
+	column, _ := strconv.Atoi(position[2])
 	lines := strings.Split(text, "\n")
-	fmt.Fprintf(output, "%d %s: %s\n", told.Code, told.Code, told.Message)
+	fmt.Fprintf(output, "%d %s: %s\n", problem.Code, problem.Code, problem.Message)
 	if lineNumber <= len(lines) {
 		fmt.Fprintf(output, "  %s\n  %s^\n", lines[lineNumber-1], strings.Repeat(" ", column-1))
 	}
 }
 
-// ExitCode returns the process's exit code for an outcome: 0 for done, else the digit of the class.
+// ExitCode returns the exit code of the process: 0 without an error, otherwise the number of the error's class.
 func ExitCode(failure error) int {
 	if failure == nil {
 		return 0
