--- a/internal/security/tls.go
+++ b/internal/security/tls.go
@@ -1,4 +1,4 @@
-// Package security makes the TLS configurations of a node from key files, which are read again when they change.
+// Package security provides the TLS configurations of a node. It reloads the certificate and key files when they change.
 package security
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Files name a node's PEM files. Authority may be empty; then peers' certificates are checked by the system's roots and
-// nodes are not asked for theirs.
+// Files holds the paths of a node's PEM files. If Authority is empty, server certificates are verified with the system's root
+// certificates, and clients need no certificate.
 type Files struct {
 	Certificate string
 	Key         string
@@ -24,13 +24,13 @@
 // Enabled reports whether TLS is configured.
 func (files Files) Enabled() bool { return files.Certificate != "" }
 
-// checkInterval is the least time between two looks at the files.
+// checkInterval is the shortest time between two checks of the files for changes.
 const checkInterval = 5 * time.Second
 
-// Reloader holds a certificate and reads its files again when one of them has changed. It is safe for concurrent use.
+// Reloader holds a certificate and reloads it when one of its files has changed. It is safe for concurrent use.
 type Reloader struct {
 	files Files
-	pool  *x509.CertPool // nil for the system's roots
+	roots *x509.CertPool // nil for the system's root certificates
 
 	mu          sync.Mutex
 	certificate *tls.Certificate
@@ -38,16 +38,16 @@
 	checked     time.Time
 }
 
-// NewReloader reads the files once and fails when they are wrong.
+// NewReloader reads the files and returns an error if they are not valid.
 func NewReloader(files Files) (*Reloader, error) {
 	reloader := &Reloader{files: files}
 	if files.Authority != "" {
 		content, err := os.ReadFile(files.Authority)
 		if err != nil {
-			return nil, errors.Wrap(err, "authority")
+			return nil, errors.Wrap(err, "read authority")
 		}
-		reloader.pool = x509.NewCertPool()
-		if !reloader.pool.AppendCertsFromPEM(content) {
+		reloader.roots = x509.NewCertPool()
+		if !reloader.roots.AppendCertsFromPEM(content) {
 			return nil, errors.Newf("%s holds no certificate", files.Authority)
 		}
 	}
@@ -55,7 +55,8 @@
 	return reloader, err
 }
 
-// current returns the newest certificate that could be read. Files that are half written keep the old one in use.
+// current returns the last certificate that was loaded. It keeps the previous certificate while the files cannot be loaded,
+// for example because they are only partly written.
 func (reloader *Reloader) current() (*tls.Certificate, error) {
 	reloader.mu.Lock()
 	defer reloader.mu.Unlock()
@@ -63,7 +64,7 @@
 		return reloader.certificate, nil
 	}
 	reloader.checked = time.Now()
-	modified, err := reloader.newest()
+	modified, err := reloader.latestModification()
 	if err == nil && (reloader.certificate == nil || modified.After(reloader.modified)) {
 		var pair tls.Certificate
 		pair, err = tls.LoadX509KeyPair(reloader.files.Certificate, reloader.files.Key)
@@ -74,11 +75,11 @@
 	if reloader.certificate != nil {
 		return reloader.certificate, nil
 	}
-	return nil, errors.Wrap(err, "certificate")
+	return nil, errors.Wrap(err, "load certificate")
 }
 
-// newest returns when the newer of both files was changed.
-func (reloader *Reloader) newest() (time.Time, error) {
+// latestModification returns the later modification time of both files.
+func (reloader *Reloader) latestModification() (time.Time, error) {
 	certificate, err := os.Stat(reloader.files.Certificate)
 	if err != nil {
 		return time.Time{}, err
@@ -93,24 +94,25 @@
 	return certificate.ModTime(), nil
 }
 
-// Server returns the configuration of a listener; mutual asks clients for a certificate of the authority.
+// Server returns the configuration of a listener. If mutual is true and there is an authority, clients must present a
+// certificate of that authority.
 func (reloader *Reloader) Server(mutual bool) *tls.Config {
 	config := &tls.Config{
 		MinVersion:     tls.VersionTLS13,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return reloader.current() },
 	}
-	if mutual && reloader.pool != nil {
+	if mutual && reloader.roots != nil {
 		config.ClientAuth = tls.RequireAndVerifyClientCert
-		config.ClientCAs = reloader.pool
+		config.ClientCAs = reloader.roots
 	}
 	return config
 }
 
-// Client returns the configuration of connections to other nodes.
+// Client returns the configuration for connections to other nodes.
 func (reloader *Reloader) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion:           tls.VersionTLS13,
-		RootCAs:              reloader.pool,
+		RootCAs:              reloader.roots,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return reloader.current() },
 	}
 }
@@ -120,7 +122,7 @@
 	return tls.NewListener(listener, config)
 }
 
-// OnLoopback reports whether an address IP:port is of the loopback range.
+// OnLoopback reports whether an IP:port address is in the loopback range.
 func OnLoopback(address string) bool {
 	parsed, err := netip.ParseAddrPort(address)
 	return err == nil && parsed.Addr().IsLoopback()
--- a/internal/security/tls_test.go
+++ b/internal/security/tls_test.go
@@ -43,7 +43,7 @@
 	return authority{certificate, key, file}
 }
 
-// issue writes a certificate and its key into files.
+// issue writes a new certificate and its key to the files.
 func (a authority) issue(t *testing.T, files Files, serial int64) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	must.NoError(t, err)
@@ -64,6 +64,7 @@
 	return files
 }
 
+// A server must refuse a node without a certificate of the authority, and must use a renewed certificate without a restart.
 func TestNodesNeedACertificateOfTheAuthorityAndKeysAreReloaded(t *testing.T) {
 	trusted, other := newAuthority(t, "trusted"), newAuthority(t, "other")
 	serverFiles := trusted.files(t)
@@ -87,9 +88,9 @@
 	must.NoError(t, err)
 	must.Eq(t, 2, response.TLS.PeerCertificates[0].SerialNumber.Int64())
 
-	stranger := other.files(t)
-	stranger.Authority = trusted.file
-	_, err = call(stranger)
+	foreign := other.files(t)
+	foreign.Authority = trusted.file
+	_, err = call(foreign)
 	must.Error(t, err, must.Sprint("a node of another authority"))
 
 	trusted.issue(t, serverFiles, 7)
@@ -103,6 +104,7 @@
 	must.Eq(t, 7, response.TLS.PeerCertificates[0].SerialNumber.Int64())
 }
 
+// Invalid key files must be reported at startup.
 func TestWrongFilesAreFoundAtTheStart(t *testing.T) {
 	files := newAuthority(t, "a").files(t)
 	_, err := NewReloader(Files{Certificate: files.Certificate, Key: files.Certificate})
