--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,29 +1,31 @@
-// Package clock reads a clock that goes on while the machine is suspended. The steady clock, which time.Since, timers and contexts read, stands
-// still then: whoever goes by it takes what it knew before for new, and its lease for one that is in force.
+// Package clock provides a monotonic clock that includes the time for which the machine was suspended. Go's own monotonic
+// clock, which time.Since, timers and contexts use, may stop during a suspension: by that clock, stale state would look
+// fresh and an expired lease valid.
 package clock
 
 import (
 	"time"
 )
 
-// Clock tells how long ago some fixed moment was, with all time that the machine was suspended since. It never goes back.
+// Clock measures the time since a fixed moment, including suspensions of the machine. It never decreases.
 type Clock interface {
 	Elapsed() time.Duration
 }
 
-// Func makes a function a Clock.
+// Func adapts a function to Clock.
 type Func func() time.Duration
 
 // Elapsed implements Clock.
 func (read Func) Elapsed() time.Duration { return read() }
 
-// Steady returns a clock that stands still while the machine is suspended, for tests in modelled time and for what promises nothing.
+// Steady returns a Clock based on Go's monotonic clock, which may exclude suspensions. It is for tests with simulated time
+// and for code whose guarantees do not depend on suspensions.
 func Steady() Clock {
-	begun := time.Now()
-	return Func(func() time.Duration { return time.Since(begun) })
+	start := time.Now()
+	return Func(func() time.Duration { return time.Since(start) })
 }
 
-// OrSteady returns the clock, or a steady one if it is nil.
+// OrSteady returns the given clock, or Steady if it is nil.
 func OrSteady(clock Clock) Clock {
 	if clock == nil {
 		return Steady()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -14,38 +14,38 @@
 	"github.com/thistlewalk/thistlewalk/internal/clock"
 )
 
-// The system's clock goes on with the steady one while the machine runs.
+// The system clock must not be slower than the monotonic clock while the machine runs.
 func TestSystem(t *testing.T) {
-	machine, err := clock.System()
+	system, err := clock.System()
 	must.NoError(t, err)
-	before, steady := machine.Elapsed(), clock.Steady()
+	before, monotonic := system.Elapsed(), clock.Steady()
 	time.Sleep(20 * time.Millisecond)
-	must.GreaterEq(t, steady.Elapsed()-time.Millisecond, machine.Elapsed()-before)
+	must.GreaterEq(t, monotonic.Elapsed()-time.Millisecond, system.Elapsed()-before)
 }
 
-// A suspension is told of once, with its length; a clock that runs a little apart is none.
+// A suspension must be reported once with its length, and a small drift between the clocks must not be reported.
 func TestWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		var apart atomic.Int64
-		var told []time.Duration
-		steady, lines := clock.Steady(), &bytes.Buffer{}
+		var drift atomic.Int64
+		var suspensions []time.Duration
+		monotonic, logged := clock.Steady(), &bytes.Buffer{}
 		watch := &clock.Watch{
-			Clock:  clock.Func(func() time.Duration { return steady.Elapsed() + time.Duration(apart.Load()) }),
-			Logger: log.New(lines), Woken: func(suspended time.Duration) { told = append(told, suspended) },
+			Clock:  clock.Func(func() time.Duration { return monotonic.Elapsed() + time.Duration(drift.Load()) }),
+			Logger: log.New(logged), Woken: func(suspended time.Duration) { suspensions = append(suspensions, suspended) },
 		}
 		go watch.Run(ctx)
-		for range 20 { // 0.4 s in all
+		for range 20 { // 0.4 s in total
 			time.Sleep(500 * time.Millisecond)
-			apart.Add(int64(20 * time.Millisecond))
+			drift.Add(int64(20 * time.Millisecond))
 		}
 		synctest.Wait()
-		must.SliceEmpty(t, told)
-		apart.Add(int64(5 * time.Second))
+		must.SliceEmpty(t, suspensions)
+		drift.Add(int64(5 * time.Second))
 		time.Sleep(time.Second)
-		must.SliceLen(t, 1, told)
-		must.Between(t, 5*time.Second, told[0], 5*time.Second+20*time.Millisecond)
-		must.StrContains(t, lines.String(), "machine was suspended")
+		must.SliceLen(t, 1, suspensions)
+		must.Between(t, 5*time.Second, suspensions[0], 5*time.Second+20*time.Millisecond)
+		must.StrContains(t, logged.String(), "machine was suspended")
 		cancel()
 		synctest.Wait()
 	})
--- a/internal/clock/system_linux.go
+++ b/internal/clock/system_linux.go
@@ -7,15 +7,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// System returns the machine's clock since its boot (CLOCK_BOOTTIME). An error says that the system has none.
+// System returns the clock that counts from the boot of the machine, including suspensions (CLOCK_BOOTTIME). It returns an
+// error if that clock cannot be read.
 func System() (Clock, error) {
 	if _, err := sinceBoot(); err != nil {
-		return nil, errors.Wrap(err, "read the clock since boot")
+		return nil, errors.Wrap(err, "read CLOCK_BOOTTIME")
 	}
 	return Func(func() time.Duration {
 		elapsed, err := sinceBoot()
 		if err != nil {
-			panic(err) // it was there at the start, and has no other way to fail
+			panic(err) // unreachable: only a missing clock causes an error, and the first read succeeded
 		}
 		return elapsed
 	}), nil
--- a/internal/clock/system_other.go
+++ b/internal/clock/system_other.go
@@ -2,5 +2,5 @@
 
 package clock
 
-// System returns a steady clock: on other systems than Linux that goes on while the machine is suspended, or there is no other.
+// System returns Steady. Whether it includes suspensions depends on the operating system.
 func System() (Clock, error) { return Steady(), nil }
--- a/internal/clock/watch.go
+++ b/internal/clock/watch.go
@@ -10,41 +10,41 @@
 )
 
 const (
-	// watchInterval is how often the two clocks are compared. What a promise relies on reads the clock itself; this is for what else a node
-	// does after a suspension.
+	// watchInterval is the time between two comparisons of the clocks. Code whose guarantees depend on time must read Clock
+	// itself, since a suspension is noticed only at the next comparison.
 	watchInterval = 250 * time.Millisecond
-	// leastSuspension is the least difference that counts: the two clocks are read one after the other, some microseconds apart, or some
-	// milliseconds if the process is not scheduled between.
-	leastSuspension = 100 * time.Millisecond
+	// minimumSuspension is the shortest suspension that is reported. Smaller differences can arise because the process may not
+	// be scheduled between the reads of the two clocks.
+	minimumSuspension = 100 * time.Millisecond
 )
 
-// Watch notices that the machine was suspended.
+// Watch detects suspensions of the machine by comparing a Clock with Go's monotonic clock.
 type Watch struct {
 	Clock   Clock
 	Logger  *log.Logger
 	Metrics *telemetry.Metrics
-	// Woken is called after each suspension.
+	// Woken is called after each suspension with its length.
 	Woken func(suspended time.Duration)
 }
 
-// Run watches until the context ends.
+// Run compares the clocks until the context ends.
 func (watch *Watch) Run(ctx context.Context) {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
-	steady := Steady()
-	behind := watch.Clock.Elapsed() - steady.Elapsed()
+	monotonic := Steady()
+	offset := watch.Clock.Elapsed() - monotonic.Elapsed()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		now := watch.Clock.Elapsed() - steady.Elapsed()
-		if suspended := now - behind; suspended >= leastSuspension {
+		now := watch.Clock.Elapsed() - monotonic.Elapsed()
+		if suspended := now - offset; suspended >= minimumSuspension {
 			watch.Logger.Warn("machine was suspended", "suspended_ms", suspended.Milliseconds())
 			watch.Metrics.Suspended()
 			watch.Woken(suspended)
 		}
-		behind = now
+		offset = now
 	}
 }
