--- a/internal/build/build_test.go
+++ b/internal/build/build_test.go
@@ -12,7 +12,7 @@
 func TestIDOfAProgram(t *testing.T) {
 	path, err := os.Executable()
 	must.NoError(t, err)
-	id, err := idOf(path)
+	id, err := readID(path)
 	must.NoError(t, err)
 	must.Eq(t, idLength, len(id))
 	own, err := ID()
@@ -23,20 +23,20 @@
 func TestIDOfSomethingElse(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "text")
 	must.NoError(t, os.WriteFile(path, []byte("text"), 0o600))
-	_, err := idOf(path)
+	_, err := readID(path)
 	must.Error(t, err)
 }
 
 func TestNotesThatMakeNoSense(t *testing.T) {
 	for _, note := range [][]byte{
-		nil, make([]byte, noteHead), // cut off, no content
-		{4, 0, 0, 0, 99, 0, 0, 0, 4, 0, 0, 0, 'G', 'o', 0, 0, 'x'},       // longer than the section
-		{0xff, 0xff, 0xff, 0xff, 1, 0, 0, 0, 4, 0, 0, 0, 'G', 'o', 0, 0}, // a name longer than the section
+		nil, make([]byte, noteHeaderSize), // truncated, no content
+		{4, 0, 0, 0, 99, 0, 0, 0, 4, 0, 0, 0, 'G', 'o', 0, 0, 'x'},       // content longer than the section
+		{0xff, 0xff, 0xff, 0xff, 1, 0, 0, 0, 4, 0, 0, 0, 'G', 'o', 0, 0}, // name longer than the section
 	} {
-		_, err := contentOf(note, binary.LittleEndian)
+		_, err := noteContent(note, binary.LittleEndian)
 		must.Error(t, err)
 	}
-	content, err := contentOf([]byte{4, 0, 0, 0, 3, 0, 0, 0, 4, 0, 0, 0, 'G', 'o', 0, 0, 'a', '/', 'b'}, binary.LittleEndian)
+	content, err := noteContent([]byte{4, 0, 0, 0, 3, 0, 0, 0, 4, 0, 0, 0, 'G', 'o', 0, 0, 'a', '/', 'b'}, binary.LittleEndian)
 	must.NoError(t, err)
 	must.Eq(t, "a/b", content)
 }
