--- a/internal/actors/actors.go
+++ b/internal/actors/actors.go
@@ -1,5 +1,5 @@
-// Package actors runs what lives long in a node as supervised protoactor-go actors: each does its work at an interval or
-// when woken, one piece at a time, and is restarted after a panic.
+// Package actors runs the periodic tasks of a node as supervised protoactor-go actors. An actor runs its task at an interval
+// and when woken, one run at a time. It is restarted after a panic.
 package actors
 
 import (
@@ -29,14 +29,14 @@
 	return &System{system: system, context: ctx, cancel: cancel}
 }
 
-// Handle reaches one actor.
+// Handle is a reference to one actor.
 type Handle struct {
-	system *System
-	pid    *actor.PID
-	mu     sync.Mutex
-	timer  *time.Timer
-	closed bool
-	woken  atomic.Bool // a tick of Wake is in the mailbox
+	system      *System
+	pid         *actor.PID
+	mu          sync.Mutex
+	timer       *time.Timer
+	closed      bool
+	wakePending atomic.Bool // a tick sent by Wake is in the mailbox
 }
 
 type tick struct{}
@@ -56,13 +56,13 @@
 		if worker.handle.system.context.Err() != nil {
 			return
 		}
-		worker.handle.woken.Store(false)
+		worker.handle.wakePending.Store(false)
 		worker.work(worker.handle.system.context)
 		worker.handle.schedule(message.Self(), worker.interval())
 	}
 }
 
-// schedule sets the timer of the next tick, replacing one that is set.
+// schedule sets the timer of the next tick and replaces a pending one.
 func (handle *Handle) schedule(pid *actor.PID, interval time.Duration) {
 	handle.mu.Lock()
 	defer handle.mu.Unlock()
@@ -75,14 +75,15 @@
 	handle.timer = time.AfterFunc(interval, func() { handle.system.system.Root.Send(pid, &tick{}) })
 }
 
-// Wake makes the actor work soon, before its interval is over.
+// Wake makes the actor run its task as soon as possible, without waiting for the interval.
 func (handle *Handle) Wake() {
-	if handle.woken.CompareAndSwap(false, true) {
+	if handle.wakePending.CompareAndSwap(false, true) {
 		handle.system.system.Root.Send(handle.pid, &tick{})
 	}
 }
 
-// Every starts an actor that works at an interval that is asked for after each piece of work.
+// Every starts an actor that runs work repeatedly. interval is called at the start and after each run, and returns the time
+// until the next one.
 func (system *System) Every(name string, interval func() time.Duration, work func(ctx context.Context)) *Handle {
 	handle := &Handle{system: system}
 	strategy := actor.NewOneForOneStrategy(math.MaxInt32, 0, func(any) actor.Directive { return actor.RestartDirective })
@@ -96,12 +97,12 @@
 	return handle
 }
 
-// Fixed returns an interval function for Every.
+// Fixed returns a function for Every that always returns the same interval.
 func Fixed(interval time.Duration) func() time.Duration {
 	return func() time.Duration { return interval }
 }
 
-// Stop cancels the work in progress and waits until every actor has ended.
+// Stop cancels the context of running tasks and waits until every actor has stopped.
 func (system *System) Stop() {
 	system.cancel()
 	system.mu.Lock()
