--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds ways of waiting that end with a context.
+// Package wait provides waiting that a context can interrupt.
 package wait
 
 import (
