--- a/internal/lab/platform/soak/callers.go
+++ b/internal/lab/platform/soak/callers.go
@@ -16,52 +16,55 @@
 	"github.com/cockroachdb/errors"
 )
 
-// answer is what a caller got.
+// answer is the outcome of a call.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	// written says that the whole request left the caller; broken that no whole answer came back.
+	// written is true if the whole request was sent. err is set if no complete answer was received.
 	written bool
-	broken  error
-	// leaves says that the front wants the caller to leave the connection.
-	leaves bool
+	err     error
+	// closing is true if the front asked the caller to close the connection.
+	closing bool
 }
 
-// ingress picks the front of each call as the platform does: of those that were ready when last asked, else any.
+// ingress selects a front for each connection, as the platform's load balancer does: a front that is healthy by its readiness probes, or any
+// front if none is.
 type ingress struct {
-	world  *World
-	mu     sync.Mutex
-	misses map[*Node]int
+	deployment   *Deployment
+	mu           sync.Mutex
+	failedProbes map[*Node]int
 }
 
-func newIngress(world *World) *ingress { return &ingress{world: world, misses: make(map[*Node]int)} }
+func newIngress(deployment *Deployment) *ingress {
+	return &ingress{deployment: deployment, failedProbes: make(map[*Node]int)}
+}
 
 const (
-	readyInterval = time.Second
-	readyLimit    = 800 * time.Millisecond
-	missesOut     = 2
+	probeInterval   = time.Second
+	probeTimeout    = 800 * time.Millisecond
+	maxFailedProbes = 2
 )
 
-// run asks the fronts whether they are ready.
+// run probes the readiness of the fronts at each interval.
 func (ingress *ingress) run(ctx context.Context) {
-	for pause(ctx, readyInterval) {
-		for _, node := range ingress.world.Fronts() {
-			go ingress.ask(ctx, node)
+	for pause(ctx, probeInterval) {
+		for _, node := range ingress.deployment.Fronts() {
+			go ingress.probe(ctx, node)
 		}
 	}
 }
 
-func (ingress *ingress) ask(ctx context.Context, node *Node) {
-	ctx, cancel := context.WithTimeout(ctx, readyLimit)
+func (ingress *ingress) probe(ctx context.Context, node *Node) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	ready := isReady(ctx, node)
 	ingress.mu.Lock()
 	defer ingress.mu.Unlock()
 	if ready {
-		ingress.misses[node] = 0
+		ingress.failedProbes[node] = 0
 	} else {
-		ingress.misses[node]++
+		ingress.failedProbes[node]++
 	}
 }
 
@@ -80,30 +83,30 @@
 
 // pick returns a front for a new connection.
 func (ingress *ingress) pick() *Node {
-	all := ingress.world.Fronts()
-	var in []*Node
+	all := ingress.deployment.Fronts()
+	var healthy []*Node
 	ingress.mu.Lock()
 	for _, node := range all {
-		if ingress.misses[node] < missesOut {
-			in = append(in, node)
+		if ingress.failedProbes[node] < maxFailedProbes {
+			healthy = append(healthy, node)
 		}
 	}
 	ingress.mu.Unlock()
-	if len(in) == 0 {
-		in = all
+	if len(healthy) == 0 {
+		healthy = all
 	}
-	return in[rand.IntN(len(in))]
+	return healthy[rand.IntN(len(healthy))]
 }
 
-// callTime is how long callers wait for an answer.
-const callTime = 1500 * time.Millisecond
+// callTimeout is the deadline of a call.
+const callTimeout = 1500 * time.Millisecond
 
-// call makes one call on a connection of its own.
+// call makes a call on a new connection.
 func call(ctx context.Context, node *Node, method, target, id, body string, limit time.Duration, headers ...string) answer {
 	return callOn(ctx, &http.Transport{DisableKeepAlives: true, DisableCompression: true}, node, method, target, id, body, limit, headers...)
 }
 
-// callOn makes one call on a connection of a transport.
+// callOn makes a call through a transport.
 func callOn(ctx context.Context, transport *http.Transport, node *Node, method, target, id, body string, limit time.Duration, headers ...string) answer {
 	ctx, cancel := context.WithTimeout(ctx, limit+callMargin)
 	defer cancel()
@@ -111,7 +114,7 @@
 	trace := &httptrace.ClientTrace{WroteRequest: func(info httptrace.WroteRequestInfo) { written.Store(info.Err == nil) }}
 	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), method, "http://"+node.Front+target, strings.NewReader(body))
 	if err != nil {
-		return answer{broken: err}
+		return answer{err: err}
 	}
 	request.Host = hostName
 	request.Header.Set("Request-Id", id)
@@ -121,188 +124,190 @@
 	}
 	response, err := transport.RoundTrip(request)
 	if err != nil {
-		return answer{written: written.Load(), broken: err}
+		return answer{written: written.Load(), err: err}
 	}
 	defer response.Body.Close()
 	content, err := io.ReadAll(response.Body)
-	return answer{status: response.StatusCode, header: response.Header, body: string(content), written: true, broken: err, leaves: response.Close}
+	return answer{status: response.StatusCode, header: response.Header, body: string(content), written: true, err: err, closing: response.Close}
 }
 
+// callMargin is how much longer than its deadline a call may take before it is abandoned.
 const callMargin = 600 * time.Millisecond
 
-// isTimeout reports whether a call ended because the caller gave it up.
+// isTimeout reports whether a call failed because the caller cancelled it or its timeout expired.
 func isTimeout(err error) bool {
 	var timeout net.Error
 	return errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) || (errors.As(err, &timeout) && timeout.Timeout())
 }
 
-// calls sends requests that may and that may not be repeated, and keeps what is judged at the end.
-type calls struct {
-	world   *World
-	ingress *ingress
-	calm    *calm
-	report  func(Violation)
+// callers sends idempotent and non-idempotent requests, and records what the final checks need.
+type callers struct {
+	deployment *Deployment
+	ingress    *ingress
+	faults     *activeFaults
+	report     func(Violation)
 
-	mu      sync.Mutex
-	next    int
-	once    []string          // identifiers of requests that may run once
-	refused []string          // identifiers that were refused as not run
-	tenants map[string]string // by identifier
-	served  int
-	failed  int
-	kept    int // on connections that are kept
+	mu            sync.Mutex
+	lastNumber    int
+	nonIdempotent []string          // identifiers of requests that may run at most once
+	refused       []string          // identifiers of requests that were refused without a run
+	tenants       map[string]string // by identifier of the request
+	served        int
+	failed        int
+	persistent    int // calls on persistent connections
 }
 
 const (
 	callInterval = 35 * time.Millisecond
-	// longEvery is how many calls go by for each that takes longWork, so that some are in progress at every fault.
+	// Every longEvery-th call takes longWork, so that some calls are in progress at every fault.
 	longEvery = 4
 	longWork  = 600 * time.Millisecond
-	// forgedEvery is how many calls go by for each that names another tenant than that of its key.
+	// Every forgedEvery-th call names a tenant in its headers that its key does not belong to.
 	forgedEvery = 5
 )
 
-func (calls *calls) run(ctx context.Context) {
+func (callers *callers) run(ctx context.Context) {
 	var running sync.WaitGroup
 	for pause(ctx, callInterval) {
-		running.Go(func() { calls.one(ctx) })
+		running.Go(func() { callers.callOnce(ctx) })
 	}
 	running.Wait()
 }
 
 const (
-	// keepers is how many callers keep their connection to a front, whether that is ready or not, until it is closed or the front asks them to
-	// leave it; keptInterval is the time between two of their calls.
-	keepers      = 6
-	keptInterval = 60 * time.Millisecond
+	// persistentCallers is the number of callers that use one connection for all their calls, whether the front is ready or not, until a call
+	// fails or the front asks them to close it. persistentCallInterval is the time between two calls.
+	persistentCallers      = 6
+	persistentCallInterval = 60 * time.Millisecond
 )
 
-// keep has callers use the connections that they have until these are gone.
-func (calls *calls) keep(ctx context.Context) {
+// runPersistent runs the callers with persistent connections.
+func (callers *callers) runPersistent(ctx context.Context) {
 	var running sync.WaitGroup
-	for range keepers {
+	for range persistentCallers {
 		running.Go(func() {
 			for ctx.Err() == nil {
-				calls.keepOne(ctx, calls.ingress.pick())
+				callers.usePersistentConnection(ctx, callers.ingress.pick())
 			}
 		})
 	}
 	running.Wait()
 }
 
-// keepOne makes calls on one connection to a front until it is gone.
-func (calls *calls) keepOne(ctx context.Context, node *Node) {
+// usePersistentConnection makes calls on one connection to a front until a call fails or the front closes it.
+func (callers *callers) usePersistentConnection(ctx context.Context, node *Node) {
 	transport := &http.Transport{MaxConnsPerHost: 1, DisableCompression: true}
 	defer transport.CloseIdleConnections()
-	for pause(ctx, keptInterval) {
-		got := calls.oneOn(ctx, node, transport)
-		calls.mu.Lock()
-		calls.kept++
-		calls.mu.Unlock()
-		if got.broken != nil || got.leaves {
+	for pause(ctx, persistentCallInterval) {
+		got := callers.callOn(ctx, node, transport)
+		callers.mu.Lock()
+		callers.persistent++
+		callers.mu.Unlock()
+		if got.err != nil || got.closing {
 			return
 		}
 	}
 }
 
-// one makes a call on a connection of its own and judges its answer.
-func (calls *calls) one(ctx context.Context) {
-	calls.oneOn(ctx, calls.ingress.pick(), &http.Transport{DisableKeepAlives: true, DisableCompression: true})
+// callOnce makes a call on a new connection and checks its answer.
+func (callers *callers) callOnce(ctx context.Context) {
+	callers.callOn(ctx, callers.ingress.pick(), &http.Transport{DisableKeepAlives: true, DisableCompression: true})
 }
 
-// oneOn makes a call and judges its answer.
-func (calls *calls) oneOn(ctx context.Context, node *Node, transport *http.Transport) answer {
-	calls.mu.Lock()
-	calls.next++
-	id := fmt.Sprint("call-", calls.next)
+// callOn makes a call through a transport and checks its answer.
+func (callers *callers) callOn(ctx context.Context, node *Node, transport *http.Transport) answer {
+	callers.mu.Lock()
+	callers.lastNumber++
+	id := fmt.Sprint("call-", callers.lastNumber)
 	prefix := "/call/"
-	if calls.next%3 == 0 {
+	if callers.lastNumber%3 == 0 {
 		prefix = "/order/"
-		calls.once = append(calls.once, id)
+		callers.nonIdempotent = append(callers.nonIdempotent, id)
 	}
 	target := prefix + id + "?a=b%2F"
-	if calls.next%longEvery == 0 {
+	if callers.lastNumber%longEvery == 0 {
 		target += fmt.Sprint("&work-ms=", longWork.Milliseconds())
 	}
-	tenant := tenantOf(calls.next)
-	calls.tenants[id] = tenant
+	tenant := tenantOf(callers.lastNumber)
+	callers.tenants[id] = tenant
 	headers := authorization(keyOf(tenant))
-	if calls.next%forgedEvery == 0 {
-		headers = append(headers, "Tenant", tenantOf(calls.next+1))
+	if callers.lastNumber%forgedEvery == 0 {
+		headers = append(headers, "Tenant", tenantOf(callers.lastNumber+1))
 	}
-	calls.mu.Unlock()
-	life := node.Life()
+	callers.mu.Unlock()
+	incarnation := node.Incarnation()
 	sent := time.Now()
-	got := callOn(ctx, transport, node, http.MethodPost, target, id, "body of "+id, callTime, headers...)
+	got := callOn(ctx, transport, node, http.MethodPost, target, id, "body of "+id, callTimeout, headers...)
 	if ctx.Err() != nil {
 		return got
 	}
-	calls.count(id, got)
-	calls.judge(id, got)
-	calls.judgeStop(id, node, life, sent, got)
+	callers.record(id, got)
+	callers.check(id, got)
+	callers.checkPlannedStop(id, node, incarnation, sent, got)
 	return got
 }
 
-func (calls *calls) count(id string, got answer) {
-	calls.mu.Lock()
-	defer calls.mu.Unlock()
-	if got.broken == nil && got.status == http.StatusOK {
-		calls.served++
+func (callers *callers) record(id string, got answer) {
+	callers.mu.Lock()
+	defer callers.mu.Unlock()
+	if got.err == nil && got.status == http.StatusOK {
+		callers.served++
 		return
 	}
-	calls.failed++
+	callers.failed++
 	switch got.status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		calls.refused = append(calls.refused, id)
+		callers.refused = append(callers.refused, id)
 	}
 }
 
-// judge checks that a success is the whole answer of a replica to this very request.
-func (calls *calls) judge(id string, got answer) {
+// check checks that a successful answer is the complete answer of a replica to this request.
+func (callers *callers) check(id string, got answer) {
 	if got.status == http.StatusUnauthorized {
-		calls.report(Violation{Promise: PromiseTenant, Subject: id, Detail: "its key is in every configuration, and was refused"})
+		callers.report(Violation{Promise: PromiseTenant, Subject: id, Detail: "401 for a key that every configuration contains"})
 	}
-	if got.broken != nil || got.status >= http.StatusMultipleChoices {
+	if got.err != nil || got.status >= http.StatusMultipleChoices {
 		return
 	}
 	if got.body != "answer to "+id || !strings.HasSuffix(got.header.Get("Server-Stamp"), "."+id) {
-		calls.report(Violation{Promise: PromiseWholeAnswer, Subject: id, Detail: fmt.Sprintf("%d %q stamp %q", got.status, got.body, got.header.Get("Server-Stamp"))})
+		callers.report(Violation{Promise: PromiseWholeAnswer, Subject: id, Detail: fmt.Sprintf("%d %q stamp %q", got.status, got.body, got.header.Get("Server-Stamp"))})
 	}
 }
 
-// judgeStop checks that a front which stops as planned cuts off no request that it has passed on.
-func (calls *calls) judgeStop(id string, node *Node, life int, sent time.Time, got answer) {
-	if got.broken == nil || !got.written || isTimeout(got.broken) || len(calls.world.Executions.Of(id)) == 0 {
+// checkPlannedStop reports a request that reached a replica but was cut off by its front, if the front had no fault since the request was sent or
+// is shutting down gracefully.
+func (callers *callers) checkPlannedStop(id string, node *Node, incarnation int, sent time.Time, got answer) {
+	if got.err == nil || !got.written || isTimeout(got.err) || len(callers.deployment.Executions.Of(id)) == 0 {
 		return
 	}
-	if node.Life() == life && node.Faulted().Before(sent) {
-		calls.report(Violation{Promise: PromiseNotCut, Subject: id, Detail: node.Name + " without a fault of its own: " + got.broken.Error()})
+	if node.Incarnation() == incarnation && node.LastFault().Before(sent) {
+		callers.report(Violation{Promise: PromiseNotCut, Subject: id, Detail: node.Name + " without a fault of its own: " + got.err.Error()})
 	}
 	if stopped := node.stopping.Load(); stopped {
-		calls.report(Violation{Promise: PromiseNotCut, Subject: id, Detail: node.Name + " during its planned stop: " + got.broken.Error()})
+		callers.report(Violation{Promise: PromiseNotCut, Subject: id, Detail: node.Name + " during its planned stop: " + got.err.Error()})
 	}
 }
 
-// verify judges, once all is over, what can only be told then.
-func (calls *calls) verify() {
-	calls.mu.Lock()
-	defer calls.mu.Unlock()
-	for _, id := range calls.once {
-		if runs := calls.world.Executions.Of(id); len(runs) > 1 {
-			calls.report(Violation{Promise: PromiseOnce, Subject: id, Detail: fmt.Sprintf("%d runs, at %s and %s", len(runs), runs[0].Replica, runs[1].Replica)})
+// verify runs the checks that need the complete record of executions.
+func (callers *callers) verify() {
+	callers.mu.Lock()
+	defer callers.mu.Unlock()
+	for _, id := range callers.nonIdempotent {
+		if runs := callers.deployment.Executions.Of(id); len(runs) > 1 {
+			callers.report(Violation{Promise: PromiseOnce, Subject: id, Detail: fmt.Sprintf("%d runs, at %s and %s", len(runs), runs[0].Replica, runs[1].Replica)})
 		}
 	}
-	for id, tenant := range calls.tenants {
-		if !calls.world.tenants {
+	for id, tenant := range callers.tenants {
+		if !callers.deployment.tenants {
 			break
 		}
-		for _, violation := range judgeCallers(calls.world.Executions, id, tenant) {
-			calls.report(violation)
+		for _, violation := range checkCallers(callers.deployment.Executions, id, tenant) {
+			callers.report(violation)
 		}
 	}
-	for _, id := range calls.refused {
-		if runs := calls.world.Executions.Of(id); len(runs) > 0 {
-			calls.report(Violation{Promise: PromiseNotRun, Subject: id, Detail: "ran at " + runs[0].Replica})
+	for _, id := range callers.refused {
+		if runs := callers.deployment.Executions.Of(id); len(runs) > 0 {
+			callers.report(Violation{Promise: PromiseNotRun, Subject: id, Detail: "ran at " + runs[0].Replica})
 		}
 	}
 }
--- a/internal/lab/platform/soak/endings_test.go
+++ b/internal/lab/platform/soak/crash_requests_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Runs count as late that begin long enough after the third replica has ended, at nodes that count.
+// Guards against late runs after the third crash being missed, and against counting runs at nodes that had a fault.
 func TestLateRuns(t *testing.T) {
 	begun := time.Now()
 	at := func(offsets ...time.Duration) (times []time.Time) {
@@ -18,7 +18,7 @@
 	}
 	all := func(time.Time) bool { return true }
 	third := 2 * time.Second
-	bound := third + endingTime + contactTime
+	bound := third + crashDelay + recoveryTime
 	must.Eq(t, 0, lateRuns(at(0, third), all))
 	must.Eq(t, 0, lateRuns(at(0, time.Second, third, bound), all))
 	must.Eq(t, 2, lateRuns(at(0, time.Second, third, bound+1, bound+2), all))
--- a/internal/lab/platform/soak/faults.go
+++ b/internal/lab/platform/soak/faults.go
@@ -11,26 +11,26 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata/memstore"
 )
 
-// injector carries a plan out.
+// injector injects the faults of a plan.
 type injector struct {
-	world *World
-	// endings sends requests under which replicas end.
-	endings *endings
-	// calm is told when faults begin and end.
-	calm *calm
+	deployment *Deployment
+	// crashRequests sends requests that crash replicas.
+	crashRequests *crashRequests
+	// faults records when faults start and end.
+	faults *activeFaults
 
 	ctx context.Context
 	mu  sync.Mutex
-	// storeFaulted is when a fault of the store last began or ended.
-	storeFaulted time.Time
-	busy         map[any]bool // nodes and members that have a fault now: a second one of the same target is passed over
+	// lastStoreFault is when a fault of the store last started or ended.
+	lastStoreFault time.Time
+	busy           map[any]bool // targets that have a fault now; a second fault of the same target is skipped
 }
 
-func newInjector(world *World, calm *calm) *injector {
-	return &injector{world: world, calm: calm, busy: make(map[any]bool)}
+func newInjector(deployment *Deployment, faults *activeFaults) *injector {
+	return &injector{deployment: deployment, faults: faults, busy: make(map[any]bool)}
 }
 
-// run carries the events out and returns when the last has ended.
+// run injects the events at their times and returns after the last has ended.
 func (injector *injector) run(ctx context.Context, began time.Time, plan Plan) {
 	injector.ctx = ctx
 	var events sync.WaitGroup
@@ -39,15 +39,15 @@
 			break
 		}
 		events.Go(func() {
-			injector.calm.begin()
-			defer injector.calm.end()
+			injector.faults.begin()
+			defer injector.faults.end()
 			injector.inject(event)
 		})
 	}
 	events.Wait()
 }
 
-// pause waits and reports whether the context goes on.
+// pause waits for the duration. It returns false if the context ends first.
 func pause(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(max(0, duration))
 	defer timer.Stop()
@@ -59,7 +59,7 @@
 	}
 }
 
-// claim takes a target for one fault; false when it has one already.
+// claim reserves a target for a fault. It returns false if the target already has one.
 func (injector *injector) claim(target any) bool {
 	injector.mu.Lock()
 	defer injector.mu.Unlock()
@@ -77,63 +77,63 @@
 }
 
 func (injector *injector) inject(event Event) {
-	world := injector.world
-	node := world.Nodes[event.Target%len(world.Nodes)]
-	member := world.Members[event.Target%len(world.Members)]
+	deployment := injector.deployment
+	node := deployment.Nodes[event.Target%len(deployment.Nodes)]
+	member := deployment.Members[event.Target%len(deployment.Members)]
 	switch event.Kind {
 	case KindLeader:
 		event.Kind = []Kind{KindKill, KindFreeze, KindStop, KindCut}[event.Variant%4]
-		injector.onNode(event, injector.leader(node))
+		injector.injectNodeFault(event, injector.leader(node))
 	case KindKill, KindFreeze, KindStop, KindCut, KindCutOneWay, KindReset, KindSettings:
-		injector.onNode(event, node)
+		injector.injectNodeFault(event, node)
 	case KindKillMany:
 		injector.killMany(event, func(index int) bool { return (index+event.Target)%2 == 0 })
 	case KindKillAll:
 		injector.killMany(event, func(int) bool { return true })
-	case KindReplica, KindReplicaLink, KindReplicaBad, KindDrain:
-		injector.onMember(event, member)
-	case KindSeries:
-		injector.series(event, node)
+	case KindReplicaCrash, KindReplicaLink, KindReplicaBad, KindDrain:
+		injector.injectReplicaFault(event, member)
+	case KindSignalSeries:
+		injector.sendSignalSeries(event, node)
 	case KindUpgrade:
 		injector.upgrade(event, node)
 	case KindSilence:
 		injector.silence(event, node, member)
-	case KindEnding:
-		injector.endings.send(injector.ctx, event)
+	case KindCrashRequest:
+		injector.crashRequests.send(injector.ctx, event)
 	case KindConfigure:
-		world.Configure()
+		deployment.Configure()
 	case KindCloudDown, KindCloudLost:
-		world.Cloud.SetFaults(site.CloudFaults{Down: event.Kind == KindCloudDown, Lost: event.Kind == KindCloudLost})
+		deployment.Cloud.SetFaults(site.CloudFaults{Down: event.Kind == KindCloudDown, Lost: event.Kind == KindCloudLost})
 		time.Sleep(event.For)
-		world.Cloud.SetFaults(site.CloudFaults{})
+		deployment.Cloud.SetFaults(site.CloudFaults{})
 	default:
-		injector.onStore(event)
+		injector.injectStoreFault(event)
 	}
 }
 
-// noteStore notes that a fault of the store begins or ends now.
-func (injector *injector) noteStore() {
+// noteStoreFault records that a fault of the store starts or ends now.
+func (injector *injector) noteStoreFault() {
 	injector.mu.Lock()
 	defer injector.mu.Unlock()
-	injector.storeFaulted = time.Now()
+	injector.lastStoreFault = time.Now()
 }
 
-// inTouch reports whether a node and the store have had no fault for some time.
-func (injector *injector) inTouch(node *Node) bool {
+// faultFree reports whether neither the node nor the store has had a fault within recoveryTime.
+func (injector *injector) faultFree(node *Node) bool {
 	injector.mu.Lock()
 	defer injector.mu.Unlock()
 	now := time.Now()
-	return !injector.busy[node] && !injector.busy[injector.world.Store] && now.Sub(node.Faulted()) > contactTime && now.Sub(injector.storeFaulted) > contactTime
+	return !injector.busy[node] && !injector.busy[injector.deployment.Store] && now.Sub(node.LastFault()) > recoveryTime && now.Sub(injector.lastStoreFault) > recoveryTime
 }
 
-// leader returns the node that gave the last order, or another one if there was none.
+// leader returns the node that sent the last order, or the other node if none was sent.
 func (injector *injector) leader(other *Node) *Node {
-	orders := injector.world.Executions.Orders()
+	orders := injector.deployment.Executions.Orders()
 	if len(orders) == 0 {
 		return other
 	}
 	holder := orders[len(orders)-1].Holder
-	for _, node := range injector.world.Nodes {
+	for _, node := range injector.deployment.Nodes {
 		if node.Name == holder {
 			return node
 		}
@@ -141,57 +141,57 @@
 	return other
 }
 
-// onNode injects a fault of one node.
-func (injector *injector) onNode(event Event, node *Node) {
+// injectNodeFault injects a fault of a node.
+func (injector *injector) injectNodeFault(event Event, node *Node) {
 	if !injector.claim(node) {
 		return
 	}
 	defer injector.release(node)
-	node.Fault()
-	defer node.Fault()
+	node.NoteFault()
+	defer node.NoteFault()
 	switch event.Kind {
 	case KindKill:
 		restart(node, syscall.SIGKILL, event.For/2)
 	case KindFreeze:
 		if node.Signal(syscall.SIGSTOP, false) == nil {
 			time.Sleep(event.For)
-			_ = node.Signal(syscall.SIGCONT, false) // it can't have ended meanwhile
+			_ = node.Signal(syscall.SIGCONT, false) // a paused process cannot exit
 		}
 	case KindStop:
 		restart(node, syscall.SIGTERM, event.For/4)
 	case KindCut:
-		link(node.StoreLink, event, LinkState{HoldRequests: true, HoldAnswers: true})
+		setLinkStateFor(node.StoreLink, event, LinkState{HoldRequests: true, HoldAnswers: true})
 	case KindCutOneWay:
-		link(node.StoreLink, event, LinkState{HoldAnswers: true})
+		setLinkStateFor(node.StoreLink, event, LinkState{HoldAnswers: true})
 	case KindReset:
 		node.StoreLink.Reset()
 	case KindSettings:
-		damageSettings(node, event.For)
+		truncateSettings(node, event.For)
 	}
 }
 
-// silence has the open connections of one link go silent: that of a node to the store, or those of all nodes to a replica.
+// silence makes the open connections of one link go silent: the link of a node to the store, or the link of all nodes to a replica.
 func (injector *injector) silence(event Event, node *Node, member *Member) {
 	if event.Variant%2 == 0 {
 		if !injector.claim(node) {
 			return
 		}
 		defer injector.release(node)
-		node.Fault()
-		defer node.Fault()
+		node.NoteFault()
+		defer node.NoteFault()
 		node.StoreLink.Silence()
 	} else {
 		if !injector.claim(member) {
 			return
 		}
 		defer injector.release(member)
-		defer member.harmLink()()
+		defer member.noteLinkFault()()
 		member.Link.Silence()
 	}
 	time.Sleep(event.For)
 }
 
-// signalSeries are what a process gets in quick succession, up to its last planned stop.
+// signalSeries are the series of signals that a process receives in quick succession. Each contains a graceful shutdown.
 var signalSeries = [][]syscall.Signal{
 	{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM},
 	{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP},
@@ -199,23 +199,24 @@
 	{syscall.SIGTERM, syscall.SIGSTOP, syscall.SIGCONT, syscall.SIGTERM},
 }
 
-// seriesGap is the longest time between two signals of a series, and seriesLength how many planned stops follow each other.
+// maxSignalGap bounds the time between two signals of a series. seriesRepeats is how often a series is sent, each
+// time to a new incarnation.
 const (
-	seriesGap    = 250 * time.Millisecond
-	seriesLength = 2
+	maxSignalGap  = 250 * time.Millisecond
+	seriesRepeats = 2
 )
 
-// series sends signals to a process in quick succession that stop it as planned, starts it again at once, and does so again.
-func (injector *injector) series(event Event, node *Node) {
+// sendSignalSeries sends a series of signals that shuts a process down gracefully, restarts the process at once, and repeats both.
+func (injector *injector) sendSignalSeries(event Event, node *Node) {
 	if !injector.claim(node) {
 		return
 	}
 	defer injector.release(node)
-	node.Fault()
-	defer node.Fault()
+	node.NoteFault()
+	defer node.NoteFault()
 	signals := signalSeries[event.Variant%len(signalSeries)]
-	gap := time.Duration(event.Variant%5) * seriesGap / 5
-	for range seriesLength {
+	gap := time.Duration(event.Variant%5) * maxSignalGap / 5
+	for range seriesRepeats {
 		for _, signal := range signals {
 			if node.Signal(signal, signal == syscall.SIGTERM) != nil {
 				break
@@ -225,115 +226,115 @@
 			}
 			time.Sleep(gap)
 		}
-		if !node.AwaitEnd(graceTime) {
+		if !node.AwaitExit(gracePeriod) {
 			node.stopping.Store(false)
-			_ = node.Signal(syscall.SIGKILL, true) // as the platform does after the grace
-			node.AwaitEnd(closeLimit)
+			_ = node.Signal(syscall.SIGKILL, true) // as the platform does after the grace period
+			node.AwaitExit(closeTimeout)
 		}
-		_ = node.Start() // a failure shows as a node that never serves
+		_ = node.Start() // the final checks find a node that failed to start
 		node.stopping.Store(false)
-		time.Sleep(startTime)
+		time.Sleep(startupTime)
 	}
 }
 
-// startTime is what a front takes to serve again after its start, with some to spare.
-const startTime = 600 * time.Millisecond
+// startupTime is long enough for a front to become ready after a start.
+const startupTime = 600 * time.Millisecond
 
-// restart ends a process by a signal and starts it again after a pause.
+// restart stops a process with a signal and starts it again after the downtime.
 func restart(node *Node, signal syscall.Signal, down time.Duration) {
 	if node.Signal(signal, true) != nil {
 		return
 	}
 	node.stopping.Store(signal == syscall.SIGTERM)
 	defer node.stopping.Store(false)
-	if !node.AwaitEnd(graceTime) {
+	if !node.AwaitExit(gracePeriod) {
 		node.stopping.Store(false)
-		_ = node.Signal(syscall.SIGKILL, true) // as the platform does after the grace
-		node.AwaitEnd(closeLimit)
+		_ = node.Signal(syscall.SIGKILL, true) // as the platform does after the grace period
+		node.AwaitExit(closeTimeout)
 	}
 	time.Sleep(down)
-	_ = node.Start() // a failure shows as a node that never serves
+	_ = node.Start() // the final checks find a node that failed to start
 }
 
-func link(proxy *Proxy, event Event, state LinkState) {
+func setLinkStateFor(proxy *Proxy, event Event, state LinkState) {
 	proxy.Set(state)
 	time.Sleep(event.For)
 	proxy.Set(LinkState{})
 }
 
-// damageSettings has a process find half of its settings file, and the whole again later.
-func damageSettings(node *Node, lasting time.Duration) {
+// truncateSettings has a process reload half of its settings file, and the whole file after the duration.
+func truncateSettings(node *Node, duration time.Duration) {
 	content, err := os.ReadFile(node.settings)
 	if err != nil {
 		return
 	}
-	_ = os.WriteFile(node.settings, content[:len(content)/2], 0o600) // the fault is then not injected
+	_ = os.WriteFile(node.settings, content[:len(content)/2], 0o600) // a failure only means that the fault is not injected
 	_ = node.Signal(syscall.SIGHUP, false)
-	time.Sleep(lasting)
+	time.Sleep(duration)
 	_ = os.WriteFile(node.settings, content, 0o600)
 	_ = node.Signal(syscall.SIGHUP, false)
 }
 
-// killMany kills processes at the same moment.
+// killMany kills the chosen processes at the same time and restarts them.
 func (injector *injector) killMany(event Event, chosen func(index int) bool) {
 	var restarts sync.WaitGroup
-	for index, node := range injector.world.Nodes {
+	for index, node := range injector.deployment.Nodes {
 		if chosen(index) && injector.claim(node) {
 			restarts.Go(func() {
 				defer injector.release(node)
-				node.Fault()
+				node.NoteFault()
 				restart(node, syscall.SIGKILL, event.For/4)
-				node.Fault()
+				node.NoteFault()
 			})
 		}
 	}
 	restarts.Wait()
 }
 
-// onMember injects a fault of one replica.
-func (injector *injector) onMember(event Event, member *Member) {
+// injectReplicaFault injects a fault of a replica.
+func (injector *injector) injectReplicaFault(event Event, member *Member) {
 	if !injector.claim(member) {
 		return
 	}
 	defer injector.release(member)
 	switch event.Kind {
-	case KindReplica:
+	case KindReplicaCrash:
 		member.Crash()
 		time.Sleep(event.For)
-		member.Return()
+		member.Restart()
 	case KindReplicaLink:
-		defer member.harmLink()()
-		link(member.Link, event, []LinkState{{HoldAnswers: true}, {HoldRequests: true}, {Delay: slowLink}, {Refuse: true}}[event.Variant%4])
+		defer member.noteLinkFault()()
+		setLinkStateFor(member.Link, event, []LinkState{{HoldAnswers: true}, {HoldRequests: true}, {Delay: slowLinkDelay}, {Refuse: true}}[event.Variant%4])
 	case KindReplicaBad:
 		faults := []site.ReplicaFaults{{Full: true}, {CutAfter: 2}, {OtherAnswer: true}, {CloseSilently: true}}[event.Variant%4]
-		replica := member.Present()
+		replica := member.Current()
 		replica.SetFaults(faults)
 		time.Sleep(event.For)
 		replica.SetFaults(site.ReplicaFaults{})
 	case KindDrain:
-		member.Present().Drain()
+		member.Current().Drain()
 		time.Sleep(event.For + drainTime)
 		member.Crash()
-		member.Return()
+		member.Restart()
 	}
 }
 
 const (
-	slowLink  = 150 * time.Millisecond
-	slowStore = 250 * time.Millisecond
-	drainTime = 2 * time.Second
-	lostMost  = 6
+	slowLinkDelay  = 150 * time.Millisecond
+	slowStoreDelay = 250 * time.Millisecond
+	drainTime      = 2 * time.Second
+	maxLostAnswers = 6
 )
 
-// onStore injects a fault of the store. One at a time: a second one is passed over.
-func (injector *injector) onStore(event Event) {
-	store := injector.world.Store
+// injectStoreFault injects a fault of the store. It skips the event if the store already has a fault.
+func (injector *injector) injectStoreFault(event Event) {
+	store := injector.deployment.Store
 	if !injector.claim(store) {
 		return
 	}
 	defer injector.release(store)
-	injector.noteStore()
-	defer injector.noteStore()
+	injector.noteStoreFault()
+	defer injector.noteStoreFault()
 	switch event.Kind {
 	case KindStoreDown:
 		store.SetFaults(memstore.Faults{Down: true})
@@ -341,55 +342,55 @@
 		store.SetFaults(memstore.Faults{Silent: true})
 	case KindStoreLost:
 		late := time.Duration(event.Variant%3) * time.Second
-		store.SetFaults(memstore.Faults{LoseAnswers: 1 + event.Variant%lostMost, LateBy: late})
+		store.SetFaults(memstore.Faults{LoseAnswers: 1 + event.Variant%maxLostAnswers, LateBy: late})
 	case KindCompact:
 		store.Compact()
 	case KindStoreSlow:
-		injector.slowStore(event)
+		injector.delayStoreLinks(event)
 		return
 	}
 	time.Sleep(event.For)
 	store.SetFaults(memstore.Faults{})
 }
 
-// slowStore delays the links of all nodes that have no fault of their own.
-func (injector *injector) slowStore(event Event) {
+// delayStoreLinks delays the store links of all nodes that have no other fault.
+func (injector *injector) delayStoreLinks(event Event) {
 	var slowed []*Node
-	for _, node := range injector.world.Nodes {
+	for _, node := range injector.deployment.Nodes {
 		if injector.claim(node) {
 			slowed = append(slowed, node)
-			node.Fault()
-			node.StoreLink.Set(LinkState{Delay: slowStore})
+			node.NoteFault()
+			node.StoreLink.Set(LinkState{Delay: slowStoreDelay})
 		}
 	}
 	time.Sleep(event.For)
 	for _, node := range slowed {
 		node.StoreLink.Set(LinkState{})
-		node.Fault()
+		node.NoteFault()
 		injector.release(node)
 	}
 }
 
-// calm tells since when no fault has been in force. It is safe for concurrent use.
-type calm struct {
+// activeFaults counts the active faults and records when that count last changed. It is safe for concurrent use.
+type activeFaults struct {
 	mu      sync.Mutex
 	active  int
-	changed time.Time // when the last fault began or ended
+	changed time.Time // when a fault last started or ended
 }
 
-func (calm *calm) begin() { calm.add(1) }
-func (calm *calm) end()   { calm.add(-1) }
+func (faults *activeFaults) begin() { faults.add(1) }
+func (faults *activeFaults) end()   { faults.add(-1) }
 
-func (calm *calm) add(count int) {
-	calm.mu.Lock()
-	defer calm.mu.Unlock()
-	calm.active += count
-	calm.changed = time.Now()
+func (faults *activeFaults) add(count int) {
+	faults.mu.Lock()
+	defer faults.mu.Unlock()
+	faults.active += count
+	faults.changed = time.Now()
 }
 
-// since returns since when no fault has begun, been in force or ended; false while one is in force.
-func (calm *calm) since() (time.Time, bool) {
-	calm.mu.Lock()
-	defer calm.mu.Unlock()
-	return calm.changed, calm.active == 0
+// idleSince returns when a fault last started or ended, and whether no fault is active.
+func (faults *activeFaults) idleSince() (time.Time, bool) {
+	faults.mu.Lock()
+	defer faults.mu.Unlock()
+	return faults.changed, faults.active == 0
 }
--- a/internal/lab/platform/soak/mixed.go
+++ b/internal/lab/platform/soak/mixed.go
@@ -8,53 +8,53 @@
 	"time"
 )
 
-// Build is one of the two programs of a deployment that is upgraded.
+// Build is one of the two programs that a deployment runs during an upgrade.
 type Build string
 
-// The builds.
+// Builds of the program.
 const (
-	BuildCurrent    Build = "current"    // the program of the sources as they stand
-	BuildProduction Build = "production" // the one that runs in production
+	BuildCurrent    Build = "current"    // built from the current sources
+	BuildProduction Build = "production" // the build that runs in production
 )
 
 const (
-	// mixedStream is the stream of chance for upgrades, drawn apart from the other faults.
-	mixedStream = 0xb11d
-	// shortestUpgradeGap and longestUpgradeGap are between two machines that start again on another build, one after the other.
-	shortestUpgradeGap = 400 * time.Millisecond
-	longestUpgradeGap  = 2500 * time.Millisecond
-	// nodesOfWorld is how many machines there are.
-	nodesOfWorld = fronts + orderers
+	// upgradeStream is the random stream of the upgrades. A stream of its own leaves the other faults of a seed unchanged.
+	upgradeStream = 0xb11d
+	// minUpgradeGap and maxUpgradeGap bound the time between the upgrades of two nodes.
+	minUpgradeGap = 400 * time.Millisecond
+	maxUpgradeGap = 2500 * time.Millisecond
+	// nodeCount is the number of nodes.
+	nodeCount = frontCount + ordererCount
 )
 
-// upgradeCourse is what becomes of an upgrade.
+// upgradeCourse is the course that an upgrade of the deployment takes.
 type upgradeCourse int
 
-// The courses of an upgrade, by which they are drawn.
+// Courses of an upgrade, in the order in which their numbers are drawn.
 const (
-	courseForth     upgradeCourse = iota // all machines, one after the other
-	courseHalted                         // half of them: the deployment stays mixed
-	courseBack                           // half of them, which are then taken back
-	courseAlternate                      // one machine to and fro, then all
-	courses
+	courseComplete   upgradeCourse = iota // all nodes, one after the other
+	courseHalted                          // half of the nodes; the deployment stays mixed
+	courseRolledBack                      // half of the nodes, which are then rolled back
+	courseAlternate                       // one node is upgraded and rolled back twice, then all are upgraded
+	courseCount
 )
 
-// DrawMixed returns the plan of a seed in which machines start again on another build beside the other faults. It begins in production, but for some
-// machines of one seed in four.
+// DrawMixed returns the plan of a seed in which an upgrade runs alongside the other faults. All nodes start on the production build; for one seed in
+// four, one or two of them start on the current build. The plan has no faults of usage reporting, which the production build does not support.
 func DrawMixed(seed uint64, length time.Duration) Plan {
 	plan := Draw(seed, length)
 	plan.Events = slices.DeleteFunc(plan.Events, func(event Event) bool { return event.Kind == KindCloudDown || event.Kind == KindCloudLost })
-	random := rand.New(rand.NewPCG(seed, mixedStream))
-	plan.Builds = make([]Build, nodesOfWorld)
+	random := rand.New(rand.NewPCG(seed, upgradeStream))
+	plan.Builds = make([]Build, nodeCount)
 	for index := range plan.Builds {
 		plan.Builds[index] = BuildProduction
 	}
 	if random.IntN(4) == 0 {
-		plan.Builds[random.IntN(nodesOfWorld)] = BuildCurrent
-		plan.Builds[random.IntN(nodesOfWorld)] = BuildCurrent
+		plan.Builds[random.IntN(nodeCount)] = BuildCurrent
+		plan.Builds[random.IntN(nodeCount)] = BuildCurrent
 	}
-	gap := shortestUpgradeGap + time.Duration(random.Int64N(int64(longestUpgradeGap-shortestUpgradeGap)))
-	at := firstFault / 2
+	gap := minUpgradeGap + time.Duration(random.Int64N(int64(maxUpgradeGap-minUpgradeGap)))
+	at := firstFaultAt / 2
 	for _, step := range upgradeSteps(random) {
 		if at >= length {
 			break
@@ -66,15 +66,15 @@
 	return plan
 }
 
-// upgradeStep has a machine start again on a build.
+// upgradeStep restarts a node on a build.
 type upgradeStep struct {
 	node  int
 	build Build
 }
 
 func upgradeSteps(random *rand.Rand) []upgradeStep {
-	order := random.Perm(nodesOfWorld)
-	half := order[:nodesOfWorld/2]
+	order := random.Perm(nodeCount)
+	half := order[:nodeCount/2]
 	to := func(nodes []int, build Build) []upgradeStep {
 		steps := make([]upgradeStep, 0, len(nodes))
 		for _, node := range nodes {
@@ -82,10 +82,10 @@
 		}
 		return steps
 	}
-	switch upgradeCourse(random.IntN(int(courses))) {
+	switch upgradeCourse(random.IntN(int(courseCount))) {
 	case courseHalted:
 		return to(half, BuildCurrent)
-	case courseBack:
+	case courseRolledBack:
 		return append(to(half, BuildCurrent), to(half, BuildProduction)...)
 	case courseAlternate:
 		one := order[:1]
@@ -94,14 +94,14 @@
 	return to(order, BuildCurrent)
 }
 
-// upgrade stops a machine as planned and starts it again on a build.
+// upgrade shuts a node down gracefully and restarts it on the build of the event.
 func (injector *injector) upgrade(event Event, node *Node) {
 	if !injector.claim(node) {
-		return // it stays on the build that it has
+		return // the node keeps its build
 	}
 	defer injector.release(node)
-	node.Fault()
-	defer node.Fault()
-	node.Use(injector.world.programs[event.Build])
+	node.NoteFault()
+	defer node.NoteFault()
+	node.SetBinary(injector.deployment.programs[event.Build])
 	restart(node, syscall.SIGTERM, 0)
 }
--- a/internal/lab/platform/soak/plan.go
+++ b/internal/lab/platform/soak/plan.go
@@ -14,56 +14,56 @@
 
 // The kinds of faults.
 const (
-	KindKill        Kind = "kill"         // one process is killed and started again
-	KindLeader      Kind = "leader"       // the process that gave the last order is killed, frozen or stopped
-	KindFreeze      Kind = "freeze"       // one process stands still
-	KindStop        Kind = "stop"         // one process is stopped as planned and started again
-	KindKillMany    Kind = "kill-many"    // half of the processes are killed at the same moment
-	KindKillAll     Kind = "kill-all"     // all processes are killed at the same moment
-	KindStoreDown   Kind = "store-down"   // the store refuses everything
-	KindStoreSilent Kind = "store-silent" // the store answers nothing
-	KindStoreSlow   Kind = "store-slow"   // the store's answers come late
-	KindStoreLost   Kind = "store-lost"   // answers of the store are lost, or writes are done late
-	KindCompact     Kind = "compact"      // the store forgets its history
-	KindCut         Kind = "cut"          // one node and the store are cut off
-	KindCutOneWay   Kind = "cut-one-way"  // the store's answers to one node are held up
-	KindReset       Kind = "reset"        // connections of one node to the store are reset
-	KindReplica     Kind = "replica"      // a replica crashes and returns
-	KindReplicaLink Kind = "replica-link" // the link to a replica is silent, one-way or slow
-	KindReplicaBad  Kind = "replica-bad"  // a replica refuses, breaks off, or answers for another request
-	KindDrain       Kind = "drain"        // a replica drains, leaves, and returns
-	KindSettings    Kind = "settings"     // a settings file is damaged, and made right again
-	KindConfigure   Kind = "configure"    // the operator changes the configuration
-	KindCloudDown   Kind = "cloud-down"   // the platform refuses reports of usage
-	KindCloudLost   Kind = "cloud-lost"   // the platform takes reports of usage and does not answer
-	KindSeries      Kind = "series"       // signals to one process in quick succession, of which some stop it as planned, twice in a row
-	KindSilence     Kind = "silence"      // the open connections of a link go silent for good, and new ones work
-	KindEnding      Kind = "ending"       // a request comes again and again under which replicas end
-	KindUpgrade     Kind = "upgrade"      // one process is stopped as planned and started again on a build
+	KindKill         Kind = "kill"         // a process is killed and restarted
+	KindLeader       Kind = "leader"       // the process that sent the last order is killed, frozen, stopped or cut off
+	KindFreeze       Kind = "freeze"       // a process is paused
+	KindStop         Kind = "stop"         // a process is shut down gracefully and restarted
+	KindKillMany     Kind = "kill-many"    // half of the processes are killed at the same time
+	KindKillAll      Kind = "kill-all"     // all processes are killed at the same time
+	KindStoreDown    Kind = "store-down"   // the metadata store refuses all requests
+	KindStoreSilent  Kind = "store-silent" // the metadata store does not answer
+	KindStoreSlow    Kind = "store-slow"   // the links to the metadata store are slow
+	KindStoreLost    Kind = "store-lost"   // answers to writes are lost, and the writes may be applied late
+	KindCompact      Kind = "compact"      // the metadata store compacts its history
+	KindCut          Kind = "cut"          // a node is partitioned from the metadata store
+	KindCutOneWay    Kind = "cut-one-way"  // the metadata store's answers to a node are held
+	KindReset        Kind = "reset"        // a node's connections to the metadata store are reset
+	KindReplicaCrash Kind = "replica"      // a replica crashes and restarts
+	KindReplicaLink  Kind = "replica-link" // the link to a replica passes one direction only, is slow, or refuses connections
+	KindReplicaBad   Kind = "replica-bad"  // a replica refuses requests, breaks off answers, or answers for another request
+	KindDrain        Kind = "drain"        // a replica drains, stops and restarts
+	KindSettings     Kind = "settings"     // a settings file is truncated and later restored
+	KindConfigure    Kind = "configure"    // the operator applies a new configuration
+	KindCloudDown    Kind = "cloud-down"   // the platform refuses usage reports
+	KindCloudLost    Kind = "cloud-lost"   // the platform accepts usage reports without answering
+	KindSignalSeries Kind = "series"       // a process receives signals in quick succession, some of which shut it down gracefully
+	KindSilence      Kind = "silence"      // the open connections of a link go silent for good; new ones work
+	KindCrashRequest Kind = "ending"       // a request that crashes replicas is sent repeatedly
+	KindUpgrade      Kind = "upgrade"      // a process is shut down gracefully and restarted on another build
 )
 
-// weights is how often each kind is drawn.
+// kindWeights are the relative frequencies at which Draw draws the kinds.
 var kindWeights = []struct {
 	kind   Kind
 	weight int
 }{
 	{KindKill, 4}, {KindLeader, 3}, {KindFreeze, 3}, {KindStop, 3}, {KindKillMany, 1}, {KindKillAll, 1}, {KindStoreDown, 2}, {KindStoreSilent, 2}, {KindStoreSlow, 2},
-	{KindStoreLost, 2}, {KindCompact, 1}, {KindCut, 2}, {KindCutOneWay, 2}, {KindReset, 2}, {KindReplica, 3}, {KindReplicaLink, 3}, {KindReplicaBad, 3},
+	{KindStoreLost, 2}, {KindCompact, 1}, {KindCut, 2}, {KindCutOneWay, 2}, {KindReset, 2}, {KindReplicaCrash, 3}, {KindReplicaLink, 3}, {KindReplicaBad, 3},
 	{KindDrain, 2}, {KindSettings, 1}, {KindConfigure, 3},
 }
 
-// Event is one fault of a plan.
+// Event is a fault of a plan.
 type Event struct {
 	Kind Kind
 	At   time.Duration
 	For  time.Duration
-	// Target picks the node or replica, Variant the way, by remainder.
+	// Target selects the node or replica, and Variant the form of the fault, each modulo the number of choices.
 	Target, Variant int
-	// Build is what a process is started on by an upgrade.
+	// Build is the build that an upgrade starts.
 	Build Build
 }
 
-// String returns one line.
+// String describes the event in one line.
 func (event Event) String() string {
 	if event.Kind == KindUpgrade {
 		return fmt.Sprintf("%6.2fs %s target %d to %s", event.At.Seconds(), event.Kind, event.Target, event.Build)
@@ -71,16 +71,16 @@
 	return fmt.Sprintf("%6.2fs for %.2fs %s target %d variant %d", event.At.Seconds(), event.For.Seconds(), event.Kind, event.Target, event.Variant)
 }
 
-// Plan is a drawn sequence of faults.
+// Plan is a sequence of faults drawn from a seed.
 type Plan struct {
 	Seed   uint64
 	Length time.Duration
 	Events []Event
-	// Builds are what the machines begin on; none where all run the current one.
+	// Builds are the builds on which the nodes start, by index; empty if all start on the current one.
 	Builds []Build
 }
 
-// String returns a line for each event.
+// String returns a summary line and a line for each event.
 func (plan Plan) String() string {
 	lines := []string{fmt.Sprintf("seed %d, %s, %d faults", plan.Seed, plan.Length, len(plan.Events))}
 	if len(plan.Builds) > 0 {
@@ -94,67 +94,68 @@
 
 // Times of a plan.
 const (
-	// firstFault leaves the processes time to start and to serve.
-	firstFault = 2500 * time.Millisecond
-	longestGap = 1800 * time.Millisecond
-	shortest   = 400 * time.Millisecond
-	longest    = 5 * time.Second
-	targets    = 1000
-	// longestCloudGap is the longest time between two faults of the platform's calls for reports, of which there is one each usageWindow.
-	longestCloudGap = 8 * time.Second
-	// cloudStream is the stream of chance for these faults. They are drawn apart from the others, whose plans they leave as they were.
+	// firstFaultAt leaves the processes time to start and become ready.
+	firstFaultAt     = 2500 * time.Millisecond
+	maxFaultGap      = 1800 * time.Millisecond
+	minFaultDuration = 400 * time.Millisecond
+	maxFaultDuration = 5 * time.Second
+	targetRange      = 1000
+	// maxCloudFaultGap bounds the random part of the gap between two faults of the platform's usage reporting.
+	maxCloudFaultGap = 8 * time.Second
+	// cloudStream is the random stream of these faults. A stream of its own leaves the other faults of a seed unchanged.
 	cloudStream = 0xc10d
-	// seriesStream is that of series of signals and of requests that end replicas.
-	seriesStream = 0x5e71
-	// silenceTime is how long a link counts as harmed whose connections went silent: until each has been noticed, by a time-out.
-	silenceTime = 3 * time.Second
-	// longestSeriesGap is the longest time between two series, and endingRequests is how many requests that end replicas a plan has.
-	longestSeriesGap = 12 * time.Second
-	endingRequests   = 2
+	// overlapStream is the random stream of the faults that DrawOverlapping adds.
+	overlapStream = 0x5e71
+	// silenceDuration is how long a link counts as faulty after its connections went silent. By then, a timeout has detected each of them.
+	silenceDuration = 3 * time.Second
+	// maxSeriesGap bounds the random part of the gap between two signal series or two silences. crashRequestsPerPlan is the number of requests
+	// in a plan that crash replicas.
+	maxSeriesGap         = 12 * time.Second
+	crashRequestsPerPlan = 2
 )
 
-// Draw returns the plan of a seed. Faults follow each other closely enough to overlap.
+// Draw returns the plan of a seed. The gaps between faults are short enough for faults to overlap.
 func Draw(seed uint64, length time.Duration) Plan {
 	random := rand.New(rand.NewPCG(seed, seed))
 	plan := Plan{Seed: seed, Length: length}
-	for at := firstFault; at < length; at += time.Duration(random.Int64N(int64(longestGap))) {
-		lasting := shortest + time.Duration(random.Int64N(int64(longest-shortest)))
+	for at := firstFaultAt; at < length; at += time.Duration(random.Int64N(int64(maxFaultGap))) {
+		duration := minFaultDuration + time.Duration(random.Int64N(int64(maxFaultDuration-minFaultDuration)))
 		plan.Events = append(plan.Events, Event{
-			Kind: drawKind(random), At: at, For: min(lasting, length-at), Target: random.IntN(targets), Variant: random.IntN(targets),
+			Kind: drawKind(random), At: at, For: min(duration, length-at), Target: random.IntN(targetRange), Variant: random.IntN(targetRange),
 		})
 	}
-	plan.Events = append(plan.Events, drawCloud(seed, length)...)
+	plan.Events = append(plan.Events, drawCloudFaults(seed, length)...)
 	slices.SortStableFunc(plan.Events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return plan
 }
 
-// DrawOverlapping returns the plan of a seed with series of signals, connections that go silent and requests that end replicas besides, which overlap
-// the other faults.
+// DrawOverlapping returns the plan that Draw returns for the seed, and adds signal series, silent connections and requests that crash replicas,
+// which overlap the other faults.
 func DrawOverlapping(seed uint64, length time.Duration) Plan {
 	plan := Draw(seed, length)
-	random := rand.New(rand.NewPCG(seed, seriesStream))
-	for at := firstFault; at < length; at += longest/2 + time.Duration(random.Int64N(int64(longestSeriesGap))) {
-		plan.Events = append(plan.Events, Event{Kind: KindSeries, At: at, For: min(longest, length-at), Target: random.IntN(targets), Variant: random.IntN(targets)})
+	random := rand.New(rand.NewPCG(seed, overlapStream))
+	for at := firstFaultAt; at < length; at += maxFaultDuration/2 + time.Duration(random.Int64N(int64(maxSeriesGap))) {
+		plan.Events = append(plan.Events, Event{Kind: KindSignalSeries, At: at, For: min(maxFaultDuration, length-at), Target: random.IntN(targetRange), Variant: random.IntN(targetRange)})
 	}
-	for at := firstFault; at < length; at += longest/2 + time.Duration(random.Int64N(int64(longestSeriesGap))) {
-		plan.Events = append(plan.Events, Event{Kind: KindSilence, At: at, For: min(silenceTime, length-at), Target: random.IntN(targets), Variant: random.IntN(targets)})
+	for at := firstFaultAt; at < length; at += maxFaultDuration/2 + time.Duration(random.Int64N(int64(maxSeriesGap))) {
+		plan.Events = append(plan.Events, Event{Kind: KindSilence, At: at, For: min(silenceDuration, length-at), Target: random.IntN(targetRange), Variant: random.IntN(targetRange)})
 	}
-	for range endingRequests {
-		at := firstFault + time.Duration(random.Int64N(int64(max(1, length/2))))
-		plan.Events = append(plan.Events, Event{Kind: KindEnding, At: at, For: max(0, length-at), Target: random.IntN(targets), Variant: random.IntN(targets)})
+	for range crashRequestsPerPlan {
+		at := firstFaultAt + time.Duration(random.Int64N(int64(max(1, length/2))))
+		plan.Events = append(plan.Events, Event{Kind: KindCrashRequest, At: at, For: max(0, length-at), Target: random.IntN(targetRange), Variant: random.IntN(targetRange)})
 	}
 	slices.SortStableFunc(plan.Events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return plan
 }
 
-// drawCloud returns the faults of the platform's calls for reports.
-func drawCloud(seed uint64, length time.Duration) []Event {
+// drawCloudFaults returns the faults of the platform's usage reporting.
+func drawCloudFaults(seed uint64, length time.Duration) []Event {
 	random := rand.New(rand.NewPCG(seed, cloudStream))
 	var events []Event
-	for at := firstFault; at < length; at += longest/2 + time.Duration(random.Int64N(int64(longestCloudGap))) {
+	for at := firstFaultAt; at < length; at += maxFaultDuration/2 + time.Duration(random.Int64N(int64(maxCloudFaultGap))) {
 		kind := []Kind{KindCloudDown, KindCloudLost}[random.IntN(2)]
-		lasting := shortest + time.Duration(random.Int64N(int64(longest-shortest)))
-		events = append(events, Event{Kind: kind, At: at, For: min(lasting, length-at)})
+		duration := minFaultDuration + time.Duration(random.Int64N(int64(maxFaultDuration-minFaultDuration)))
+		events = append(events, Event{Kind: kind, At: at, For: min(duration, length-at)})
 	}
 	return events
 }
--- a/internal/lab/platform/soak/process.go
+++ b/internal/lab/platform/soak/process.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Process is one of the real programs. It is started again when it was ended, until Close.
+// Process runs a program as an operating system process. It may be started again after each exit.
 type Process struct {
 	Name     string
 	binary   string
@@ -19,20 +19,20 @@
 	settings string
 	folder   string
 
-	mu      sync.Mutex
-	command *exec.Cmd
-	ended   chan struct{} // closed when the present life has ended
-	wanted  bool          // its end was asked for
-	lives   int
-	faulted time.Time // when a fault of this process last was in force
-	// OnDeath is called when a life ends that nobody asked to end.
-	OnDeath func(process *Process, state string)
+	mu            sync.Mutex
+	command       *exec.Cmd
+	exited        chan struct{} // closed when the current incarnation has exited
+	stopRequested bool          // the exit of the current incarnation was requested
+	incarnations  int
+	lastFault     time.Time // when a fault of this process was last active
+	// OnUnexpectedExit is called when an incarnation exits without a request.
+	OnUnexpectedExit func(process *Process, state string)
 }
 
-// ErrNotRunning says that there is no life to signal.
-var ErrNotRunning = errors.New("the process does not run")
+// ErrNotRunning is returned if there is no running incarnation to signal.
+var ErrNotRunning = errors.New("the process is not running")
 
-// Start begins a life. Its output is added to the log file of the process.
+// Start starts an incarnation, whose output is appended to the log file of the process.
 func (process *Process) Start() error {
 	process.mu.Lock()
 	defer process.mu.Unlock()
@@ -46,89 +46,89 @@
 	if err := command.Start(); err != nil {
 		return errors.Wrapf(err, "start %s", process.binary)
 	}
-	process.command, process.ended, process.wanted = command, make(chan struct{}), false
-	process.lives++
-	go process.wait(command, process.ended)
+	process.command, process.exited, process.stopRequested = command, make(chan struct{}), false
+	process.incarnations++
+	go process.wait(command, process.exited)
 	return nil
 }
 
-// Use has the next lives run a program.
-func (process *Process) Use(binary string) {
+// SetBinary sets the program that later incarnations run.
+func (process *Process) SetBinary(binary string) {
 	process.mu.Lock()
 	defer process.mu.Unlock()
 	process.binary = binary
 }
 
-// LogPath is the file that holds the output of all lives.
+// LogPath returns the path of the log file, which holds the output of all incarnations.
 func (process *Process) LogPath() string { return filepath.Join(process.folder, process.Name+".log") }
 
-func (process *Process) wait(command *exec.Cmd, ended chan struct{}) {
-	_ = command.Wait() // its state tells
+func (process *Process) wait(command *exec.Cmd, exited chan struct{}) {
+	_ = command.Wait() // ProcessState holds the outcome
 	process.mu.Lock()
-	unasked := !process.wanted
+	unexpected := !process.stopRequested
 	process.mu.Unlock()
-	close(ended)
-	if unasked {
-		process.OnDeath(process, command.ProcessState.String())
+	close(exited)
+	if unexpected {
+		process.OnUnexpectedExit(process, command.ProcessState.String())
 	}
 }
 
-// Life counts the starts.
-func (process *Process) Life() int {
+// Incarnation returns how often the process has been started.
+func (process *Process) Incarnation() int {
 	process.mu.Lock()
 	defer process.mu.Unlock()
-	return process.lives
+	return process.incarnations
 }
 
-// Signal sends a signal to the present life. ends says that the signal is to end it.
-func (process *Process) Signal(signal syscall.Signal, ends bool) error {
+// Signal sends a signal to the current incarnation. With expectExit, a later exit counts as requested.
+func (process *Process) Signal(signal syscall.Signal, expectExit bool) error {
 	process.mu.Lock()
 	defer process.mu.Unlock()
 	if process.command == nil {
 		return ErrNotRunning
 	}
 	select {
-	case <-process.ended:
+	case <-process.exited:
 		return ErrNotRunning
 	default:
 	}
-	process.wanted = process.wanted || ends
+	process.stopRequested = process.stopRequested || expectExit
 	return process.command.Process.Signal(signal)
 }
 
-// AwaitEnd waits for the end of the present life and reports whether it came in time.
-func (process *Process) AwaitEnd(limit time.Duration) bool {
+// AwaitExit waits for the current incarnation to exit and reports whether it did so within the limit.
+func (process *Process) AwaitExit(limit time.Duration) bool {
 	process.mu.Lock()
-	ended := process.ended
+	exited := process.exited
 	process.mu.Unlock()
 	select {
-	case <-ended:
+	case <-exited:
 		return true
 	case <-time.After(limit):
 		return false
 	}
 }
 
-// Fault notes that a fault of this process is in force now, or has just ended.
-func (process *Process) Fault() {
+// NoteFault records that a fault of this process is active now or has just ended.
+func (process *Process) NoteFault() {
 	process.mu.Lock()
 	defer process.mu.Unlock()
-	process.faulted = time.Now()
+	process.lastFault = time.Now()
 }
 
-// Faulted returns when a fault of this process was last in force.
-func (process *Process) Faulted() time.Time {
+// LastFault returns when a fault of this process was last active.
+func (process *Process) LastFault() time.Time {
 	process.mu.Lock()
 	defer process.mu.Unlock()
-	return process.faulted
+	return process.lastFault
 }
 
-// Close ends the process for good.
+// Close kills the current incarnation.
 func (process *Process) Close() {
 	if process.Signal(syscall.SIGCONT, true) == nil {
-		_ = process.Signal(syscall.SIGKILL, true) // it may have ended by itself
-		process.AwaitEnd(closeLimit)
+		_ = process.Signal(syscall.SIGKILL, true) // it may have exited already
+		process.AwaitExit(closeTimeout)
 	}
 }
 
-const closeLimit = 3 * time.Second
+const closeTimeout = 3 * time.Second
--- a/internal/lab/platform/soak/proxy.go
+++ b/internal/lab/platform/soak/proxy.go
@@ -1,6 +1,6 @@
-// Package soak runs the real programs of the users' platform as separate processes on the loopback address, over stand-ins of the
-// platform, injects faults from outside of them, and checks the promises by what callers and back ends see. A plan of faults
-// is drawn from a seed; what the processes do with it is real and differs from run to run.
+// Package soak runs the real programs as separate processes on the loopback address, with stand-ins for the users' platform and the replicas. It
+// injects faults from outside the processes and checks the product's promises by what callers and replicas observe. A seed determines the plan of
+// faults; the timing within the processes still differs from run to run.
 package soak
 
 import (
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// LinkState says what a proxy does with its connections. The zero value passes everything on.
+// LinkState holds the faults of a link. The zero value forwards all data.
 type LinkState struct {
-	// Delay holds up every piece of data.
+	// Delay delays every chunk of data.
 	Delay time.Duration
-	// HoldRequests and HoldAnswers keep the data of one direction until the link heals. Both together are silence.
+	// HoldRequests and HoldAnswers hold the data of one direction until the link heals. Both together act as a network partition.
 	HoldRequests, HoldAnswers bool
 	// Refuse resets new connections.
 	Refuse bool
 }
 
-// Proxy passes the connections of a loopback address on to a target, with the faults of a link.
+// Proxy forwards connections from a loopback address to a target, and simulates the faults of a link.
 type Proxy struct {
 	listener net.Listener
 	target   string
@@ -30,13 +30,13 @@
 	changed chan struct{} // closed when the state changes
 	conns   map[net.Conn]bool
 	closed  bool
-	// accepted counts the connections, and those up to silenced say nothing any more.
+	// accepted counts the connections. Those numbered up to silenced transmit nothing any more.
 	accepted, silenced int
 }
 
 const copyBuffer = 16 << 10
 
-// NewProxy returns a proxy to a target on an address of its own.
+// NewProxy starts a proxy to a target on a free port.
 func NewProxy(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,7 +47,7 @@
 	return proxy, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (proxy *Proxy) Address() string { return proxy.listener.Addr().String() }
 
 // Set changes the state of the link.
@@ -68,14 +68,14 @@
 	}
 }
 
-// Silence has the present connections say nothing any more, for good and without a reset; new ones work.
+// Silence makes the open connections drop all data from now on, without closing or resetting them. New connections work.
 func (proxy *Proxy) Silence() {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	proxy.silenced = proxy.accepted
 }
 
-// isSilenced reports whether a connection, by its number, says nothing any more.
+// isSilenced reports whether the connection of a number drops its data.
 func (proxy *Proxy) isSilenced(number int) bool {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
@@ -90,12 +90,12 @@
 	return proxy.accepted
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (proxy *Proxy) Close() {
 	proxy.mu.Lock()
 	proxy.closed = true
 	proxy.mu.Unlock()
-	_ = proxy.listener.Close() // nobody waits for its outcome
+	_ = proxy.listener.Close() // no data can be lost
 	proxy.Reset()
 	proxy.Set(LinkState{})
 }
@@ -103,7 +103,7 @@
 // resetConn closes a connection so that its peer sees a reset.
 func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // the close resets only then; a failure closes it in order
+		_ = tcp.SetLinger(0) // makes Close send a reset; on failure, the connection is closed normally
 	}
 	_ = conn.Close() // it may be closed already
 }
@@ -118,13 +118,13 @@
 	}
 }
 
-func (proxy *Proxy) current() (LinkState, <-chan struct{}) {
+func (proxy *Proxy) currentState() (LinkState, <-chan struct{}) {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	return proxy.state, proxy.changed
 }
 
-// track adds a connection to those that Reset reaches; false when the proxy is closed.
+// track adds a connection to those that Reset resets. It returns false if the proxy is closed.
 func (proxy *Proxy) track(conn net.Conn) bool {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
@@ -134,7 +134,7 @@
 	return !proxy.closed
 }
 
-func (proxy *Proxy) forget(conn net.Conn) {
+func (proxy *Proxy) untrack(conn net.Conn) {
 	proxy.mu.Lock()
 	delete(proxy.conns, conn)
 	proxy.mu.Unlock()
@@ -142,12 +142,12 @@
 }
 
 func (proxy *Proxy) serve(caller net.Conn) {
-	state, _ := proxy.current()
+	state, _ := proxy.currentState()
 	if state.Refuse || !proxy.track(caller) {
 		resetConn(caller)
 		return
 	}
-	defer proxy.forget(caller)
+	defer proxy.untrack(caller)
 	target, err := net.Dial("tcp", proxy.target)
 	if err != nil {
 		resetConn(caller)
@@ -157,7 +157,7 @@
 		resetConn(target)
 		return
 	}
-	defer proxy.forget(target)
+	defer proxy.untrack(target)
 	number := proxy.number()
 	var directions sync.WaitGroup
 	directions.Go(func() { proxy.copy(number, target, caller, func(state LinkState) bool { return state.HoldRequests }) })
@@ -165,15 +165,15 @@
 	directions.Wait()
 }
 
-// copy passes one direction of a connection on. When its source ends, the target is closed the same way, unless the connection is silenced.
+// copy forwards one direction of a connection. When the source ends, copy closes the target the same way, unless the connection is silenced.
 func (proxy *Proxy) copy(number int, target, source net.Conn, held func(LinkState) bool) {
 	buffer := make([]byte, copyBuffer)
 	for {
 		count, err := source.Read(buffer)
 		if count > 0 {
-			proxy.await(held)
+			proxy.awaitDelivery(held)
 			if proxy.isSilenced(number) {
-				_, _ = io.Copy(io.Discard, source) // until the sender gives it up
+				_, _ = io.Copy(io.Discard, source) // until the sender closes the connection
 				return
 			}
 			if _, writeErr := target.Write(buffer[:count]); writeErr != nil {
@@ -182,17 +182,17 @@
 			}
 		}
 		if err != nil {
-			proxy.await(held)
+			proxy.awaitDelivery(held)
 			if !proxy.isSilenced(number) {
-				endLike(target, err)
+				closeLike(target, err)
 			}
 			return
 		}
 	}
 }
 
-// endLike ends a connection in order or with a reset, as its peer did.
-func endLike(target net.Conn, err error) {
+// closeLike closes a connection normally or with a reset, as its peer did.
+func closeLike(target net.Conn, err error) {
 	tcp, ok := target.(*net.TCPConn)
 	if !ok || err != io.EOF {
 		resetConn(target)
@@ -201,14 +201,14 @@
 	_ = tcp.CloseWrite() // it may be closed already
 }
 
-// await waits out the delay of the link and the time for which the direction is held.
-func (proxy *Proxy) await(held func(LinkState) bool) {
-	state, changed := proxy.current()
+// awaitDelivery waits for the link's delay and until the direction is no longer held.
+func (proxy *Proxy) awaitDelivery(held func(LinkState) bool) {
+	state, changed := proxy.currentState()
 	if state.Delay > 0 {
 		time.Sleep(state.Delay)
 	}
 	for held(state) {
 		<-changed
-		state, changed = proxy.current()
+		state, changed = proxy.currentState()
 	}
 }
--- a/internal/lab/platform/soak/proxy_test.go
+++ b/internal/lab/platform/soak/proxy_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Connections that are silenced say nothing any more, neither data nor an end; new ones work.
+// Guards against silenced connections that transmit data or a close, and against silencing connections that are opened later.
 func TestProxySilence(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -22,7 +22,7 @@
 			if err != nil {
 				return
 			}
-			go func() { _, _ = io.Copy(conn, conn) }() // echoes until the other side ends
+			go func() { _, _ = io.Copy(conn, conn) }() // echoes until the peer closes
 		}
 	}()
 	proxy, err := NewProxy(listener.Addr().String())
--- a/internal/lab/platform/soak/soak.go
+++ b/internal/lab/platform/soak/soak.go
@@ -14,85 +14,86 @@
 	"github.com/thistlewalk/thistlewalk/internal/lab/platform/site"
 )
 
-// Options of a soak.
+// Options configure a soak.
 type Options struct {
-	// Binary is the program that runs the roles, Production the one that does in production; empty where no plan needs it.
+	// Binary is the path of the current program, Production that of the program in production. Production may be empty if the plan uses only the
+	// current build.
 	Binary, Production string
-	// Folder takes settings and logs.
+	// Folder receives the settings and logs of the processes.
 	Folder string
 	Plan   Plan
 }
 
-// Report is what a soak showed.
+// Report is the result of a soak.
 type Report struct {
 	Plan       Plan
 	Violations []Violation
-	// Served and Failed count calls; Accepted, Ended and Whole count jobs; Items are results read.
-	Served, Failed, Accepted, Ended, Whole, Items int
-	Orders, Configurations, Windows               int
-	// ComparedWindows are the reported windows that lay wholly in the time of the calls, ExactWindows those whose report was what ran.
+	// Served and Failed count calls; Accepted, Ended and Completed count jobs; Items counts the results that were read.
+	Served, Failed, Accepted, Ended, Completed, Items int
+	Orders, Configurations, Windows                   int
+	// ComparedWindows counts the reported windows in which requests of tenants ran, ExactWindows those whose report matched these runs.
 	ComparedWindows, ExactWindows int
-	// EndedReplicas are those that ended under a request, KeptCalls the calls on connections that were kept.
-	EndedReplicas, KeptCalls int
-	Took                     time.Duration
+	// CrashedReplicas counts the crashes that requests caused, PersistentCalls the calls on persistent connections.
+	CrashedReplicas, PersistentCalls int
+	Duration                         time.Duration
 }
 
-// String returns the report's lines.
+// String returns a summary line and a line for each violation.
 func (report Report) String() string {
 	lines := []string{fmt.Sprintf("seed %d: %d faults in %.0fs; %d calls served, %d not; %d jobs accepted, %d ended, %d results read; %d orders, %d configurations, %d reports of usage; %d calls on kept connections, %d replicas ended by a request; %d violations",
-		report.Plan.Seed, len(report.Plan.Events), report.Took.Seconds(), report.Served, report.Failed, report.Accepted, report.Ended, report.Items,
-		report.Orders, report.Configurations, report.Windows, report.KeptCalls, report.EndedReplicas, len(report.Violations))}
+		report.Plan.Seed, len(report.Plan.Events), report.Duration.Seconds(), report.Served, report.Failed, report.Accepted, report.Ended, report.Items,
+		report.Orders, report.Configurations, report.Windows, report.PersistentCalls, report.CrashedReplicas, len(report.Violations))}
 	for _, violation := range report.Violations {
 		lines = append(lines, violation.String())
 	}
 	return strings.Join(lines, "\n")
 }
 
-// ErrNotStarted says that the programs did not begin to serve before any fault.
-var ErrNotStarted = errors.New("the fronts are not ready in time")
+// ErrNotStarted is returned if not all fronts are ready within startTimeout.
+var ErrNotStarted = errors.New("not all fronts became ready before the start timeout")
 
 const (
-	startLimit  = 10 * time.Second
-	finishLimit = 25 * time.Second
-	finishPause = 200 * time.Millisecond
+	startTimeout  = 10 * time.Second
+	finishTimeout = 25 * time.Second
+	pollInterval  = 200 * time.Millisecond
 )
 
-// soak is one run.
+// soak is the state of one run.
 type soak struct {
-	options    Options
-	world      *World
-	violations *violations
-	calm       *calm
-	ingress    *ingress
-	calls      *calls
-	trainers   *trainers
-	endings    *endings
-	injector   *injector
-	// ended is how many runs ended their replicas.
-	ended int
+	options       Options
+	deployment    *Deployment
+	violations    *violations
+	faults        *activeFaults
+	ingress       *ingress
+	callers       *callers
+	trainers      *trainers
+	crashRequests *crashRequests
+	injector      *injector
+	// crashes counts the runs that crashed their replicas.
+	crashes int
 }
 
-// Run carries a plan out and returns what it showed. Faults end before the last checks.
+// Run executes a plan and returns the report. The final checks start after the last fault has ended.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	if err := os.MkdirAll(options.Folder, 0o755); err != nil {
-		return nil, errors.Wrap(err, "make the folder of the soak")
+		return nil, errors.Wrap(err, "create the folder of the soak")
 	}
 	found := &violations{began: time.Now()}
-	world, err := newWorld(options, found.add)
+	deployment, err := newDeployment(options, found.add)
 	if err != nil {
 		return nil, err
 	}
-	defer world.Close()
-	quiet := &calm{}
-	entry := newIngress(world)
+	defer deployment.Close()
+	faults := &activeFaults{}
+	entry := newIngress(deployment)
 	run := &soak{
-		options: options, world: world, violations: found, calm: quiet, ingress: entry,
-		calls:    &calls{world: world, ingress: entry, calm: quiet, report: found.add, tenants: make(map[string]string)},
-		trainers: &trainers{world: world, ingress: entry, calm: quiet, report: found.add, version: 1},
+		options: options, deployment: deployment, violations: found, faults: faults, ingress: entry,
+		callers:  &callers{deployment: deployment, ingress: entry, faults: faults, report: found.add, tenants: make(map[string]string)},
+		trainers: &trainers{deployment: deployment, ingress: entry, faults: faults, report: found.add, version: 1},
 	}
-	run.injector = newInjector(world, quiet)
-	run.endings = &endings{world: world, ingress: entry, report: found.add, inTouch: run.injector.inTouch, sent: make(map[string][]endingCall)}
-	run.injector.endings = run.endings
+	run.injector = newInjector(deployment, faults)
+	run.crashRequests = &crashRequests{deployment: deployment, ingress: entry, report: found.add, faultFree: run.injector.faultFree, sent: make(map[string][]crashAttempt)}
+	run.injector.crashRequests = run.crashRequests
 	if err := run.start(ctx); err != nil {
 		return nil, err
 	}
@@ -101,129 +102,132 @@
 	return run.summary(), nil
 }
 
-// start runs the programs and waits until the fronts serve.
+// start starts the processes and waits until all fronts are ready.
 func (run *soak) start(ctx context.Context) error {
-	run.world.Configure()
-	for _, node := range run.world.Nodes {
+	run.deployment.Configure()
+	for _, node := range run.deployment.Nodes {
 		if err := node.Start(); err != nil {
 			return err
 		}
 	}
-	for deadline := time.Now().Add(startLimit); time.Now().Before(deadline); time.Sleep(finishPause) {
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		ready := 0
-		for _, node := range run.world.Fronts() {
+		for _, node := range run.deployment.Fronts() {
 			if isReady(ctx, node) {
 				ready++
 			}
 		}
-		if ready == fronts {
+		if ready == frontCount {
 			return nil
 		}
 	}
 	return errors.Wrapf(ErrNotStarted, "%v", run.violations.all())
 }
 
-// work has callers and trainers work while faults are injected.
+// work runs the callers and trainers while faults are injected.
 func (run *soak) work(ctx context.Context) {
 	began := time.Now()
 	working, stop := context.WithDeadline(ctx, began.Add(run.options.Plan.Length))
 	defer stop()
 	var parts sync.WaitGroup
 	parts.Go(func() { run.ingress.run(working) })
-	parts.Go(func() { run.calls.run(working) })
+	parts.Go(func() { run.callers.run(working) })
 	parts.Go(func() { run.trainers.run(working) })
-	parts.Go(func() { (&configurations{world: run.world, calm: run.calm, report: run.violations.add}).run(working) })
-	parts.Go(func() { run.calls.keep(working) })
+	parts.Go(func() {
+		(&configurationChecker{deployment: run.deployment, faults: run.faults, report: run.violations.add}).run(working)
+	})
+	parts.Go(func() { run.callers.runPersistent(working) })
 	run.injector.run(working, began, run.options.Plan)
 	<-working.Done()
 	parts.Wait()
 }
 
-// finish checks what has to hold once all faults are over.
+// finish runs the checks that apply after all faults have ended.
 func (run *soak) finish(ctx context.Context) {
-	deadline := time.Now().Add(finishLimit)
-	for _, created := range run.trainers.jobs {
-		run.finishJob(ctx, created, deadline)
+	deadline := time.Now().Add(finishTimeout)
+	for _, job := range run.trainers.jobs {
+		run.finishJob(ctx, job, deadline)
 	}
 	run.finishConfiguration(ctx)
-	run.calls.verify()
-	run.ended = run.endings.verify()
-	run.verifyEnds()
-	if run.world.tenants {
+	run.callers.verify()
+	run.crashes = run.crashRequests.verify()
+	run.verifyEndedJobs()
+	if run.deployment.tenants {
 		run.trainers.verifyTenants()
 	}
-	for _, violation := range judgeUsage(run.world.Cloud.Reports()) {
+	for _, violation := range checkUsage(run.deployment.Cloud.Reports()) {
 		run.violations.add(violation)
 	}
-	for _, violation := range judgeOrders(run.world.Executions.Orders()) {
+	for _, violation := range checkOrders(run.deployment.Executions.Orders()) {
 		run.violations.add(violation)
 	}
 }
 
-// finishConfiguration checks that every front has the newest configuration in force in the time that is allowed after a fault.
+// finishConfiguration checks that every front applies the newest configuration within the time allowed after the last fault.
 func (run *soak) finishConfiguration(ctx context.Context) {
-	newest := run.world.Configured()
-	since, _ := run.calm.since()
-	deadline := since.Add(contactTime + applyTime)
-	for _, node := range run.world.Fronts() {
+	newest := run.deployment.Configured()
+	since, _ := run.faults.idleSince()
+	deadline := since.Add(recoveryTime + applyTime)
+	for _, node := range run.deployment.Fronts() {
 		id := "last-" + node.Name
-		got := call(ctx, node, http.MethodPost, markPrefix(newest)+"last", id, "", callTime)
-		for got.status != http.StatusOK && time.Now().Before(deadline) && pause(ctx, finishPause) {
+		got := call(ctx, node, http.MethodPost, markPrefix(newest)+"last", id, "", callTimeout)
+		for got.status != http.StatusOK && time.Now().Before(deadline) && pause(ctx, pollInterval) {
 			id += "-again"
-			got = call(ctx, node, http.MethodPost, markPrefix(newest)+"last", id, "", callTime)
+			got = call(ctx, node, http.MethodPost, markPrefix(newest)+"last", id, "", callTimeout)
 		}
 		if got.status != http.StatusOK {
 			run.violations.add(Violation{Promise: PromiseConfiguration, Subject: node.Name, Detail: fmt.Sprintf(
-				"version %d is not in force %s after the last fault: %d %v", newest, time.Since(since).Round(time.Millisecond), got.status, got.broken)})
+				"version %d is not in force %s after the last fault: %d %v", newest, time.Since(since).Round(time.Millisecond), got.status, got.err)})
 		}
 	}
 }
 
-// finishJob waits until an accepted job can be read; until it is whole, if nobody ended it.
-func (run *soak) finishJob(ctx context.Context, created *job, deadline time.Time) {
-	if created.accepted.IsZero() {
+// finishJob waits until an accepted job is complete. A job whose end was requested only has to be readable.
+func (run *soak) finishJob(ctx context.Context, job *trainerJob, deadline time.Time) {
+	if job.acceptedAt.IsZero() {
 		return
 	}
-	open := !created.endAsked
+	open := !job.endRequested
 	for time.Now().Before(deadline) {
-		whole := run.trainers.read(ctx, created, 0)
-		if whole || (!open && created.lastReadOK(ctx, run)) {
+		complete := run.trainers.read(ctx, job, 0)
+		if complete || (!open && job.isReadable(ctx, run)) {
 			return
 		}
-		pause(ctx, finishPause)
+		pause(ctx, pollInterval)
 	}
-	run.violations.add(Violation{Promise: PromiseFinished, Subject: created.id, Detail: fmt.Sprintf("%d of %d results, open %t", created.known(), len(created.items), open)})
+	run.violations.add(Violation{Promise: PromiseFinished, Subject: job.id, Detail: fmt.Sprintf("%d of %d results, open %t", job.readCount(), len(job.items), open)})
 }
 
-// lastReadOK reports whether a job that was ended can be read with all the positions that were shown.
-func (created *job) lastReadOK(ctx context.Context, run *soak) bool {
+// isReadable reports whether a read of the job returns at least as many results as earlier reads.
+func (job *trainerJob) isReadable(ctx context.Context, run *soak) bool {
 	node := run.ingress.pick()
-	got := call(ctx, node, http.MethodGet, "/thistlewalk/lots/"+created.id+"?after-rev=0", "read-"+created.id, "", readLimit, created.key()...)
-	if got.broken != nil || got.status != http.StatusOK {
+	got := call(ctx, node, http.MethodGet, "/thistlewalk/lots/"+job.id+"?after-rev=0", "read-"+job.id, "", readTimeout, job.key()...)
+	if got.err != nil || got.status != http.StatusOK {
 		return false
 	}
-	return strings.Count(got.body, `"state":`) >= created.known()
+	return strings.Count(got.body, `"state":`) >= job.readCount()
 }
 
-// verifyEnds checks that nothing of a job ran later than the bound after its end was acknowledged, but for what a link had held up: the
-// platform's rules leave that out, as a sender can't call it back.
-func (run *soak) verifyEnds() {
-	for _, created := range run.trainers.jobs {
-		if created.ended.IsZero() {
+// verifyEndedJobs checks that no item of a job started later than cancelBound after the job's end was acknowledged. Requests that a faulty link
+// may have delayed are exempt, since the sender cannot recall them.
+func (run *soak) verifyEndedJobs() {
+	for _, job := range run.trainers.jobs {
+		if job.endedAt.IsZero() {
 			continue
 		}
-		for _, id := range created.items {
-			for _, execution := range run.world.Executions.Of(id) {
-				if late := execution.Started.Sub(created.ended); late > cancelTime && !run.world.heldUp(execution) {
-					run.violations.add(Violation{Promise: PromiseEnded, Subject: created.id, Detail: fmt.Sprintf("%s began at %s %s after the end", id, execution.Replica, late)})
+		for _, id := range job.items {
+			for _, execution := range run.deployment.Executions.Of(id) {
+				if late := execution.Started.Sub(job.endedAt); late > cancelBound && !run.deployment.mayBeDelayed(execution) {
+					run.violations.add(Violation{Promise: PromiseEnded, Subject: job.id, Detail: fmt.Sprintf("%s began at %s %s after the end", id, execution.Replica, late)})
 				}
 			}
 		}
 	}
 }
 
-// judgeOrders checks that replicas were ordered by one node at a time.
-func judgeOrders(orders []site.OrderTaken) []Violation {
+// checkOrders checks that only one node at a time sends orders to a replica: a new holder has a higher fence and starts no earlier than a lease
+// duration after the last order of the previous holder.
+func checkOrders(orders []site.OrderTaken) []Violation {
 	var list []Violation
 	last := make(map[string]site.OrderTaken)
 	for _, order := range orders {
@@ -233,7 +237,7 @@
 			continue
 		}
 		gap := order.At.Sub(before.At)
-		if order.Fence <= before.Fence || gap < leaseTime {
+		if order.Fence <= before.Fence || gap < leaseDuration {
 			list = append(list, Violation{Promise: PromiseOneOrders, Subject: order.Replica, Detail: fmt.Sprintf(
 				"%s with fence %d, %s after %s with fence %d", order.Holder, order.Fence, gap, before.Holder, before.Fence)})
 		}
@@ -243,22 +247,22 @@
 
 func (run *soak) summary() *Report {
 	report := &Report{
-		Plan: run.options.Plan, Violations: run.violations.all(), Served: run.calls.served, Failed: run.calls.failed,
-		Orders: len(run.world.Executions.Orders()), Configurations: int(run.world.Configured()), Windows: len(run.world.Cloud.Reports()), Took: time.Since(run.violations.began),
+		Plan: run.options.Plan, Violations: run.violations.all(), Served: run.callers.served, Failed: run.callers.failed,
+		Orders: len(run.deployment.Executions.Orders()), Configurations: int(run.deployment.Configured()), Windows: len(run.deployment.Cloud.Reports()), Duration: time.Since(run.violations.began),
 	}
 	report.ComparedWindows, report.ExactWindows = run.compareUsage()
-	report.EndedReplicas, report.KeptCalls = run.ended, run.calls.kept
-	for _, created := range run.trainers.jobs {
-		if !created.accepted.IsZero() {
+	report.CrashedReplicas, report.PersistentCalls = run.crashes, run.callers.persistent
+	for _, job := range run.trainers.jobs {
+		if !job.acceptedAt.IsZero() {
 			report.Accepted++
 		}
-		if !created.ended.IsZero() {
+		if !job.endedAt.IsZero() {
 			report.Ended++
 		}
-		if len(created.results) == len(created.items) {
-			report.Whole++
+		if len(job.results) == len(job.items) {
+			report.Completed++
 		}
-		report.Items += len(created.results)
+		report.Items += len(job.results)
 	}
 	return report
 }
--- a/internal/lab/platform/soak/soak_test.go
+++ b/internal/lab/platform/soak/soak_test.go
@@ -12,18 +12,18 @@
 	"github.com/thistlewalk/thistlewalk/internal/lab/production"
 )
 
-// fixedSeeds are the plans that every run of the tests carries out. Seeds that failed once stand here with their cause.
+// fixedSeeds are the plans of TestSoak. A seed that failed is added with its cause.
 var fixedSeeds = []struct {
 	seed   uint64
 	length time.Duration
 	cause  string
 }{
-	{seed: 7, length: 14 * time.Second, cause: "none: a plan with kills, a freeze, a cut and an outage of the store"},
-	{seed: 1796211571, length: time.Minute, cause: "the soak itself: it asked for the newest configuration 0.4 s after a silent store came back"},
-	{seed: 1796233452, length: time.Minute, cause: "the soak itself: it blamed a front for items that a link had held up for 4.6 s, and brought to the replica 3.25 s after the end of their job"},
+	{seed: 7, length: 14 * time.Second, cause: "none: a plan with kills, a freeze, a partition and an outage of the store"},
+	{seed: 1796211571, length: time.Minute, cause: "a fault of the soak: it expected the newest configuration before the fronts could recover from a silent store"},
+	{seed: 1796233452, length: time.Minute, cause: "a fault of the soak: it reported items of an ended job that a faulty link had delayed"},
 }
 
-// The real programs keep their promises under the faults of fixed plans.
+// Guards against promises that the real programs break under the faults of a plan.
 func TestSoak(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "rollout")
 	output, err := exec.CommandContext(t.Context(), "go", "build", "-o", binary, "github.com/thistlewalk/thistlewalk/cmd/thistlewalk-rollout").CombinedOutput()
@@ -39,18 +39,18 @@
 	}
 }
 
-// overlappingSeeds are plans whose faults overlap. Seeds that failed once stand here with their cause.
+// overlappingSeeds are the plans of TestSoakOverlapping. A seed that failed is added with its cause.
 var overlappingSeeds = []struct {
 	seed   uint64
 	length time.Duration
 	cause  string
 }{
 	{seed: 1796245766, length: 20 * time.Second, cause: "none"},
-	{seed: 1796254798, length: 40 * time.Second, cause: "a planned stop cut a call, since the removal of the node's record from a silent store took the time that was left for it"},
-	{seed: 1796254897, length: 40 * time.Second, cause: "a SIGHUP ended a process that had just begun and did not listen for it yet"},
+	{seed: 1796254798, length: 40 * time.Second, cause: "a graceful shutdown cut off a call: removing the node's record from a silent store used up the grace period"},
+	{seed: 1796254897, length: 40 * time.Second, cause: "a SIGHUP ended a process that had just started and did not handle the signal yet"},
 }
 
-// The same with series of signals, requests that end replicas and callers that keep their connections, which overlap the other faults.
+// Guards against promises broken when signal series, silent connections and requests that crash replicas overlap other faults.
 func TestSoakOverlapping(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "rollout")
 	output, err := exec.CommandContext(t.Context(), "go", "build", "-o", binary, "github.com/thistlewalk/thistlewalk/cmd/thistlewalk-rollout").CombinedOutput()
@@ -61,21 +61,21 @@
 		must.NoError(t, err)
 		t.Log(report)
 		must.SliceEmpty(t, report.Violations, must.Sprint(report, "\n", plan))
-		must.Positive(t, report.KeptCalls)
-		must.GreaterEq(t, 3, report.EndedReplicas, must.Sprint("requests end replicas"))
+		must.Positive(t, report.PersistentCalls)
+		must.GreaterEq(t, 3, report.CrashedReplicas, must.Sprint("requests crash replicas"))
 	}
 }
 
-// mixedSeeds are plans in which machines start again on another build. Seeds that failed once stand here with their cause.
+// mixedSeeds are the plans of TestSoakMixed. A seed that failed is added with its cause.
 var mixedSeeds = []struct {
 	seed   uint64
 	length time.Duration
 	cause  string
 }{
-	{seed: 1796270200, length: 30 * time.Second, cause: "updates were packed for nodes of the build in production, which passed over them: three fronts lacked a configuration"},
+	{seed: 1796270200, length: 30 * time.Second, cause: "updates were batched in a message that nodes of the production build ignored, so that fronts missed a configuration"},
 }
 
-// The program that runs in production and that of the sources as they stand keep the promises side by side, whichever machine runs which.
+// Guards against promises broken while the production build and the current build run in one deployment.
 func TestSoakMixed(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "rollout")
 	output, err := exec.CommandContext(t.Context(), "go", "build", "-o", binary, "github.com/thistlewalk/thistlewalk/cmd/thistlewalk-rollout").CombinedOutput()
@@ -93,7 +93,7 @@
 	}
 }
 
-// The courses of upgrades are all drawn, and each begins with a machine in production.
+// Guards against upgrade courses that are never drawn, and against plans that start without a node on the production build.
 func TestDrawMixed(t *testing.T) {
 	lengths := make(map[int]bool)
 	for seed := range uint64(40) {
@@ -108,12 +108,12 @@
 		}
 		lengths[upgrades] = true
 	}
-	for _, upgrades := range []int{4, 8, 12} { // halted; forth, or half of it and back; one machine to and fro, then all
+	for _, upgrades := range []int{4, 8, 12} { // halted; complete or rolled back; alternate
 		must.True(t, lengths[upgrades], must.Sprint(upgrades, " of ", lengths))
 	}
 }
 
-// While nothing fails, each window's report is what the replicas ran in it.
+// Guards against usage reports that differ from the runs at the replicas while no fault occurs.
 func TestUsageIsExact(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "rollout")
 	output, err := exec.CommandContext(t.Context(), "go", "build", "-o", binary, "github.com/thistlewalk/thistlewalk/cmd/thistlewalk-rollout").CombinedOutput()
@@ -125,7 +125,7 @@
 	must.Eq(t, report.ComparedWindows, report.ExactWindows, must.Sprint(report))
 }
 
-// The same seed draws the same plan, in order and within its length.
+// Guards against plans that a seed does not reproduce, and against events out of order or beyond the end of the plan.
 func TestDraw(t *testing.T) {
 	plan := soak.Draw(5, time.Minute)
 	must.Eq(t, plan.String(), soak.Draw(5, time.Minute).String())
--- a/internal/lab/platform/soak/tenants.go
+++ b/internal/lab/platform/soak/tenants.go
@@ -8,16 +8,16 @@
 	"github.com/thistlewalk/thistlewalk/internal/lab/platform/site"
 )
 
-// tenantNames are the tenants of the deployment. Each has a key that lasts, and one that each configuration replaces.
+// tenantNames are the tenants of the deployment. Each has a permanent key and a key that every configuration replaces.
 var tenantNames = [...]string{"harbour", "airport", "depot"}
 
 // tenantOf returns the tenant of the n-th request or job.
 func tenantOf(number int) string { return tenantNames[number%len(tenantNames)] }
 
-// keyOf returns the key of a tenant that every configuration has.
+// keyOf returns the key of a tenant that every configuration contains.
 func keyOf(tenant string) string { return "lasting-key-of-" + tenant }
 
-// versionKeyOf returns the key of a tenant that only the configuration of a version and the next have.
+// versionKeyOf returns the key of a tenant that only the given configuration version and the next one contain.
 func versionKeyOf(tenant string, version int64) string {
 	return fmt.Sprint("key-of-", tenant, "-", version)
 }
@@ -25,7 +25,7 @@
 // authorization returns the header by which a caller presents a key.
 func authorization(key string) []string { return []string{"Authorization", "Bearer " + key} }
 
-// tenantsAt is the part of the operator's document on tenants, at a version.
+// tenantsAt returns the tenants section of the operator's configuration document at a version.
 func tenantsAt(version int64) []map[string]any {
 	var list []map[string]any
 	for _, name := range tenantNames {
@@ -35,20 +35,21 @@
 	return list
 }
 
-// judgeCallers checks that the replicas which ran a request were told its tenant, empty for none, and no key.
-func judgeCallers(executions *site.Executions, id, tenant string) []Violation {
+// checkCallers checks that the replicas that ran a request received its tenant, which is empty for scorers, and no key.
+func checkCallers(executions *site.Executions, id, tenant string) []Violation {
 	var list []Violation
 	for _, execution := range executions.Of(id) {
 		if execution.Caller.Tenant != tenant || execution.Caller.Authorization != "" {
 			list = append(list, Violation{Promise: PromiseTenant, Subject: id, Detail: fmt.Sprintf(
-				"%s was told tenant %q and key %q, not tenant %q", execution.Replica, execution.Caller.Tenant, execution.Caller.Authorization, tenant)})
+				"%s received tenant %q and key %q, expected tenant %q and no key", execution.Replica, execution.Caller.Tenant, execution.Caller.Authorization, tenant)})
 		}
 	}
 	return list
 }
 
-// judgeUsage checks reports of usage: one content a window, fences that don't fall, and holders that don't take turns.
-func judgeUsage(reports []site.UsageReport) []Violation {
+// checkUsage checks the usage reports: all reports of a window are equal, fences never decrease, and a new holder has a higher fence and starts no
+// earlier than a lease duration after the previous holder's last report.
+func checkUsage(reports []site.UsageReport) []Violation {
 	var list []Violation
 	fail := func(report site.UsageReport, format string, arguments ...any) {
 		list = append(list, Violation{Promise: PromiseUsage, Subject: fmt.Sprint("window ", report.Window), Detail: fmt.Sprintf(format, arguments...)})
@@ -68,26 +69,27 @@
 		switch {
 		case report.Fence < before.Fence:
 			fail(report, "fence %d of %s after %d of %s", report.Fence, report.Holder, before.Fence, before.Holder)
-		case report.Holder != before.Holder && (report.Fence == before.Fence || gap < leaseTime):
+		case report.Holder != before.Holder && (report.Fence == before.Fence || gap < leaseDuration):
 			fail(report, "%s with fence %d, %s after %s with fence %d", report.Holder, report.Fence, gap, before.Holder, before.Fence)
 		}
 	}
 	return list
 }
 
-// usageBounds are the least and the most runs of each tenant that a report of a window may tell.
-type usageBounds struct{ least, most map[string]int64 }
+// usageBounds are the minimum and maximum number of runs by tenant that the report of a window may contain.
+type usageBounds struct{ min, max map[string]int64 }
 
-// edge is how near to the end of a window a run may begin to be counted in the window beside: a front counts it as it sends it.
-const edge = 5 * time.Millisecond
+// windowMargin is how close to a window's boundary a run may start and still be counted in the adjacent window. A front counts a request when it
+// sends it, which is earlier than the start at the replica.
+const windowMargin = 5 * time.Millisecond
 
-// compareUsage compares the reported windows with what the replicas ran of the callers' requests, and returns how many were compared and how
-// many were exact, but for runs at their edges, which may be counted on either side.
+// compareUsage compares the usage reports with the callers' requests that the replicas ran. It returns how many windows it compared and how many
+// of them matched. Runs near a boundary may be counted in either window.
 func (run *soak) compareUsage() (compared, exact int) {
-	truth := usageOf(run.world.Executions.All())
+	expected := usageByWindow(run.deployment.Executions.All())
 	seen := make(map[int64]bool)
-	for _, report := range run.world.Cloud.Reports() {
-		bounds, ran := truth[report.Window]
+	for _, report := range run.deployment.Cloud.Reports() {
+		bounds, ran := expected[report.Window]
 		if seen[report.Window] || !ran {
 			continue
 		}
@@ -100,25 +102,25 @@
 	return compared, exact
 }
 
-// usageOf returns the bounds of each window in which requests of tenants ran.
-func usageOf(executions []site.Execution) map[int64]usageBounds {
+// usageByWindow returns the bounds of each window in which requests of tenants ran.
+func usageByWindow(executions []site.Execution) map[int64]usageBounds {
 	windows := make(map[int64]usageBounds)
 	add := func(window int64, tenant string, certain bool) {
-		if windows[window].most == nil {
-			windows[window] = usageBounds{least: make(map[string]int64), most: make(map[string]int64)}
+		if windows[window].max == nil {
+			windows[window] = usageBounds{min: make(map[string]int64), max: make(map[string]int64)}
 		}
-		windows[window].most[tenant]++
+		windows[window].max[tenant]++
 		if certain {
-			windows[window].least[tenant]++
+			windows[window].min[tenant]++
 		}
 	}
 	for _, execution := range executions {
 		tenant := execution.Caller.Tenant
 		if tenant == "" || strings.HasPrefix(execution.Request, "job-") {
-			continue // scorers are asked for no tenant, and items are not counted
+			continue // scorer requests have no tenant, and job items are not counted
 		}
-		before := execution.Started.Add(-edge).UnixNano() / int64(usageWindow)
-		after := execution.Started.Add(edge).UnixNano() / int64(usageWindow)
+		before := execution.Started.Add(-windowMargin).UnixNano() / int64(usageWindow)
+		after := execution.Started.Add(windowMargin).UnixNano() / int64(usageWindow)
 		add(before, tenant, before == after)
 		if before != after {
 			add(after, tenant, false)
@@ -127,15 +129,15 @@
 	return windows
 }
 
-// allow reports whether counts lie within the bounds, and tell of no other tenant.
+// allow reports whether the counts are within the bounds and contain no other tenant.
 func (bounds usageBounds) allow(counts map[string]int64) bool {
-	for tenant, most := range bounds.most {
-		if counts[tenant] < bounds.least[tenant] || counts[tenant] > most {
+	for tenant, limit := range bounds.max {
+		if counts[tenant] < bounds.min[tenant] || counts[tenant] > limit {
 			return false
 		}
 	}
 	for tenant := range counts {
-		if bounds.most[tenant] == 0 {
+		if bounds.max[tenant] == 0 {
 			return false
 		}
 	}
--- a/internal/lab/platform/soak/trainer.go
+++ b/internal/lab/platform/soak/trainer.go
@@ -14,37 +14,37 @@
 	"github.com/thistlewalk/thistlewalk/internal/lab/platform/site"
 )
 
-// Sizes of a step, and times of the trainer and of the readers.
+// Sizes of a step, and timing of the trainers and readers.
 const (
-	groups         = 5
-	groupSize      = 3
-	wantedGroups   = 4
-	stepTime       = 9 * time.Second
-	stepPause      = 500 * time.Millisecond
-	readInterval   = 300 * time.Millisecond
-	submitLimit    = 2 * time.Second
-	readLimit      = 1500 * time.Millisecond
-	stepsAtOnce    = 2
-	readersOfSteps = 2
-	endTries       = 40
+	groups            = 5
+	groupSize         = 3
+	desiredGroups     = 4
+	stepTimeout       = 9 * time.Second
+	stepPause         = 500 * time.Millisecond
+	readInterval      = 300 * time.Millisecond
+	submitTimeout     = 2 * time.Second
+	readTimeout       = 1500 * time.Millisecond
+	concurrentSteps   = 2
+	concurrentReaders = 2
+	maxEndAttempts    = 40
 )
 
-// job is a step as its trainer and its readers know it.
-type job struct {
-	id      string
-	tenant  string
-	minimum int64
-	items   []string
-	bodies  map[string]string
-
-	mu       sync.Mutex
-	accepted time.Time // zero before
-	results  []result  // by position, as first read
-	ended    time.Time // when the end was acknowledged
-	endAsked bool
+// trainerJob is the job of a step, with what the trainer and the readers have observed of it.
+type trainerJob struct {
+	id         string
+	tenant     string
+	minVersion int64
+	items      []string
+	bodies     map[string]string
+
+	mu           sync.Mutex
+	acceptedAt   time.Time // zero until accepted
+	results      []result  // by position, as first read
+	endedAt      time.Time // when the end was acknowledged; zero before
+	endRequested bool
 }
 
-// result is one entry of a page.
+// result is an entry of a page of results.
 type result struct {
 	ID       string  `json:"id"`
 	State    string  `json:"state"`
@@ -64,22 +64,22 @@
 	stateTerminated = "terminated"
 )
 
-// trainers submit steps, read them, end them and name versions.
+// trainers submits, reads and ends the jobs of training steps, and announces new versions of the weights.
 type trainers struct {
-	world   *World
-	ingress *ingress
-	calm    *calm
-	report  func(Violation)
+	deployment *Deployment
+	ingress    *ingress
+	faults     *activeFaults
+	report     func(Violation)
 
 	mu      sync.Mutex
-	jobs    []*job
+	jobs    []*trainerJob
 	version int64
 }
 
-// run works until the context ends. Steps overlap, as those of several trainers do.
+// run runs steps and readers until the context ends. Steps overlap, as with several trainers.
 func (trainers *trainers) run(ctx context.Context) {
 	var running sync.WaitGroup
-	for range stepsAtOnce {
+	for range concurrentSteps {
 		running.Go(func() {
 			for ctx.Err() == nil {
 				trainers.step(ctx)
@@ -87,72 +87,72 @@
 			}
 		})
 	}
-	for range readersOfSteps {
-		running.Go(func() { trainers.look(ctx) })
+	for range concurrentReaders {
+		running.Go(func() { trainers.readJobs(ctx) })
 	}
 	running.Wait()
 }
 
-func (trainers *trainers) newJob() *job {
+func (trainers *trainers) newJob() *trainerJob {
 	trainers.mu.Lock()
 	defer trainers.mu.Unlock()
-	created := &job{id: fmt.Sprint("job-", len(trainers.jobs)+1), tenant: tenantOf(len(trainers.jobs)), minimum: max(1, trainers.version-1), bodies: make(map[string]string)}
+	job := &trainerJob{id: fmt.Sprint("job-", len(trainers.jobs)+1), tenant: tenantOf(len(trainers.jobs)), minVersion: max(1, trainers.version-1), bodies: make(map[string]string)}
 	for index := range groups * groupSize {
-		id := fmt.Sprintf("%s-item%s%d", created.id, strings.Repeat("x", index%4), index)
-		created.items = append(created.items, id)
-		created.bodies[id] = "body of " + id
+		id := fmt.Sprintf("%s-item%s%d", job.id, strings.Repeat("x", index%4), index)
+		job.items = append(job.items, id)
+		job.bodies[id] = "body of " + id
 	}
-	trainers.jobs = append(trainers.jobs, created)
-	return created
+	trainers.jobs = append(trainers.jobs, job)
+	return job
 }
 
-func (created *job) document() string {
+func (job *trainerJob) document() string {
 	var items []map[string]any
-	for index, id := range created.items {
+	for index, id := range job.items {
 		items = append(items, map[string]any{
 			"id": id, "path": "/job/" + id, "headers": map[string]string{"Model": modelName, "Token-Count": "9,90"}, "group": fmt.Sprint("group-", index/groupSize),
-			"body":   base64.StdEncoding.EncodeToString([]byte(created.bodies[id])),
+			"body":   base64.StdEncoding.EncodeToString([]byte(job.bodies[id])),
 			"scorer": map[string]any{"id": scorerOf(id), "host": hostName, "path": "/score/" + id, "body": ""},
 		})
 	}
-	content, _ := json.Marshal(map[string]any{ // of plain values: it cannot fail
-		"step": 1, "model": modelName, "min-version": created.minimum, "desired-count": wantedGroups, "items": items,
+	content, _ := json.Marshal(map[string]any{ // plain values: cannot fail
+		"step": 1, "model": modelName, "min-version": job.minVersion, "desired-count": desiredGroups, "items": items,
 	})
 	return string(content)
 }
 
 func scorerOf(item string) string { return "score-of-" + item }
 
-// step submits a job, reads it until enough groups are whole or its time is over, ends it and names the next version.
+// step submits a job, reads it until enough groups are complete or its timeout expires, ends it and announces the next version.
 func (trainers *trainers) step(ctx context.Context) {
-	created := trainers.newJob()
-	deadline := time.Now().Add(stepTime)
-	if !trainers.submit(ctx, created, deadline) {
+	job := trainers.newJob()
+	deadline := time.Now().Add(stepTimeout)
+	if !trainers.submit(ctx, job, deadline) {
 		return
 	}
-	for ctx.Err() == nil && time.Now().Before(deadline) && !created.enough() {
-		trainers.read(ctx, created, created.known())
+	for ctx.Err() == nil && time.Now().Before(deadline) && !job.hasDesiredGroups() {
+		trainers.read(ctx, job, job.readCount())
 		pause(ctx, readInterval)
 	}
 	if ctx.Err() != nil {
-		return // the job stays open, and has to become whole
+		return // the job stays open and has to be completed
 	}
-	trainers.end(ctx, created)
+	trainers.end(ctx, job)
 	trainers.mu.Lock()
 	trainers.version++
 	version := trainers.version
 	trainers.mu.Unlock()
-	trainers.world.NameVersion(version)
+	trainers.deployment.NameVersion(version)
 }
 
-// submit sends a job until it is accepted.
-func (trainers *trainers) submit(ctx context.Context, created *job, deadline time.Time) bool {
+// submit submits a job repeatedly until it is accepted. It returns false if that does not happen before the deadline.
+func (trainers *trainers) submit(ctx context.Context, job *trainerJob, deadline time.Time) bool {
 	for ctx.Err() == nil && time.Now().Before(deadline) {
-		got := call(ctx, trainers.ingress.pick(), http.MethodPost, "/job/"+created.id, created.id, created.document(), submitLimit, append(created.key(), "Content-Type", "application/json")...)
-		if got.broken == nil && got.status == http.StatusAccepted {
-			created.mu.Lock()
-			created.accepted = time.Now()
-			created.mu.Unlock()
+		got := call(ctx, trainers.ingress.pick(), http.MethodPost, "/job/"+job.id, job.id, job.document(), submitTimeout, append(job.key(), "Content-Type", "application/json")...)
+		if got.err == nil && got.status == http.StatusAccepted {
+			job.mu.Lock()
+			job.acceptedAt = time.Now()
+			job.mu.Unlock()
 			return true
 		}
 		pause(ctx, readInterval)
@@ -160,17 +160,17 @@
 	return false
 }
 
-// end sends the end of a job until it is acknowledged.
-func (trainers *trainers) end(ctx context.Context, created *job) {
-	created.mu.Lock()
-	created.endAsked = true
-	created.mu.Unlock()
-	for range endTries {
-		got := call(ctx, trainers.ingress.pick(), http.MethodDelete, "/thistlewalk/lots/"+created.id, "end-"+created.id, "", readLimit, created.key()...)
-		if got.broken == nil && got.status == http.StatusOK {
-			created.mu.Lock()
-			created.ended = time.Now()
-			created.mu.Unlock()
+// end requests the end of a job repeatedly until it is acknowledged.
+func (trainers *trainers) end(ctx context.Context, job *trainerJob) {
+	job.mu.Lock()
+	job.endRequested = true
+	job.mu.Unlock()
+	for range maxEndAttempts {
+		got := call(ctx, trainers.ingress.pick(), http.MethodDelete, "/thistlewalk/lots/"+job.id, "end-"+job.id, "", readTimeout, job.key()...)
+		if got.err == nil && got.status == http.StatusOK {
+			job.mu.Lock()
+			job.endedAt = time.Now()
+			job.mu.Unlock()
 			return
 		}
 		if !pause(ctx, readInterval) {
@@ -179,8 +179,8 @@
 	}
 }
 
-// look reads jobs of all ages from any position at any front, and asks for bodies.
-func (trainers *trainers) look(ctx context.Context) {
+// readJobs reads jobs of any age, the bodies of their items, and jobs with the key of another tenant.
+func (trainers *trainers) readJobs(ctx context.Context) {
 	for index := 0; pause(ctx, readInterval); index++ {
 		trainers.mu.Lock()
 		jobs := slices.Clone(trainers.jobs)
@@ -189,7 +189,7 @@
 			continue
 		}
 		chosen := jobs[index%len(jobs)]
-		if !chosen.settled() {
+		if !chosen.isReplicated() {
 			continue
 		}
 		if index%3 == 0 {
@@ -197,8 +197,8 @@
 			continue
 		}
 		if index%4 == 0 {
-			if trainers.world.tenants {
-				trainers.pry(ctx, chosen)
+			if trainers.deployment.tenants {
+				trainers.readAsOtherTenant(ctx, chosen)
 			}
 			continue
 		}
@@ -206,17 +206,17 @@
 	}
 }
 
-// read reads a job from a position and judges the answer.
-func (trainers *trainers) read(ctx context.Context, created *job, from int) (whole bool) {
+// read reads the results of a job from a position and checks them. It reports whether the job is complete.
+func (trainers *trainers) read(ctx context.Context, job *trainerJob, from int) (complete bool) {
 	node := trainers.ingress.pick()
-	settled := created.settled()
-	got := call(ctx, node, http.MethodGet, fmt.Sprintf("/thistlewalk/lots/%s?after-rev=%d", created.id, from), "read-"+created.id, "", readLimit, created.key()...)
+	replicated := job.isReplicated()
+	got := call(ctx, node, http.MethodGet, fmt.Sprintf("/thistlewalk/lots/%s?after-rev=%d", job.id, from), "read-"+job.id, "", readTimeout, job.key()...)
 	switch {
-	case got.broken != nil:
+	case got.err != nil:
 		return false
 	case got.status == http.StatusNotFound || got.status == http.StatusGone:
-		if settled {
-			trainers.report(Violation{Promise: PromiseAccepted, Subject: created.id, Detail: fmt.Sprintf("%s answers %d", node.Name, got.status)})
+		if replicated {
+			trainers.report(Violation{Promise: PromiseAccepted, Subject: job.id, Detail: fmt.Sprintf("%s answers %d", node.Name, got.status)})
 		}
 		return false
 	case got.status != http.StatusOK:
@@ -224,66 +224,66 @@
 	}
 	read := page{}
 	if err := json.Unmarshal([]byte(got.body), &read); err != nil {
-		trainers.report(Violation{Promise: PromiseWholeAnswer, Subject: created.id, Detail: err.Error()})
+		trainers.report(Violation{Promise: PromiseWholeAnswer, Subject: job.id, Detail: err.Error()})
 		return false
 	}
-	trainers.judge(created, node, from, read)
-	return from+len(read.Results) == len(created.items)
+	trainers.check(job, node, from, read)
+	return from+len(read.Results) == len(job.items)
 }
 
-// key is the header by which the callers of a job present a key of its tenant.
-func (created *job) key() []string { return authorization(keyOf(created.tenant)) }
+// key returns the header with the permanent key of the job's tenant.
+func (job *trainerJob) key() []string { return authorization(keyOf(job.tenant)) }
 
-// pry asks for a job with the key of another tenant, who must learn nothing.
-func (trainers *trainers) pry(ctx context.Context, created *job) {
+// readAsOtherTenant reads a job with the key of another tenant, and checks that the job is not disclosed.
+func (trainers *trainers) readAsOtherTenant(ctx context.Context, job *trainerJob) {
 	other := tenantNames[0]
-	if other == created.tenant {
+	if other == job.tenant {
 		other = tenantNames[1]
 	}
 	node := trainers.ingress.pick()
-	got := call(ctx, node, http.MethodGet, "/thistlewalk/lots/"+created.id+"?after-rev=0", "pry-"+created.id, "", readLimit, authorization(keyOf(other))...)
-	if got.broken == nil && got.status != http.StatusNotFound && got.status != http.StatusServiceUnavailable {
-		trainers.report(Violation{Promise: PromiseTenant, Subject: created.id, Detail: fmt.Sprintf("%s answers %s, of another tenant, %d", node.Name, other, got.status)})
+	got := call(ctx, node, http.MethodGet, "/thistlewalk/lots/"+job.id+"?after-rev=0", "pry-"+job.id, "", readTimeout, authorization(keyOf(other))...)
+	if got.err == nil && got.status != http.StatusNotFound && got.status != http.StatusServiceUnavailable {
+		trainers.report(Violation{Promise: PromiseTenant, Subject: job.id, Detail: fmt.Sprintf("%s answered tenant %s, which does not own the job, with %d", node.Name, other, got.status)})
 	}
 }
 
-// verifyTenants checks, once all is over, that items ran for their tenants, and scorers were asked for none.
+// verifyTenants checks that all items ran for the tenants of their jobs, and all scorer requests without a tenant.
 func (trainers *trainers) verifyTenants() {
-	for _, created := range trainers.jobs {
-		for _, id := range created.items {
-			for _, violation := range append(judgeCallers(trainers.world.Executions, id, created.tenant), judgeCallers(trainers.world.Executions, scorerOf(id), "")...) {
+	for _, job := range trainers.jobs {
+		for _, id := range job.items {
+			for _, violation := range append(checkCallers(trainers.deployment.Executions, id, job.tenant), checkCallers(trainers.deployment.Executions, scorerOf(id), "")...) {
 				trainers.report(violation)
 			}
 		}
 	}
 }
 
-// judge checks a page against what was read before and against what replicas made.
-func (trainers *trainers) judge(created *job, node *Node, from int, read page) {
+// check compares a page with the results read before and with the executions at the replicas.
+func (trainers *trainers) check(job *trainerJob, node *Node, from int, read page) {
 	fail := func(promise Promise, format string, arguments ...any) {
-		trainers.report(Violation{Promise: promise, Subject: created.id, Detail: node.Name + ": " + fmt.Sprintf(format, arguments...)})
+		trainers.report(Violation{Promise: promise, Subject: job.id, Detail: node.Name + ": " + fmt.Sprintf(format, arguments...)})
 	}
-	if read.Total != len(created.items) || read.Next != from+len(read.Results) {
-		fail(PromiseWholeAnswer, "total %d of %d, next %d after %d from %d", read.Total, len(created.items), read.Next, len(read.Results), from)
+	if read.Total != len(job.items) || read.Next != from+len(read.Results) {
+		fail(PromiseWholeAnswer, "total %d of %d, next %d after %d from %d", read.Total, len(job.items), read.Next, len(read.Results), from)
 	}
-	created.mu.Lock()
-	defer created.mu.Unlock()
+	job.mu.Lock()
+	defer job.mu.Unlock()
 	for offset, entry := range read.Results {
 		position := from + offset
-		if position < len(created.results) {
-			if !sameResult(created.results[position], entry) {
-				fail(PromiseAccepted, "position %d held %s %s, now %s %s", position, created.results[position].ID, created.results[position].State, entry.ID, entry.State)
+		if position < len(job.results) {
+			if !sameResult(job.results[position], entry) {
+				fail(PromiseAccepted, "position %d held %s %s, now %s %s", position, job.results[position].ID, job.results[position].State, entry.ID, entry.State)
 			}
 			continue
 		}
-		if position > len(created.results) {
-			break // what lies before it has not been read yet
+		if position > len(job.results) {
+			break // an earlier position has not been read yet
 		}
-		if slices.ContainsFunc(created.results, func(other result) bool { return other.ID == entry.ID }) {
-			fail(PromiseAccepted, "item %s stands at two positions", entry.ID)
+		if slices.ContainsFunc(job.results, func(other result) bool { return other.ID == entry.ID }) {
+			fail(PromiseAccepted, "item %s appears at two positions", entry.ID)
 		}
-		created.results = append(created.results, entry)
-		if problem := judgeResult(trainers.world.Executions, created, entry); problem != nil {
+		job.results = append(job.results, entry)
+		if problem := checkResult(trainers.deployment.Executions, job, entry); problem != nil {
 			fail(problem.Promise, "%s", problem.Detail)
 		}
 	}
@@ -293,16 +293,16 @@
 	return a.ID == b.ID && a.State == b.State && a.Text == b.Text && a.Score == b.Score && slices.Equal(a.Versions, b.Versions)
 }
 
-// judgeResult checks one result against the runs of its item and of its scorer; nil when nothing is wrong.
-func judgeResult(executions *site.Executions, created *job, entry result) *Violation {
-	if _, known := created.bodies[entry.ID]; !known {
-		return &Violation{Promise: PromiseAccepted, Detail: "foreign item " + entry.ID}
+// checkResult compares a result with the runs of its item and of its scorer. It returns nil if they match.
+func checkResult(executions *site.Executions, job *trainerJob, entry result) *Violation {
+	if _, known := job.bodies[entry.ID]; !known {
+		return &Violation{Promise: PromiseAccepted, Detail: "not an item of the job: " + entry.ID}
 	}
 	if entry.State == stateTerminated {
-		if created.endAsked {
+		if job.endRequested {
 			return nil
 		}
-		return &Violation{Promise: PromiseText, Detail: entry.ID + " was given up though no replica failed it for good"}
+		return &Violation{Promise: PromiseText, Detail: entry.ID + " was terminated although the end of its job was not requested"}
 	}
 	var texts []string
 	for event := int64(1); event <= site.EventsOf(entry.ID); event++ {
@@ -311,17 +311,18 @@
 	if entry.State != stateCompleted || entry.Text != strings.Join(texts, "\n") {
 		return &Violation{Promise: PromiseText, Detail: fmt.Sprintf("%s is %s with %q", entry.ID, entry.State, entry.Text)}
 	}
-	if problem := judgeVersions(executions.Of(entry.ID), created, entry); problem != "" {
+	if problem := checkVersions(executions.Of(entry.ID), job, entry); problem != "" {
 		return &Violation{Promise: PromiseText, Detail: problem}
 	}
-	if problem := judgeScore(executions, entry); problem != "" {
+	if problem := checkScore(executions, entry); problem != "" {
 		return &Violation{Promise: PromiseScore, Detail: problem}
 	}
 	return nil
 }
 
-// judgeVersions checks that each event was made under a named version, and each named version made an event.
-func judgeVersions(runs []site.Execution, created *job, entry result) string {
+// checkVersions checks that each event was produced by a listed version, and that each listed version produced an event and is not below the
+// minimum. It returns the problem found, or an empty string.
+func checkVersions(runs []site.Execution, job *trainerJob, entry result) string {
 	made := make(map[int64]bool)
 	for event := int64(1); event <= site.EventsOf(entry.ID); event++ {
 		covered := false
@@ -332,97 +333,98 @@
 			}
 		}
 		if !covered {
-			return fmt.Sprintf("%s: event %d was made under none of versions %v", entry.ID, event, entry.Versions)
+			return fmt.Sprintf("%s: event %d was produced by none of versions %v", entry.ID, event, entry.Versions)
 		}
 	}
 	for _, version := range entry.Versions {
-		if !made[version] || version < created.minimum {
-			return fmt.Sprintf("%s names version %d, minimum %d", entry.ID, version, created.minimum)
+		if !made[version] || version < job.minVersion {
+			return fmt.Sprintf("%s lists version %d, minimum %d", entry.ID, version, job.minVersion)
 		}
 	}
 	return ""
 }
 
-// judgeScore checks that the score is the signature of a call that was made when the text was whole.
-func judgeScore(executions *site.Executions, entry result) string {
+// checkScore checks that the score is the stamp of a scorer call that started after the text was complete. It returns the problem found, or an
+// empty string.
+func checkScore(executions *site.Executions, entry result) string {
 	last := site.EventsOf(entry.ID)
-	var whole time.Time
+	var completedAt time.Time
 	for _, run := range executions.Of(entry.ID) {
-		if made, ok := run.Events[last]; ok && (whole.IsZero() || made.At.Before(whole)) {
-			whole = made.At
+		if made, ok := run.Events[last]; ok && (completedAt.IsZero() || made.At.Before(completedAt)) {
+			completedAt = made.At
 		}
 	}
 	for _, run := range executions.Of(scorerOf(entry.ID)) {
 		if entry.Score == "stamp."+run.Replica+"."+scorerOf(entry.ID) {
-			if run.Started.Before(whole) {
-				return entry.ID + " was scored before its text was whole"
+			if run.Started.Before(completedAt) {
+				return entry.ID + " was scored before its text was complete"
 			}
 			return ""
 		}
 	}
-	return fmt.Sprintf("%s has score %q, which no replica gave", entry.ID, entry.Score)
+	return fmt.Sprintf("%s has score %q, which no replica returned", entry.ID, entry.Score)
 }
 
-// readBody asks for the body of an item that is not listed yet.
-func (trainers *trainers) readBody(ctx context.Context, created *job) {
-	created.mu.Lock()
+// readBody reads the body of an item that has no result yet.
+func (trainers *trainers) readBody(ctx context.Context, job *trainerJob) {
+	job.mu.Lock()
 	listed := make(map[string]bool)
-	for _, entry := range created.results {
+	for _, entry := range job.results {
 		listed[entry.ID] = true
 	}
-	open := !created.endAsked
-	created.mu.Unlock()
-	for _, id := range created.items {
+	open := !job.endRequested
+	job.mu.Unlock()
+	for _, id := range job.items {
 		if listed[id] || !open {
 			continue
 		}
 		node := trainers.ingress.pick()
-		got := call(ctx, node, http.MethodGet, fmt.Sprintf("/thistlewalk/items/%s?id=%s", created.id, id), "body-"+id, "", readLimit, created.key()...)
-		trainers.judgeBody(created, node, id, got)
+		got := call(ctx, node, http.MethodGet, fmt.Sprintf("/thistlewalk/items/%s?id=%s", job.id, id), "body-"+id, "", readTimeout, job.key()...)
+		trainers.checkBody(job, node, id, got)
 		return
 	}
 }
 
-func (trainers *trainers) judgeBody(created *job, node *Node, id string, got answer) {
-	created.mu.Lock()
-	defer created.mu.Unlock()
-	if got.broken != nil || created.endAsked {
+func (trainers *trainers) checkBody(job *trainerJob, node *Node, id string, got answer) {
+	job.mu.Lock()
+	defer job.mu.Unlock()
+	if got.err != nil || job.endRequested {
 		return
 	}
 	switch {
-	case got.status == http.StatusOK && got.body != created.bodies[id]:
+	case got.status == http.StatusOK && got.body != job.bodies[id]:
 		trainers.report(Violation{Promise: PromiseWholeAnswer, Subject: id, Detail: fmt.Sprintf("%s answers the body %q", node.Name, got.body)})
 	case got.status == http.StatusNotFound:
-		trainers.report(Violation{Promise: PromiseAccepted, Subject: id, Detail: node.Name + " has no body of an open item"})
+		trainers.report(Violation{Promise: PromiseAccepted, Subject: id, Detail: node.Name + " does not find the body of an open item"})
 	}
 }
 
-func (created *job) known() int {
-	created.mu.Lock()
-	defer created.mu.Unlock()
-	return len(created.results)
+func (job *trainerJob) readCount() int {
+	job.mu.Lock()
+	defer job.mu.Unlock()
+	return len(job.results)
 }
 
-// settled reports whether the job was accepted long enough ago to be known everywhere.
-func (created *job) settled() bool {
-	created.mu.Lock()
-	defer created.mu.Unlock()
-	return !created.accepted.IsZero() && time.Since(created.accepted) > settleTime
+// isReplicated reports whether the job was accepted long enough ago for every front to find it.
+func (job *trainerJob) isReplicated() bool {
+	job.mu.Lock()
+	defer job.mu.Unlock()
+	return !job.acceptedAt.IsZero() && time.Since(job.acceptedAt) > replicationTime
 }
 
-// enough reports whether as many groups are whole as the trainer waits for.
-func (created *job) enough() bool {
-	created.mu.Lock()
-	defer created.mu.Unlock()
+// hasDesiredGroups reports whether the number of complete groups has reached desiredGroups.
+func (job *trainerJob) hasDesiredGroups() bool {
+	job.mu.Lock()
+	defer job.mu.Unlock()
 	listed := make(map[string]bool)
-	for _, entry := range created.results {
+	for _, entry := range job.results {
 		listed[entry.ID] = true
 	}
-	whole := 0
-	for first := 0; first < len(created.items); first += groupSize {
-		if !slices.ContainsFunc(created.items[first:first+groupSize], func(id string) bool { return !listed[id] }) {
-			whole++
+	complete := 0
+	for first := 0; first < len(job.items); first += groupSize {
+		if !slices.ContainsFunc(job.items[first:first+groupSize], func(id string) bool { return !listed[id] }) {
+			complete++
 		}
 	}
-	return whole >= wantedGroups
+	return complete >= desiredGroups
 }
--- a/internal/lab/platform/soak/violation.go
+++ b/internal/lab/platform/soak/violation.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Promise is one of the promises that the soak checks.
+// Promise is a guarantee of the product that the soak checks.
 type Promise string
 
-// The promises, as docs/TESTING.md lists them.
+// Promises, as listed in docs/TESTING.md.
 const (
 	PromiseWholeAnswer   Promise = "a caller gets the whole answer to its own request"
 	PromiseNotRun        Promise = "what was refused has not run"
@@ -28,21 +28,21 @@
 	PromiseProcess       Promise = "a process does not end by itself"
 )
 
-// Violation is a promise that was broken.
+// Violation is one observed breach of a promise.
 type Violation struct {
 	Promise Promise
 	Subject string // the request, job or node
 	Detail  string
-	// After is the time since the soak began.
+	// After is the time since the start of the soak.
 	After time.Duration
 }
 
-// String returns one line.
+// String describes the violation in one line.
 func (violation Violation) String() string {
 	return fmt.Sprintf("%6.2fs %s: %s: %s", violation.After.Seconds(), violation.Promise, violation.Subject, violation.Detail)
 }
 
-// violations collects what was broken. It is safe for concurrent use.
+// violations collects the violations of a run. It is safe for concurrent use.
 type violations struct {
 	began time.Time
 	mu    sync.Mutex
