--- a/internal/lab/former/former.go
+++ b/internal/lab/former/former.go
@@ -1,5 +1,5 @@
-// Package former tells what nodes of the build in production read of the messages of this one: fields, kinds and calls that they don't know are
-// passed over in silence.
+// Package former reduces messages of the current build to what nodes of the production build decode from them. Those nodes ignore unknown fields
+// without an error.
 package former
 
 import (
@@ -14,47 +14,48 @@
 	"google.golang.org/protobuf/types/dynamicpb"
 )
 
-// content holds api/cluster/v1/cluster.proto and api/batch/v1/batch.proto as commit bb6c757 has them; in a folder with both files of that commit:
+// descriptorSet holds the descriptors of api/cluster/v1/cluster.proto and api/batch/v1/batch.proto at commit bb6c757. It was generated in a folder
+// with both files of that commit:
 //
 //	protoc --proto_path=. --descriptor_set_out=former.binpb api/cluster/v1/cluster.proto api/batch/v1/batch.proto
 //
 //go:embed former.binpb
-var content []byte
+var descriptorSet []byte
 
-// Build knows the messages of the build in production.
+// Build holds the message descriptors of the production build.
 type Build struct{ files *protoregistry.Files }
 
-// Load returns the messages of the build in production.
+// Load returns the message descriptors of the production build.
 func Load() (*Build, error) {
 	set := &descriptorpb.FileDescriptorSet{}
-	if err := proto.Unmarshal(content, set); err != nil {
-		return nil, errors.Wrap(err, "decode the former messages")
+	if err := proto.Unmarshal(descriptorSet, set); err != nil {
+		return nil, errors.Wrap(err, "decode the message descriptors of the production build")
 	}
 	files, err := protodesc.NewFiles(set)
 	if err != nil {
-		return nil, errors.Wrap(err, "link the former messages")
+		return nil, errors.Wrap(err, "resolve the message descriptors of the production build")
 	}
 	return &Build{files}, nil
 }
 
-// Read replaces a message by what a node of the build in production reads of it.
+// Read reduces a message to what a node of the production build decodes from it.
 func (build *Build) Read(message proto.Message) error {
-	found, err := build.files.FindDescriptorByName(message.ProtoReflect().Descriptor().FullName())
+	descriptor, err := build.files.FindDescriptorByName(message.ProtoReflect().Descriptor().FullName())
 	if err != nil {
-		return errors.Wrap(err, "a message that the former build does not have")
+		return errors.Wrap(err, "find the message in the production build")
 	}
 	wire, err := proto.Marshal(message)
 	if err != nil {
 		return errors.Wrap(err, "encode a message")
 	}
-	seen := dynamicpb.NewMessage(found.(protoreflect.MessageDescriptor))
-	if err := (proto.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(wire, seen); err != nil {
-		return errors.Wrap(err, "decode a message as the former build does")
+	decoded := dynamicpb.NewMessage(descriptor.(protoreflect.MessageDescriptor))
+	if err := (proto.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(wire, decoded); err != nil {
+		return errors.Wrap(err, "decode a message with the descriptors of the production build")
 	}
-	wire, err = proto.Marshal(seen)
+	wire, err = proto.Marshal(decoded)
 	if err != nil {
-		return errors.Wrap(err, "encode what the former build has read")
+		return errors.Wrap(err, "encode the message that the production build decoded")
 	}
 	proto.Reset(message)
-	return errors.Wrap(proto.Unmarshal(wire, message), "decode what the former build has read")
+	return errors.Wrap(proto.Unmarshal(wire, message), "decode the message that the production build decoded")
 }
