--- a/internal/lab/production/production.go
+++ b/internal/lab/production/production.go
@@ -1,5 +1,5 @@
-// Package production builds the program that runs in production, from the repository's own history, so that it can be run beside the program of the
-// sources as they stand.
+// Package production builds the program that runs in production from the repository's history, so that it can run alongside the program built from
+// the current sources.
 package production
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-// deployFile names the commit that runs in production, and programFolder is the program's folder.
+// deployFile contains the commit that runs in production. programFolder is the folder of the program's main package.
 const (
 	deployFile    = "deploy/system.toml"
 	programFolder = "./cmd/thistlewalk-rollout"
 )
 
-// ErrNoHistory says that the repository's history does not hold the commit that runs in production, as that of a shallow clone.
-var ErrNoHistory = errors.New("the repository's history does not hold the commit that runs in production")
+// ErrNoHistory is returned if the repository's history does not contain the commit that runs in production, as in a shallow clone.
+var ErrNoHistory = errors.New("the repository's history does not contain the commit that runs in production")
 
-// Build writes the program that runs in production into a folder, and returns its path. The root is that of the repository.
+// Build builds the program that runs in production into the folder and returns its path. root is the root of the repository.
 func Build(ctx context.Context, root, folder string) (string, error) {
 	commit, err := Commit(root)
 	if err != nil {
@@ -33,11 +33,11 @@
 	}
 	sources := filepath.Join(folder, "production-sources")
 	if err := os.MkdirAll(sources, 0o755); err != nil {
-		return "", errors.Wrap(err, "make a folder for the sources")
+		return "", errors.Wrap(err, "create a folder for the sources")
 	}
 	archive := filepath.Join(folder, "production.tar")
 	if output, err := command(ctx, root, "git", "archive", "--format=tar", "--output="+archive, commit, "--", ".", ":!journal").CombinedOutput(); err != nil {
-		return "", errors.Wrapf(err, "take the sources of %s from the history: %s", commit, output)
+		return "", errors.Wrapf(err, "archive the sources of %s: %s", commit, output)
 	}
 	if output, err := command(ctx, sources, "tar", "-xf", archive).CombinedOutput(); err != nil {
 		return "", errors.Wrapf(err, "unpack the sources of %s: %s", commit, output)
@@ -50,12 +50,12 @@
 }
 
 func command(ctx context.Context, folder, name string, arguments ...string) *exec.Cmd {
-	created := exec.CommandContext(ctx, name, arguments...)
-	created.Dir = folder
-	return created
+	cmd := exec.CommandContext(ctx, name, arguments...)
+	cmd.Dir = folder
+	return cmd
 }
 
-// Commit returns the commit that runs in production, as the deploy file names it.
+// Commit returns the commit that runs in production according to the deploy file.
 func Commit(root string) (string, error) {
 	file, err := os.Open(filepath.Join(root, deployFile))
 	if err != nil {
--- a/internal/lab/production/production_test.go
+++ b/internal/lab/production/production_test.go
@@ -12,14 +12,14 @@
 	"github.com/thistlewalk/thistlewalk/internal/lab/production"
 )
 
-// The deploy file of this repository names a commit.
+// Guards against a deploy file in this repository that contains no full commit hash.
 func TestCommitOfThisRepository(t *testing.T) {
 	commit, err := production.Commit(filepath.Join("..", "..", ".."))
 	must.NoError(t, err)
 	must.Eq(t, 40, len(commit))
 }
 
-// A history without the commit is told from a build that fails.
+// Guards against a missing commit being reported as a failed build.
 func TestHistoryWithoutTheCommit(t *testing.T) {
 	root := t.TempDir()
 	must.NoError(t, exec.CommandContext(t.Context(), "git", "init", "--quiet", root).Run())
