--- a/internal/lab/bubble/bubble.go
+++ b/internal/lab/bubble/bubble.go
@@ -1,4 +1,4 @@
-// Package bubble runs code in modelled time, by testing/synctest, inside and outside of test binaries.
+// Package bubble runs code on the fake clock of testing/synctest, inside and outside of test binaries.
 package bubble
 
 import (
@@ -12,29 +12,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// afterwards is how long modelled time goes on after the work, so that idle connections and last calls end: it stands
-// still once the function of a bubble has returned.
-const afterwards = 3 * time.Minute
+// drainDuration is how long the fake clock keeps running after the work, so that idle connections and pending calls end.
+// The clock stops when the function of a bubble returns.
+const drainDuration = 3 * time.Minute
 
-// Run runs work in a bubble, with a folder that is removed afterwards.
+// Run runs work in a bubble, with a temporary folder that is removed afterwards.
 func Run(t *testing.T, work func(folder string) error) error {
 	folder, err := os.MkdirTemp("", "thistlewalk-")
 	if err != nil {
-		return errors.Wrap(err, "folder for samples")
+		return errors.Wrap(err, "create a folder for samples")
 	}
 	defer os.RemoveAll(folder)
 	var failure error
 	synctest.Test(t, func(*testing.T) {
 		failure = work(folder)
-		time.Sleep(afterwards)
+		time.Sleep(drainDuration)
 	})
 	return failure
 }
 
-// Main runs work outside a test binary and ends the process: with code 0 if work returns true, else 1. A bubble needs a
-// testing.T, and only the testing package makes one.
+// Main runs work outside a test binary and exits the process, with code 0 if work returns true and 1 otherwise. It runs
+// work as a test, because a bubble needs a testing.T, which only the testing package creates.
 func Main(work func(t *testing.T) bool) {
-	signal.Reset(os.Interrupt, syscall.SIGTERM) // nothing in a bubble waits for a signal: it ends the process
+	signal.Reset(os.Interrupt, syscall.SIGTERM) // a signal ends the process, since nothing in a bubble can wait for it
 	testing.Init()
 	session := testing.InternalTest{Name: "modelled", F: func(t *testing.T) {
 		if !work(t) {
@@ -45,7 +45,7 @@
 	testing.Main(matchAll, []testing.InternalTest{session}, nil, nil)
 }
 
-// Each runs work for every item, several at a time, and returns when all are done.
+// Each runs work for all items in parallel subtests and returns when all of them have finished.
 func Each[Item any](t *testing.T, items []Item, work func(t *testing.T, item Item)) {
 	t.Run("all", func(t *testing.T) {
 		for _, item := range items {
