--- a/internal/lab/freeport/claim_test.go
+++ b/internal/lab/freeport/claim_test.go
@@ -6,17 +6,17 @@
 	"github.com/shoenig/test/must"
 )
 
-// Two processes that are given ports, and don't listen there yet, are given none in common.
+// Guards against two processes being given the same port before either listens on it.
 func TestProcessesShareNoPort(t *testing.T) {
-	var here, there allocator
+	var first, second allocator
 	t.Cleanup(func() {
-		for _, claim := range append(here.claims, there.claims...) {
+		for _, claim := range append(first.claims, second.claims...) {
 			claim.Close()
 		}
 	})
 	taken := make(map[int]bool)
 	for range 3 {
-		for _, allocator := range []*allocator{&here, &there} {
+		for _, allocator := range []*allocator{&first, &second} {
 			pairs, err := allocator.pairs(120)
 			must.NoError(t, err)
 			for _, pair := range pairs {
--- a/internal/lab/freeport/freeport.go
+++ b/internal/lab/freeport/freeport.go
@@ -1,4 +1,4 @@
-// Package freeport finds ports for processes of tests and trials that are told their ports in advance.
+// Package freeport finds free ports for processes that need their port numbers before they start.
 package freeport
 
 import (
@@ -10,28 +10,28 @@
 )
 
 const (
-	// first and last lie below the ports that the system gives to outgoing connections and to listeners that name none: one of those
-	// cannot take a port between its choice and its use.
-	first = 15000
-	last  = 32000
-	// blockPorts is how many ports a process claims at once, of which the first two stand for the claim: a soak takes some thirty.
-	blockPorts = 200
+	// firstPort and lastPort bound a range below the system's ephemeral ports. Outgoing connections and listeners without a port number
+	// therefore cannot take a port between its allocation and its use.
+	firstPort = 15000
+	lastPort  = 32000
+	// blockSize is how many ports a process claims at once. The first two ports of a block are reserved for the claim.
+	blockSize = 200
 )
 
-// allocator gives out the ports of blocks that it has claimed. A claim is a listener that is never closed, so that it ends with the process:
-// no other process is given a port of the block, also while nobody listens there yet.
+// allocator allocates ports from blocks that it has claimed. A claim is a listener on the first port of the block. It stays open until the process
+// ends, so that no other process allocates from the block, even while its other ports are not in use.
 type allocator struct {
 	mu     sync.Mutex
 	claims []net.Listener
-	next   int // the next port of the last block
-	end    int // of the last block
+	next   int // next port of the last block
+	end    int // end of the last block, exclusive
 }
 
-var process allocator
+var shared allocator
 
-// Pairs returns loopback addresses at whose port and the next one nobody listens, by TCP or UDP. None is returned twice, to this process or
-// another that runs now.
-func Pairs(count int) ([]*net.TCPAddr, error) { return process.pairs(count) }
+// Pairs returns loopback addresses whose port and the port after it are free for TCP and UDP. It returns no address twice, neither to this process
+// nor to another that runs at the same time.
+func Pairs(count int) ([]*net.TCPAddr, error) { return shared.pairs(count) }
 
 func (allocator *allocator) pairs(count int) ([]*net.TCPAddr, error) {
 	allocator.mu.Lock()
@@ -50,16 +50,16 @@
 	return list, nil
 }
 
-// claim takes a block that no process has. It must be called with mu held.
+// claim claims a block that no process has claimed, and reports whether there was one. It must be called with mu held.
 func (allocator *allocator) claim() bool {
-	for _, block := range rand.Perm((last - first) / blockPorts) {
-		begin := first + block*blockPorts
+	for _, block := range rand.Perm((lastPort - firstPort) / blockSize) {
+		begin := firstPort + block*blockSize
 		listener, err := net.ListenTCP("tcp", address(begin))
 		if err != nil {
-			continue // another process has it
+			continue // claimed by another process
 		}
 		allocator.claims = append(allocator.claims, listener)
-		allocator.next, allocator.end = begin+2, begin+blockPorts
+		allocator.next, allocator.end = begin+2, begin+blockSize
 		return true
 	}
 	return false
--- a/internal/lab/freeport/freeport_test.go
+++ b/internal/lab/freeport/freeport_test.go
@@ -10,7 +10,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/lab/freeport"
 )
 
-// Both ports of each pair can be listened at by TCP and UDP, all at the same time.
+// Guards against pairs that overlap or are in use: a test can listen on both ports of all pairs at once, by TCP and UDP.
 func TestPairsAreFree(t *testing.T) {
 	pairs, err := freeport.Pairs(40)
 	must.NoError(t, err)
