--- a/internal/lab/verdict/known.go
+++ b/internal/lab/verdict/known.go
@@ -10,26 +10,26 @@
 	"github.com/cockroachdb/errors"
 )
 
-// KnownMost is how many tests may be known to fail at a time, as docs/DEVELOPERS.md has it.
-const KnownMost = 3
+// MaxKnown is the maximum length of the list of known failures, as specified in docs/DEVELOPERS.md.
+const MaxKnown = 3
 
-// Known is a test that fails for a fault which is known and not mended yet.
+// Known is a test that fails because of a known fault that is not fixed yet.
 type Known struct {
-	// Package is the path of the test's package below the module's; empty for the module's own.
+	// Package is the path of the test's package relative to the module; empty for the module's root package.
 	Package string
 	// Test is the name of the test function.
 	Test string
-	// Line is what is known, as it was written down.
+	// Line is the whole line of the list.
 	Line string
 }
 
-// knownName is a package below the module and a test function, as in internal/forwarding.TestForward.
+// knownName matches a package path relative to the module and a test function, as in internal/forwarding.TestForward.
 var knownName = regexp.MustCompile(`^([a-z0-9_/-]*)\.(Test\w+)$`)
 
-// ErrKnownFormat says that a list of known failures can't be used as it is.
-var ErrKnownFormat = errors.New("the list of known failures is not valid")
+// ErrInvalidKnown is returned for a list of known failures that is malformed or too long.
+var ErrInvalidKnown = errors.New("the list of known failures is not valid")
 
-// LoadKnown reads the list of known failures from a file; a file that does not exist lists none.
+// LoadKnown reads the list of known failures from a file. A missing file counts as an empty list.
 func LoadKnown(path string) ([]Known, error) {
 	file, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -42,8 +42,9 @@
 	return ParseKnown(file)
 }
 
-// ParseKnown reads a list of known failures: a line each that begins with the test, as internal/forwarding.TestForward, and a comma. The
-// rest of the line is for readers. A name without its package is refused, since other packages may have a test of that name.
+// ParseKnown reads a list of known failures with one failure a line. A line begins with the package and test, as in
+// internal/forwarding.TestForward, and a comma; the rest is free text. A test without a package is an error, since several packages may have a
+// test of the same name.
 func ParseKnown(source io.Reader) ([]Known, error) {
 	var list []Known
 	lines := bufio.NewScanner(source)
@@ -52,30 +53,30 @@
 		if line == "" {
 			continue
 		}
-		name, _, more := strings.Cut(line, ",")
+		name, _, hasDetails := strings.Cut(line, ",")
 		parts := knownName.FindStringSubmatch(name)
-		if parts == nil || !more {
-			return nil, errors.Wrapf(ErrKnownFormat, "%q does not begin with a package, a test and a comma", line)
+		if parts == nil || !hasDetails {
+			return nil, errors.Wrapf(ErrInvalidKnown, "%q does not begin with a package, a test and a comma", line)
 		}
 		list = append(list, Known{Package: parts[1], Test: parts[2], Line: line})
 	}
 	if err := lines.Err(); err != nil {
 		return nil, errors.Wrap(err, "read the list of known failures")
 	}
-	if len(list) > KnownMost {
-		return nil, errors.Wrapf(ErrKnownFormat, "%d lines where %d may stand", len(list), KnownMost)
+	if len(list) > MaxKnown {
+		return nil, errors.Wrapf(ErrInvalidKnown, "%d lines where %d may stand", len(list), MaxKnown)
 	}
 	return list, nil
 }
 
-// is reports whether a test of a package, given by its full import path, is the known one.
-func (known *Known) is(module, packagePath, test string) bool {
-	below := strings.TrimPrefix(strings.TrimPrefix(packagePath, module), "/")
-	return below == known.Package && topLevel(test) == known.Test
+// matches reports whether a test is the known one. packagePath is the full import path of its package.
+func (known *Known) matches(module, packagePath, test string) bool {
+	relative := strings.TrimPrefix(strings.TrimPrefix(packagePath, module), "/")
+	return relative == known.Package && topLevelTest(test) == known.Test
 }
 
-// topLevel returns the test function of a test or of one of its subtests.
-func topLevel(test string) string {
+// topLevelTest returns the name of the test function of a test or subtest.
+func topLevelTest(test string) string {
 	name, _, _ := strings.Cut(test, "/")
 	return name
 }
--- a/internal/lab/verdict/verdict.go
+++ b/internal/lab/verdict/verdict.go
@@ -1,6 +1,6 @@
-// Package verdict judges a run of "go test -json": it passes over tests that are known to fail, and over nothing else. A package that ends
-// in any other way than by the end of its tests (os.Exit, a fatal error, a panic, a signal, a time-out, a failed build) fails the run, since
-// nobody knows then what its other tests would have shown.
+// Package verdict decides whether a run of "go test -json" passes. It ignores failures of tests that are known to fail, and no other failures. A
+// package that does not run all of its tests (because of os.Exit, a fatal error, a panic, a signal, a timeout or a failed build) fails the run,
+// since the results of its other tests are unknown.
 package verdict
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Actions of events, as "go doc test2json" names them.
+// Actions of events, as documented in "go doc test2json".
 const (
 	actionRun    = "run"
 	actionOutput = "output"
@@ -24,17 +24,17 @@
 	actionSkip   = "skip"
 )
 
-// failedLine is what a test program prints of itself, outside of any test, when it has run all of its tests and some failed. One that ends
-// early never comes to it.
+// failedLine is what a test program prints, outside of any test, when it has run all of its tests and some failed. A program that ends early does
+// not print it.
 const failedLine = "FAIL\n"
 
-// passedLine is what it prints if none failed; "go test" leaves it out.
+// passedLine is what a test program prints if all tests passed. "go test" omits it.
 const passedLine = "PASS\n"
 
-// longestLine bounds a line of the run in bytes: an event carries one line of a test's output.
-const longestLine = 16 << 20
+// maxLineBytes bounds a line of the input. An event contains one line of a test's output.
+const maxLineBytes = 16 << 20
 
-// event is one event of "go test -json".
+// event is an event of "go test -json".
 type event struct {
 	Action  string
 	Package string
@@ -42,143 +42,143 @@
 	Output  string
 }
 
-// packageRun is what the run of one package's tests has come to.
+// packageRun is the state of the run of a package's tests.
 type packageRun struct {
-	output map[string]*strings.Builder // by test, until the test has passed
-	open   map[string]bool             // tests that began and have not ended
-	failed []string                    // tests
-	// finished says that the test program itself said that it has run all of its tests, over that the package failed as a whole.
-	finished, over bool
+	output      map[string]*strings.Builder // by test, until the test has ended
+	running     map[string]bool             // tests that started and have not ended
+	failedTests []string
+	// finished is true if the test program printed that it has run all of its tests. failed is true if the package as a whole failed.
+	finished, failed bool
 }
 
-// Run is a run of the tests of some packages, as far as it was read.
+// Run is a run of the tests of some packages.
 type Run struct {
 	// Module is the path of the module that the packages belong to.
 	Module string
-	// Known are the failures that are passed over.
+	// Known are the failures to ignore.
 	Known []Known
 
-	packages map[string]*packageRun
-	ended    int
+	packages   map[string]*packageRun
+	endedTests int
 }
 
-// Read reads a run to its end, and prints what "go test" would: a line a package, and the output of tests that failed.
-func (run *Run) Read(source io.Reader, printed io.Writer) error {
+// Read reads a run to its end. Like "go test", it prints a line for each package and the output of failed tests.
+func (run *Run) Read(source io.Reader, out io.Writer) error {
 	run.packages = make(map[string]*packageRun)
 	lines := bufio.NewScanner(source)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		read := event{}
-		if json.Unmarshal(lines.Bytes(), &read) != nil || read.Action == "" {
-			fmt.Fprintln(printed, lines.Text()) // what the go command says itself
+		parsed := event{}
+		if json.Unmarshal(lines.Bytes(), &parsed) != nil || parsed.Action == "" {
+			fmt.Fprintln(out, lines.Text()) // output of the go command itself
 			continue
 		}
-		run.take(&read, printed)
+		run.record(&parsed, out)
 	}
 	return errors.Wrap(lines.Err(), "read the run of the tests")
 }
 
-func (run *Run) take(read *event, printed io.Writer) {
-	if read.Package == "" {
-		fmt.Fprint(printed, read.Output) // of a build
+func (run *Run) record(event *event, out io.Writer) {
+	if event.Package == "" {
+		fmt.Fprint(out, event.Output) // output of a build
 		return
 	}
-	state := run.packages[read.Package]
+	state := run.packages[event.Package]
 	if state == nil {
-		state = &packageRun{output: make(map[string]*strings.Builder), open: make(map[string]bool)}
-		run.packages[read.Package] = state
+		state = &packageRun{output: make(map[string]*strings.Builder), running: make(map[string]bool)}
+		run.packages[event.Package] = state
 	}
-	if read.Test == "" {
-		state.takeOwn(read, printed)
+	if event.Test == "" {
+		state.recordPackageEvent(event, out)
 		return
 	}
-	if read.Action == actionPass || read.Action == actionFail || read.Action == actionSkip {
-		run.ended++
+	if event.Action == actionPass || event.Action == actionFail || event.Action == actionSkip {
+		run.endedTests++
 	}
-	state.takeTest(read, printed)
+	state.recordTestEvent(event, out)
 }
 
-// takeOwn takes an event of the package as a whole.
-func (state *packageRun) takeOwn(read *event, printed io.Writer) {
-	switch read.Action {
+// recordPackageEvent records an event of the package as a whole.
+func (state *packageRun) recordPackageEvent(event *event, out io.Writer) {
+	switch event.Action {
 	case actionOutput:
-		state.finished = state.finished || read.Output == failedLine
-		if read.Output != passedLine {
-			fmt.Fprint(printed, read.Output)
+		state.finished = state.finished || event.Output == failedLine
+		if event.Output != passedLine {
+			fmt.Fprint(out, event.Output)
 		}
 	case actionFail:
-		state.over = true
-		for _, test := range slices.Sorted(maps.Keys(state.open)) { // cut short: their output tells by what
-			fmt.Fprint(printed, state.output[test])
+		state.failed = true
+		for _, test := range slices.Sorted(maps.Keys(state.running)) { // their output shows why the package ended early
+			fmt.Fprint(out, state.output[test])
 		}
 	}
 }
 
-// takeTest takes an event of a test.
-func (state *packageRun) takeTest(read *event, printed io.Writer) {
-	switch read.Action {
+// recordTestEvent records an event of a test.
+func (state *packageRun) recordTestEvent(event *event, out io.Writer) {
+	switch event.Action {
 	case actionRun:
-		state.open[read.Test] = true
-		state.output[read.Test] = &strings.Builder{}
+		state.running[event.Test] = true
+		state.output[event.Test] = &strings.Builder{}
 	case actionOutput:
-		if output := state.output[read.Test]; output != nil {
-			output.WriteString(read.Output)
+		if output := state.output[event.Test]; output != nil {
+			output.WriteString(event.Output)
 		}
 	case actionPass, actionSkip:
-		delete(state.open, read.Test)
-		delete(state.output, read.Test)
+		delete(state.running, event.Test)
+		delete(state.output, event.Test)
 	case actionFail:
-		delete(state.open, read.Test)
-		state.failed = append(state.failed, read.Test)
-		fmt.Fprint(printed, state.output[read.Test])
-		delete(state.output, read.Test)
+		delete(state.running, event.Test)
+		state.failedTests = append(state.failedTests, event.Test)
+		fmt.Fprint(out, state.output[event.Test])
+		delete(state.output, event.Test)
 	}
 }
 
-// Judge returns what is wrong with the run, a line each; none if it is green but for known failures. The status is that of "go test", and
-// the known failures that showed are printed.
-func (run *Run) Judge(status int, printed io.Writer) []string {
-	var wrong []string
-	shown := make(map[string]bool)
+// Judge returns the problems of the run, or none if it passed except for known failures. The status is the exit status of "go test". Judge also
+// prints the known failures, and for each whether it occurred in this run.
+func (run *Run) Judge(status int, out io.Writer) []string {
+	var problems []string
+	observed := make(map[string]bool)
 	for _, path := range slices.Sorted(maps.Keys(run.packages)) {
 		state := run.packages[path]
-		wrong = append(wrong, run.unknown(path, state, shown)...)
-		if state.over && !state.finished {
-			wrong = append(wrong, path+": ended before its tests were over")
+		problems = append(problems, run.unexpectedFailures(path, state, observed)...)
+		if state.failed && !state.finished {
+			problems = append(problems, path+": ended before its tests were over")
 		}
-		if state.over && len(state.failed) == 0 {
-			wrong = append(wrong, path+": failed, but none of its tests did")
+		if state.failed && len(state.failedTests) == 0 {
+			problems = append(problems, path+": failed, but none of its tests did")
 		}
-		for _, test := range slices.Sorted(maps.Keys(state.open)) {
-			wrong = append(wrong, path+"."+test+": began and did not end")
+		for _, test := range slices.Sorted(maps.Keys(state.running)) {
+			problems = append(problems, path+"."+test+": began and did not end")
 		}
 	}
 	for _, known := range run.Known {
-		said := "known red, and failed:"
-		if !shown[known.Line] {
-			said = "known red, and did not fail this time:"
+		label := "known red, and failed:"
+		if !observed[known.Line] {
+			label = "known red, and did not fail this time:"
 		}
-		fmt.Fprintln(printed, said, known.Line)
+		fmt.Fprintln(out, label, known.Line)
 	}
-	if status != 0 && len(wrong) == 0 && len(shown) == 0 {
-		wrong = append(wrong, fmt.Sprintf("go test ended with status %d, and no package says why", status))
+	if status != 0 && len(problems) == 0 && len(observed) == 0 {
+		problems = append(problems, fmt.Sprintf("go test ended with status %d, and no package says why", status))
 	}
-	if run.ended == 0 {
-		wrong = append(wrong, "no test was run")
+	if run.endedTests == 0 {
+		problems = append(problems, "no test was run")
 	}
-	return wrong
+	return problems
 }
 
-// unknown returns the tests of a package that failed and are not known to, and notes those that are.
-func (run *Run) unknown(path string, state *packageRun, shown map[string]bool) []string {
+// unexpectedFailures returns the failed tests of a package that are not known failures, and adds the known ones that failed to observed.
+func (run *Run) unexpectedFailures(path string, state *packageRun, observed map[string]bool) []string {
 	var list []string
-	for _, test := range state.failed {
-		index := slices.IndexFunc(run.Known, func(known Known) bool { return known.is(run.Module, path, test) })
+	for _, test := range state.failedTests {
+		index := slices.IndexFunc(run.Known, func(known Known) bool { return known.matches(run.Module, path, test) })
 		if index < 0 {
 			list = append(list, path+"."+test+": failed")
 			continue
 		}
-		shown[run.Known[index].Line] = true
+		observed[run.Known[index].Line] = true
 	}
 	return list
 }
--- a/internal/lab/verdict/verdict_test.go
+++ b/internal/lab/verdict/verdict_test.go
@@ -14,31 +14,30 @@
 	"github.com/thistlewalk/thistlewalk/internal/lab/verdict"
 )
 
-// A list of known failures once excused more than it named: a package that ended by os.Exit, by a fatal error or by a signal printed no
-// failed test, so that nothing unknown was found and the run passed; and a test of the same name in another package was taken for the
-// known one. Real runs of small modules show that neither passes any more.
+// Guards against a list of known failures that excuses other failures: a package that ends early without a failed test, or a test of the same name
+// in another package.
 func TestOnlyKnownFailuresPass(t *testing.T) {
 	const red, green = `t.Fatal("red")`, ``
 	const exit, fatal, killed = `os.Exit(1)`, `var mu sync.Mutex; mu.Unlock()`, `process, _ := os.FindProcess(os.Getpid()); process.Kill(); select {}`
 	for _, check := range []struct {
-		name   string
-		a, b   string // what TestOne of the two packages does
-		known  string
-		passes bool
-		wrong  string
+		name     string
+		a, b     string // what TestOne of the two packages does
+		known    string
+		passes   bool
+		problems string
 	}{
 		{"all green", green, green, "", true, ""},
 		{"red", red, green, "", false, "example/a.TestOne: failed"},
 		{"known red", red, green, "a.TestOne, a cause, issue 1", true, ""},
-		{"a namesake elsewhere", red, red, "a.TestOne, a cause, issue 1", false, "example/b.TestOne: failed"},
+		{"same name in another package", red, red, "a.TestOne, a cause, issue 1", false, "example/b.TestOne: failed"},
 		{"known, but in the other package", red, green, "b.TestOne, a cause, issue 1", false, "example/a.TestOne: failed"},
 		{"a known red subtest", `t.Run("sub", func(t *testing.T) { t.Fatal("red") })`, green, "a.TestOne, a cause, issue 1", true, ""},
-		{"exits by itself", exit, red, "b.TestOne, a cause, issue 1", false, "example/a: ended before its tests were over"},
-		{"a known one exits, and takes the others along", exit, green, "a.TestOne, a cause, issue 1", false, "example/a: ended before its tests were over"},
+		{"exits", exit, red, "b.TestOne, a cause, issue 1", false, "example/a: ended before its tests were over"},
+		{"known test exits the process", exit, green, "a.TestOne, a cause, issue 1", false, "example/a: ended before its tests were over"},
 		{"fatal error", fatal, red, "b.TestOne, a cause, issue 1", false, "example/a: ended before its tests were over"},
 		{"killed", killed, red, "b.TestOne, a cause, issue 1", false, "example/a: ended before its tests were over"},
-		{"a known one panics", `panic("red")`, green, "a.TestOne, a cause, issue 1", false, "example/a: ended before its tests were over"},
-		{"one prints what a finished program would", `println("FAIL"); os.Stdout.WriteString("FAIL\n"); os.Exit(1)`, red, "b.TestOne, a cause, issue 1", false, "example/a: ended before its tests were over"},
+		{"known test panics", `panic("red")`, green, "a.TestOne, a cause, issue 1", false, "example/a: ended before its tests were over"},
+		{"prints the line of a finished program", `println("FAIL"); os.Stdout.WriteString("FAIL\n"); os.Exit(1)`, red, "b.TestOne, a cause, issue 1", false, "example/a: ended before its tests were over"},
 		{"does not build", `undefined()`, red, "b.TestOne, a cause, issue 1", false, "example/a: failed, but none of its tests did"},
 	} {
 		t.Run(check.name, func(t *testing.T) {
@@ -47,19 +46,19 @@
 			known, err := verdict.ParseKnown(strings.NewReader(check.known))
 			must.NoError(t, err)
 			run := &verdict.Run{Module: "example", Known: known}
-			printed := &bytes.Buffer{}
-			must.NoError(t, run.Read(bytes.NewReader(output), printed))
-			wrong := strings.Join(run.Judge(status, printed), "\n")
-			must.Eq(t, check.passes, wrong == "", must.Sprint(wrong, "\n", printed))
-			must.StrContains(t, wrong, check.wrong)
+			out := &bytes.Buffer{}
+			must.NoError(t, run.Read(bytes.NewReader(output), out))
+			problems := strings.Join(run.Judge(status, out), "\n")
+			must.Eq(t, check.passes, problems == "", must.Sprint(problems, "\n", out))
+			must.StrContains(t, problems, check.problems)
 			if check.known != "" {
-				must.StrContains(t, printed.String(), check.known)
+				must.StrContains(t, out.String(), check.known)
 			}
 		})
 	}
 }
 
-// runModule runs the tests of a module with two packages, of which each has the given TestOne and a TestTwo that passes.
+// runModule runs the tests of a module with packages a and b. Each has a TestOne with the given body and a TestTwo that passes.
 func runModule(t *testing.T, a, b string) (output []byte, status int) {
 	t.Helper()
 	folder := t.TempDir()
@@ -85,7 +84,7 @@
 	return output, 0
 }
 
-// What can't be told is no pass: a run without tests, and a status that nothing explains.
+// Guards against passing a run without tests, with an unexplained exit status, or with a test that did not end.
 func TestWhatIsNotExplainedFails(t *testing.T) {
 	run := &verdict.Run{Module: "example"}
 	must.NoError(t, run.Read(strings.NewReader(""), &bytes.Buffer{}))
@@ -98,16 +97,16 @@
 	must.SliceContains(t, run.Judge(1, &bytes.Buffer{}), "example/a.TestOne: began and did not end")
 }
 
-// A list that names no package, says nothing of a test or is too long is refused.
+// Guards against accepting a list with an invalid line or with too many lines.
 func TestKnownFailuresAreChecked(t *testing.T) {
 	list, err := verdict.ParseKnown(strings.NewReader("internal/step.TestOffer, a cause, issue 4\n\n.TestRoot, another\n"))
 	must.NoError(t, err)
 	must.SliceLen(t, 2, list)
 	must.Eq(t, "internal/step", list[0].Package)
 	must.Eq(t, "TestRoot", list[1].Test)
-	for _, line := range []string{"TestOffer, a cause", "internal/step.TestOffer", "internal/step.Offer, a cause", strings.Repeat("a.TestA, a cause\n", verdict.KnownMost+1)} {
+	for _, line := range []string{"TestOffer, a cause", "internal/step.TestOffer", "internal/step.Offer, a cause", strings.Repeat("a.TestA, a cause\n", verdict.MaxKnown+1)} {
 		_, err := verdict.ParseKnown(strings.NewReader(line))
-		must.ErrorIs(t, err, verdict.ErrKnownFormat, must.Sprint(line))
+		must.ErrorIs(t, err, verdict.ErrInvalidKnown, must.Sprint(line))
 	}
 	none, err := verdict.LoadKnown(filepath.Join(t.TempDir(), "none.txt"))
 	must.NoError(t, err)
