--- a/internal/lab/platform/soak/proxy.go
+++ b/internal/lab/platform/soak/proxy.go
@@ -75,7 +75,7 @@
 	proxy.silenced = proxy.accepted
 }
 
-// isSilenced reports whether the connection of a number drops its data.
+// isSilenced reports whether the connection with the given number is silenced.
 func (proxy *Proxy) isSilenced(number int) bool {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
@@ -95,7 +95,7 @@
 	proxy.mu.Lock()
 	proxy.closed = true
 	proxy.mu.Unlock()
-	_ = proxy.listener.Close() // no data can be lost
+	_ = proxy.listener.Close() // on failure, track still rejects new connections
 	proxy.Reset()
 	proxy.Set(LinkState{})
 }
