--- a/cmd/thistlewalkd/main.go
+++ b/cmd/thistlewalkd/main.go
@@ -1,4 +1,4 @@
-// Command thistlewalkd is a node of thistlewalk.
+// Command thistlewalkd runs a node of thistlewalk.
 package main
 
 import (
@@ -21,8 +21,8 @@
 
 // Exit codes.
 const (
-	exitFailure  = 1
-	exitSettings = 2
+	exitFailure         = 1
+	exitInvalidSettings = 2
 )
 
 const dialTimeout = 2 * time.Second
@@ -54,15 +54,15 @@
 	case err == nil:
 	case errors.As(err, &problems):
 		fmt.Fprintln(os.Stderr, problems)
-		os.Exit(exitSettings)
+		os.Exit(exitInvalidSettings)
 	default:
 		fmt.Fprintln(os.Stderr, "thistlewalkd:", err)
 		os.Exit(exitFailure)
 	}
 }
 
-// flagKeys are the settings that have a flag of their own; --set reaches all others.
-var flagKeys = []struct{ flag, key, usage string }{
+// settingFlags lists the flags that set one setting each. They override the settings file.
+var settingFlags = []struct{ flag, key, usage string }{
 	{"id", "node.id", "name of the node"},
 	{"zone", "node.zone", "zone that the node runs in"},
 	{"region", "node.region", "region of the zone"},
@@ -80,16 +80,16 @@
 		&cli.StringFlag{Name: "config", Usage: "YAML file of settings"},
 		&cli.StringSliceFlag{Name: "seed", Usage: "control address of another node; may be given more than once"},
 	}
-	for _, entry := range flagKeys {
+	for _, entry := range settingFlags {
 		list = append(list, &cli.StringFlag{Name: entry.flag, Usage: entry.usage})
 	}
 	return list
 }
 
-// load reads the settings that the file and the flags give.
-func load(command *cli.Command) (settings.Settings, error) {
+// loadSettings reads the settings file and applies the flags to it.
+func loadSettings(command *cli.Command) (settings.Settings, error) {
 	var overrides []settings.Override
-	for _, entry := range flagKeys {
+	for _, entry := range settingFlags {
 		if command.IsSet(entry.flag) {
 			overrides = append(overrides, settings.Override{Key: entry.key, Value: command.String(entry.flag)})
 		}
@@ -101,16 +101,16 @@
 }
 
 func check(_ context.Context, command *cli.Command) error {
-	if _, err := load(command); err != nil {
+	if _, err := loadSettings(command); err != nil {
 		return err
 	}
 	fmt.Println("settings are right")
 	return nil
 }
 
-// serve runs the node until SIGTERM or an interrupt, and then stops it as planned. A second signal cuts the stop short.
+// serve runs the node until SIGTERM or an interrupt, and then drains and stops it. A second signal cancels requests that are still in progress.
 func serve(ctx context.Context, command *cli.Command) error {
-	config, err := load(command)
+	config, err := loadSettings(command)
 	if err != nil {
 		return err
 	}
@@ -134,12 +134,12 @@
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 	<-signals
-	stopCtx, cutShort := context.WithCancel(ctx)
-	defer cutShort()
+	stopCtx, cancelStop := context.WithCancel(ctx)
+	defer cancelStop()
 	go func() {
 		<-signals
 		logger.Warn("second signal: requests in progress are cut off")
-		cutShort()
+		cancelStop()
 	}()
 	return running.Stop(stopCtx)
 }
