--- a/cmd/thistlewalk/commands.go
+++ b/cmd/thistlewalk/commands.go
@@ -31,7 +31,7 @@
 			if err != nil {
 				return err
 			}
-			return carryOut(ctx, command, operator.Script{Text: text, BaseRevision: command.Uint64("if-revision"), DryRun: command.Bool("dry-run")})
+			return execute(ctx, command, operator.Script{Text: text, BaseRevision: command.Uint64("if-revision"), DryRun: command.Bool("dry-run")})
 		},
 	}
 }
@@ -46,7 +46,7 @@
 		content, err := os.ReadFile(file)
 		return string(content), err
 	case command.Args().Len() == 0:
-		return "", errors.New("a script is wanted, as an argument or by --file")
+		return "", errors.New("no script given: pass it as an argument or with --file")
 	default:
 		return strings.Join(command.Args().Slice(), " "), nil
 	}
@@ -62,12 +62,12 @@
 			if err != nil {
 				return err
 			}
-			return carryOut(ctx, command, operator.Script{Text: text})
+			return execute(ctx, command, operator.Script{Text: text})
 		},
 	}
 }
 
-const historyName = ".thistlewalk_history"
+const historyFile = ".thistlewalk_history"
 
 func shellCommand() *cli.Command {
 	return &cli.Command{
@@ -76,7 +76,7 @@
 		Action: func(ctx context.Context, command *cli.Command) error {
 			history := ""
 			if home, err := os.UserHomeDir(); err == nil {
-				history = filepath.Join(home, historyName)
+				history = filepath.Join(home, historyFile)
 			}
 			lines, err := readline.NewEx(&readline.Config{Prompt: "thistlewalk> ", HistoryFile: history, InterruptPrompt: "^C", EOFPrompt: "exit"})
 			if err != nil {
@@ -92,7 +92,7 @@
 					return nil
 				}
 				var reported *reportedError
-				if err := carryOut(ctx, command, operator.Script{Text: line}); err != nil && !errors.As(err, &reported) {
+				if err := execute(ctx, command, operator.Script{Text: line}); err != nil && !errors.As(err, &reported) {
 					return err
 				}
 			}
@@ -100,7 +100,7 @@
 	}
 }
 
-// topQuery is what the live view shows.
+// topQuery is the query whose result the top command shows.
 const topQuery = "show configuration; show policies; show staleness; show steps order by created descending limit 10; show replicas; show nodes"
 
 func topCommand() *cli.Command {
--- a/cmd/thistlewalk/main.go
+++ b/cmd/thistlewalk/main.go
@@ -1,4 +1,4 @@
-// Command thistlewalk is the operators' client.
+// Command thistlewalk is the command-line client for operators.
 package main
 
 import (
@@ -52,19 +52,20 @@
 	}
 }
 
-// reportedError carries a failure that was written already.
+// reportedError wraps an error that has already been printed. The exit code of the process follows from its cause.
 type reportedError struct{ cause error }
 
 // Error implements error.
 func (reported *reportedError) Error() string { return reported.cause.Error() }
 
 func newClient(command *cli.Command) (*operator.Client, error) {
-	secure, err := trust(command.String("authority"))
-	return operator.NewClient(command.StringSlice("node"), command.String("token"), command.Duration("timeout"), secure), err
+	config, err := tlsConfig(command.String("authority"))
+	return operator.NewClient(command.StringSlice("node"), command.String("token"), command.Duration("timeout"), config), err
 }
 
-// trust returns the TLS configuration that trusts an authority; an empty file trusts those of the system.
-func trust(file string) (*tls.Config, error) {
+// tlsConfig returns a TLS configuration that trusts the certificate authorities of a PEM file. For an empty name it returns nil, which means the
+// authorities of the system.
+func tlsConfig(file string) (*tls.Config, error) {
 	if file == "" {
 		return nil, nil
 	}
@@ -79,18 +80,18 @@
 	return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool}, nil
 }
 
-func format(command *cli.Command) (operator.Format, error) {
-	switch chosen := operator.Format(command.String("output")); chosen {
+func outputFormat(command *cli.Command) (operator.Format, error) {
+	switch format := operator.Format(command.String("output")); format {
 	case operator.FormatTable, operator.FormatJSON:
-		return chosen, nil
+		return format, nil
 	default:
-		return "", fmt.Errorf("--output %q: want table or json", chosen)
+		return "", fmt.Errorf("--output %q: want table or json", format)
 	}
 }
 
-// carryOut sends a script and writes its outcome.
-func carryOut(ctx context.Context, command *cli.Command, script operator.Script) error {
-	chosen, err := format(command)
+// execute sends a script to a node and prints the response, or explains the error. It returns a reportedError once the error has been printed.
+func execute(ctx context.Context, command *cli.Command, script operator.Script) error {
+	format, err := outputFormat(command)
 	if err != nil {
 		return err
 	}
@@ -100,7 +101,7 @@
 	}
 	response, err := client.Execute(ctx, script)
 	if err == nil {
-		err = operator.Write(os.Stdout, chosen, response)
+		err = operator.Write(os.Stdout, format, response)
 	}
 	if err == nil {
 		return nil
