--- a/cmd/thistlewalk-lab/cost.go
+++ b/cmd/thistlewalk-lab/cost.go
@@ -23,7 +23,7 @@
 			}
 			met, err := cost.Run(ctx, cost.Options{Length: command.Duration("length"), Logger: logger, Output: os.Stdout})
 			if err == nil && !met {
-				return errNotMet
+				return errLimitNotMet
 			}
 			return err
 		},
--- a/cmd/thistlewalk-lab/demo.go
+++ b/cmd/thistlewalk-lab/demo.go
@@ -15,7 +15,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/logging"
 )
 
-const reportName = "report.json"
+const reportFile = "report.json"
 
 func demoCommand() *cli.Command {
 	return &cli.Command{
@@ -67,7 +67,7 @@
 	if err != nil {
 		return errors.Wrap(err, "report")
 	}
-	path := filepath.Join(folder, reportName)
+	path := filepath.Join(folder, reportFile)
 	if err := os.WriteFile(path, content, fileMode); err != nil {
 		return errors.Wrap(err, "report")
 	}
--- a/cmd/thistlewalk-lab/fuzz.go
+++ b/cmd/thistlewalk-lab/fuzz.go
@@ -38,45 +38,47 @@
 		return err
 	}
 	bubble.Main(func(t *testing.T) bool {
-		return session.work(ctx, func(plan simulation.Plan) (simulation.Outcome, error) { return simulation.InBubble(t, plan, logger) })
+		return session.runHistories(ctx, func(plan simulation.Plan) (simulation.Outcome, error) { return simulation.InBubble(t, plan, logger) })
 	})
 	return nil
 }
 
-// runner runs a plan and tells what it showed.
+// runner runs a plan and returns its outcome.
 type runner func(plan simulation.Plan) (simulation.Outcome, error)
 
-// fuzzSession is one run of the command.
+// fuzzSession holds the first seed and the limits of one run of the command.
 type fuzzSession struct {
 	seed, limit int
 	deadline    time.Time
 }
 
-// work runs histories until the time is over or one fails; it returns whether all were without a breach.
-func (session fuzzSession) work(ctx context.Context, run runner) bool {
-	histories, events, slots, calls := 0, 0, 0, 0
+// runHistories runs histories with successive seeds until the deadline or the limit is reached, the context ends or a history fails. It reports
+// whether at least one history ran and none failed.
+func (session fuzzSession) runHistories(ctx context.Context, run runner) bool {
+	histories, events, samples, calls := 0, 0, 0, 0
 	modelled := time.Duration(0)
 	for ctx.Err() == nil && time.Now().Before(session.deadline) && (session.limit == 0 || histories < session.limit) {
 		plan := simulation.Example(session.seed + histories)
 		outcome, err := run(plan)
 		if err != nil || outcome.Failed() {
-			reportHistory(session.seed+histories, plan, outcome, err, run)
+			reportFailure(session.seed+histories, plan, outcome, err, run)
 			return false
 		}
 		histories++
 		events += len(plan.Events)
-		slots += outcome.Verdict.SamplesDelivered
+		samples += outcome.Verdict.SamplesDelivered
 		calls += outcome.Outcomes.Done + outcome.Outcomes.Unknown + outcome.Outcomes.NotRun + outcome.Outcomes.Conflict
 		modelled += outcome.Modelled
 	}
 	fmt.Printf("%d histories with %d events, %d samples and %d answered calls over %s of modelled time from seed %d: no breach\n",
-		histories, events, slots, calls, modelled.Round(time.Second), session.seed)
+		histories, events, samples, calls, modelled.Round(time.Second), session.seed)
 	return histories > 0
 }
 
-// reportHistory prints the shortest failing history that removing events finds.
-func reportHistory(seed int, plan simulation.Plan, shown simulation.Outcome, failure error, run runner) {
-	fmt.Printf("seed %d shows a breach\n%s\n%+v\n", seed, plan, shown)
+// reportFailure prints a failed history. Unless it ended with an error, reportFailure also searches for the shortest history that still fails, by
+// removing events, and prints it.
+func reportFailure(seed int, plan simulation.Plan, failed simulation.Outcome, failure error, run runner) {
+	fmt.Printf("seed %d shows a breach\n%s\n%+v\n", seed, plan, failed)
 	if failure != nil {
 		fmt.Println(failure)
 		return
--- a/cmd/thistlewalk-lab/hollow.go
+++ b/cmd/thistlewalk-lab/hollow.go
@@ -13,8 +13,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/logging"
 )
 
-// errNotMet means that a limit was not met, which has been printed.
-var errNotMet = errors.New("a limit was not met")
+// errLimitNotMet is returned when a measurement exceeded its limit. The measurement has already been printed.
+var errLimitNotMet = errors.New("a limit was not met")
 
 func hollowCommand() *cli.Command {
 	return &cli.Command{
@@ -51,7 +51,7 @@
 	met := true
 	for _, count := range command.IntSlice("nodes") {
 		if count < command.Int("zones") {
-			return errors.Newf("--nodes %d: want at least one a zone", count)
+			return errors.Newf("--nodes %d: want at least one node per zone", count)
 		}
 		fmt.Printf("%d nodes start\n", count)
 		began := time.Now()
@@ -79,7 +79,7 @@
 		}
 	}
 	if !met {
-		return errNotMet
+		return errLimitNotMet
 	}
 	return nil
 }
--- a/cmd/thistlewalk-lab/main.go
+++ b/cmd/thistlewalk-lab/main.go
@@ -1,4 +1,4 @@
-// Command thistlewalk-lab holds the stand-ins of the platform and runs experiments against them.
+// Command thistlewalk-lab serves a simulated platform and runs experiments with thistlewalk against it.
 package main
 
 import (
@@ -22,12 +22,12 @@
 		Commands:              []*cli.Command{platformCommand(), demoCommand(), runCommand(), compareCommand(), hollowCommand(), fuzzCommand(), costCommand(), soakCommand(), verdictCommand()},
 	}
 	if err := command.Run(ctx, os.Args); err != nil {
-		if !errors.Is(err, errBreach) && !errors.Is(err, errNotMet) {
+		if !errors.Is(err, errBreach) && !errors.Is(err, errLimitNotMet) {
 			fmt.Fprintln(os.Stderr, "thistlewalk-lab:", err)
 		}
 		os.Exit(1)
 	}
 }
 
-// errBreach means that the oracle found a breach, which has been printed.
+// errBreach is returned when a guarantee was violated. The violation has already been printed.
 var errBreach = errors.New("a guarantee was breached")
--- a/cmd/thistlewalk-lab/platform.go
+++ b/cmd/thistlewalk-lab/platform.go
@@ -20,8 +20,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/network"
 )
 
-// platformFile is the YAML of `thistlewalk-lab platform`. The key-value service gets first_port, then come the machine
-// list, the scorer, the weight store, the engines and the trainer; see the lines that the command prints.
+// platformFile is the configuration file of `thistlewalk-lab platform`. The key-value service listens on first_port. The machine
+// list, the scorer, the weight store, the engines and the trainer follow on the next ports, in this order.
 type platformFile struct {
 	Host              string         `yaml:"host"`
 	FirstPort         int            `yaml:"first_port"`
@@ -32,7 +32,7 @@
 	Nodes             []platformNode `yaml:"nodes"`
 	Zones             []platformZone `yaml:"zones"`
 	Engine            platformEngine `yaml:"engine"`
-	// Trainer may be missing.
+	// Trainer is optional.
 	Trainer *platformTrainer `yaml:"trainer"`
 }
 
--- a/cmd/thistlewalk-lab/scenario.go
+++ b/cmd/thistlewalk-lab/scenario.go
@@ -43,7 +43,7 @@
 
 func readScenario(command *cli.Command) (scenario.Spec, error) {
 	if command.Args().Len() != 1 {
-		return scenario.Spec{}, errors.New("one scenario file is wanted")
+		return scenario.Spec{}, errors.New("exactly one scenario file must be given")
 	}
 	content, err := os.ReadFile(command.Args().First())
 	if err != nil {
@@ -52,7 +52,7 @@
 	return scenario.Parse(content)
 }
 
-// runSide runs a side of a scenario in a bubble of its own.
+// runSide runs one side of a scenario, the system or a baseline, in its own bubble of modelled time.
 func runSide(t *testing.T, spec scenario.Spec, side scenario.Side, seed uint64) (scenario.Result, error) {
 	logger, err := logging.New(io.Discard, "fatal")
 	if err != nil {
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// job is one run of a comparison.
-type job struct {
+// comparisonRun is a run of one side with one seed. Its seed counts from 0; the seed of the scenario is greater by one.
+type comparisonRun struct {
 	side   int
 	seed   int
 	result scenario.Result
@@ -108,39 +108,39 @@
 	seeds := command.Int("seeds")
 	sides := scenario.Sides()
 	bubble.Main(func(t *testing.T) bool {
-		var jobs []*job
+		var runs []*comparisonRun
 		for seed := range seeds {
 			for side := range sides {
-				jobs = append(jobs, &job{side: side, seed: seed})
+				runs = append(runs, &comparisonRun{side: side, seed: seed})
 			}
 		}
-		bubble.Each(t, jobs, func(t *testing.T, job *job) {
-			job.result, job.err = runSide(t, spec, sides[job.side], uint64(job.seed+1))
+		bubble.Each(t, runs, func(t *testing.T, run *comparisonRun) {
+			run.result, run.err = runSide(t, spec, sides[run.side], uint64(run.seed+1))
 		})
-		return writeComparison(spec, seeds, sides, jobs)
+		return writeComparison(spec, seeds, sides, runs)
 	})
 	return nil
 }
 
-// writeComparison prints the outcome and returns whether every run ended without a breach.
-func writeComparison(spec scenario.Spec, seeds int, sides []scenario.Side, jobs []*job) bool {
+// writeComparison prints the comparison and reports whether all runs succeeded without violating a guarantee.
+func writeComparison(spec scenario.Spec, seeds int, sides []scenario.Side, runs []*comparisonRun) bool {
 	results := make([][]scenario.Result, len(sides))
-	bound, good := 0.0, true
-	for _, job := range jobs {
-		if job.err != nil {
-			fmt.Printf("%s, seed %d: %v\n", sides[job.side].Name, job.seed+1, job.err)
-			good = false
+	bound, ok := 0.0, true
+	for _, run := range runs {
+		if run.err != nil {
+			fmt.Printf("%s, seed %d: %v\n", sides[run.side].Name, run.seed+1, run.err)
+			ok = false
 			continue
 		}
-		results[job.side] = append(results[job.side], job.result)
-		for _, example := range job.result.Report.Examples {
-			fmt.Printf("%s, seed %d: %s\n", sides[job.side].Name, job.seed+1, example)
+		results[run.side] = append(results[run.side], run.result)
+		for _, example := range run.result.Report.Examples {
+			fmt.Printf("%s, seed %d: %s\n", sides[run.side].Name, run.seed+1, example)
 		}
-		for _, step := range job.result.Bound {
-			bound += step.Seconds() / float64(len(job.result.Bound)*len(jobs))
+		for _, step := range run.result.Bound {
+			bound += step.Seconds() / float64(len(run.result.Bound)*len(runs))
 		}
 	}
-	if !good {
+	if !ok {
 		return false
 	}
 	summaries := make([]scenario.Summary, 0, len(sides))
--- a/cmd/thistlewalk-lab/soak.go
+++ b/cmd/thistlewalk-lab/soak.go
@@ -37,7 +37,7 @@
 	if base == "" {
 		base = os.TempDir()
 	}
-	broken := 0
+	failed := 0
 	for index := range command.Int("plans") {
 		length, draw := time.Duration(command.Int("seconds"))*time.Second, soak.DrawOverlapping
 		if command.String("production") != "" {
@@ -56,10 +56,10 @@
 			}
 			continue
 		}
-		broken++
+		failed++
 		fmt.Printf("%s\nlogs: %s\n", plan, folder)
 	}
-	if broken > 0 {
+	if failed > 0 {
 		return errBreach
 	}
 	return nil
--- a/cmd/thistlewalk-lab/trainer.go
+++ b/cmd/thistlewalk-lab/trainer.go
@@ -13,8 +13,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/network"
 )
 
-// platformTrainer is a trainer that asks nodes for steps, one after the other, and tells its progress by
-// GET /v1/progress on an address of its own.
+// platformTrainer configures a trainer that requests training steps from nodes, one after the other. The trainer serves its
+// progress at GET /v1/progress on its own address.
 type platformTrainer struct {
 	Nodes      []string      `yaml:"nodes"`
 	Experiment string        `yaml:"experiment"`
@@ -25,15 +25,15 @@
 	TrainTime  time.Duration `yaml:"train_time"`
 }
 
-// trainerProgress is the answer to GET /v1/progress.
+// trainerProgress is the response to GET /v1/progress.
 type trainerProgress struct {
 	Requested int `json:"samples_requested"`
 	Received  int `json:"samples_received"`
 }
 
-const trainerPause = time.Second
+const trainerRetryDelay = time.Second
 
-// startTrainer serves a trainer's progress and runs its steps until the context ends.
+// startTrainer serves the progress of a trainer and starts running its steps in the background, until the context ends.
 func startTrainer(ctx context.Context, site *bench.Site, settings platformTrainer) error {
 	client := bench.NewClient(network.NewClient(network.NewTCP(time.Second), time.Minute, network.Connections{PerHost: 4}))
 	trainer := bench.NewTrainer(client, func() []string { return settings.Nodes }, nil)
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// run takes the steps; a step that fails (its experiment may not exist yet) is tried again.
+// run runs the steps. It retries a step that fails, because its experiment may not exist yet.
 func (settings platformTrainer) run(ctx context.Context, trainer *bench.Trainer) {
 	for number := 0; number < settings.Steps && ctx.Err() == nil; {
 		request := gateway.StepRequest{Step: fmt.Sprintf("trainer-%d-%d", os.Getpid(), number), Experiment: settings.Experiment,
@@ -69,6 +69,6 @@
 			time.Sleep(settings.TrainTime)
 			continue
 		}
-		time.Sleep(trainerPause)
+		time.Sleep(trainerRetryDelay)
 	}
 }
--- a/cmd/thistlewalk-lab/verdict.go
+++ b/cmd/thistlewalk-lab/verdict.go
@@ -11,11 +11,11 @@
 	"github.com/thistlewalk/thistlewalk/internal/lab/verdict"
 )
 
-// module is the path of this module, below which known failures name their packages.
-const module = "github.com/thistlewalk/thistlewalk"
+// modulePath is the module path, which the package names in the list of known failures omit.
+const modulePath = "github.com/thistlewalk/thistlewalk"
 
-// errRed means that a run of tests failed, and that what failed has been printed.
-var errRed = errors.New("the tests failed")
+// errTestsFailed is returned when a test run failed for other reasons than the known failures. The failures have already been printed.
+var errTestsFailed = errors.New("the tests failed")
 
 func verdictCommand() *cli.Command {
 	return &cli.Command{
@@ -30,16 +30,16 @@
 			if err != nil {
 				return err
 			}
-			run := &verdict.Run{Module: module, Known: known}
+			run := &verdict.Run{Module: modulePath, Known: known}
 			if err := run.Read(os.Stdin, os.Stdout); err != nil {
 				return err
 			}
-			wrong := run.Judge(command.Int("status"), os.Stdout)
-			for _, line := range wrong {
+			failures := run.Judge(command.Int("status"), os.Stdout)
+			for _, line := range failures {
 				fmt.Println("red:", line)
 			}
-			if len(wrong) > 0 {
-				return errRed
+			if len(failures) > 0 {
+				return errTestsFailed
 			}
 			return nil
 		},
