--- a/api/batch/v1/batch.twirp.go
+++ b/api/batch/v1/batch.twirp.go
@@ -51,7 +51,7 @@
 
 	Kept(context.Context, *KeptRequest) (*KeptResponse, error)
 
-	// Served asks the metadata store at once, unless it is known to be lost.
+	// Served probes the metadata store, unless the receiver already knows that the store does not answer.
 	Served(context.Context, *ServedRequest) (*ServedResponse, error)
 }
 
--- a/api/cluster/v1/cluster.twirp.go
+++ b/api/cluster/v1/cluster.twirp.go
@@ -31,7 +31,7 @@
 // Nodes Interface
 // ===============
 
-// Nodes is served by every node that callers reach.
+// Nodes is served by every node that accepts requests from callers.
 type Nodes interface {
 	Publish(context.Context, *PublishRequest) (*PublishResponse, error)
 
--- a/api/control/v1/control.twirp.go
+++ b/api/control/v1/control.twirp.go
@@ -36,7 +36,7 @@
 
 	ProbeIndirect(context.Context, *ProbeIndirectRequest) (*ProbeIndirectResponse, error)
 
-	// Sync exchanges whole member lists: on joining, and when digests stay different.
+	// Sync exchanges complete member lists, when a node joins and when digests remain different.
 	Sync(context.Context, *SyncRequest) (*SyncResponse, error)
 }
 
@@ -1581,7 +1581,7 @@
 type Load interface {
 	Exchange(context.Context, *ExchangeRequest) (*ExchangeResponse, error)
 
-	// Push brings digests whose flags changed; whoever learns of the change pushes it on.
+	// Push sends digests whose flags have changed. A receiver to which the change is new pushes it to further nodes.
 	Push(context.Context, *ExchangeResponse) (*PushResponse, error)
 }
 
--- a/api/metering/v1/metering.twirp.go
+++ b/api/metering/v1/metering.twirp.go
@@ -31,7 +31,7 @@
 // Collector Interface
 // ===================
 
-// Collector takes tallies, in any order and any number of times.
+// Collector accepts tallies in any order, and the same tally any number of times.
 type Collector interface {
 	Tell(context.Context, *TellRequest) (*TellResponse, error)
 }
