--- a/cmd/thistlewalk-rollout/crash_test.go
+++ b/cmd/thistlewalk-rollout/crash_test.go
@@ -17,68 +17,64 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata"
 )
 
-// What users saw: bookings were refused for seconds, again and again, since all replicas of the booking application were gone. One request
-// ended each replica some 60 ms after that had begun it. It came again and again, each time as a new call with a new identifier, at
-// whatever node; each call was entitled to as many replicas as its route allows, and each new incarnation was a sound one. Twelve
-// replicas ended under it.
-// Cause: what was learnt of a request ended with its call, and no node told another.
-// Proof: each call had `attempts` within its route's, so no call was sent too often; the tests below, in which the same body comes again.
+// These tests guard against a request that crashes each replica that runs it and is sent again and again, each time as a new call with a new
+// identifier and at any node. Once its crashes are attributed to it, it must not reach further replicas.
 
 const (
-	// ending is in the body of each request under which replicas end.
-	ending = "ends its replica"
-	// endTime is how long a replica works on it, and endedFor how long it is away then.
-	endTime  = 60 * time.Millisecond
-	endedFor = 500 * time.Millisecond
-	// lapseAfter is how long a replica that has ended stays registered.
-	lapseAfter = 300 * time.Millisecond
-	// knownAfter is how long after the third replica has ended a request may still reach more; allowedLater is how often it may after that.
-	knownAfter   = 3 * time.Second
-	allowedLater = 3
+	// crashBody is the text in a request body that crashes the replica which runs the request.
+	crashBody = "ends its replica"
+	// timeToCrash is how long a replica runs such a request before it crashes; restartDelay is how long it then stays down.
+	timeToCrash  = 60 * time.Millisecond
+	restartDelay = 500 * time.Millisecond
+	// deregisterDelay is how long a crashed replica stays registered.
+	deregisterDelay = 300 * time.Millisecond
+	// detectionTime is how long after the third crash a request may still reach further replicas; maxLateCrashes is how many replicas it may
+	// crash after that time.
+	detectionTime  = 3 * time.Second
+	maxLateCrashes = 3
 )
 
-// endings is what replicas saw of requests under which they end. It is safe for concurrent use.
-type endings struct {
-	mu   sync.Mutex
-	ends []time.Time
+// crashLog records when replicas crashed. It is safe for concurrent use.
+type crashLog struct {
+	mu    sync.Mutex
+	times []time.Time
 }
 
-// note takes the end of a replica.
-func (endings *endings) note(at time.Time) {
-	endings.mu.Lock()
-	defer endings.mu.Unlock()
-	endings.ends = append(endings.ends, at)
+func (log *crashLog) add(at time.Time) {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	log.times = append(log.times, at)
 }
 
-// count returns how many replicas have ended.
-func (endings *endings) count() int {
-	endings.mu.Lock()
-	defer endings.mu.Unlock()
-	return len(endings.ends)
+func (log *crashLog) count() int {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	return len(log.times)
 }
 
-// check fails the test if a request reached replicas too often after three had ended. A run begins endTime before its end.
-func (endings *endings) check(t *testing.T) {
+// check fails the test if no replica crashed, or if too many replicas began the request later than detectionTime after the third crash.
+func (log *crashLog) check(t *testing.T) {
 	t.Helper()
-	endings.mu.Lock()
-	defer endings.mu.Unlock()
-	must.Greater(t, 0, len(endings.ends), must.Sprint("the test has to end replicas"))
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	must.Greater(t, 0, len(log.times), must.Sprint("the test has to crash replicas"))
 	late := 0
-	for index, end := range endings.ends {
-		if index > 2 && end.Add(-endTime).Sub(endings.ends[2]) > knownAfter {
+	for index, end := range log.times {
+		if index > 2 && end.Add(-timeToCrash).Sub(log.times[2]) > detectionTime {
 			late++
 		}
 	}
-	t.Logf("%d replicas ended, %d later than %s after the third", len(endings.ends), late, knownAfter)
-	must.LessEq(t, allowedLater, late, must.Sprintf("%d replicas ended, %d later than %s after the third", len(endings.ends), late, knownAfter))
+	t.Logf("%d replicas crashed, %d later than %s after the third", len(log.times), late, detectionTime)
+	must.LessEq(t, maxLateCrashes, late, must.Sprintf("%d replicas crashed, %d later than %s after the third", len(log.times), late, detectionTime))
 }
 
-// serveEnding serves a replica that ends under some requests, at an address or a new one. Its successor comes to the same address.
-func (deployment *deployment) serveEnding(replica *site.Replica, address string, seen *endings) {
+// serveCrashing serves a replica that some requests crash, at a given address or, for port 0, at a new one. After a crash it serves a new
+// incarnation of the replica at the same address.
+func (deployment *deployment) serveCrashing(replica *site.Replica, address string, crashes *crashLog) {
 	listener, err := net.Listen("tcp", address)
 	must.NoError(deployment.t, err)
 	server := &http.Server{Handler: replica}
-	go func() { _ = server.Serve(listener) }() // until it ends
+	go func() { _ = server.Serve(listener) }() // returns when the replica crashes or the test ends
 	deployment.t.Cleanup(func() { server.Close() })
 	address = listener.Addr().String()
 	register := func() { deployment.put("servers/"+replica.ID, replica.Entry(address)) }
@@ -86,12 +82,12 @@
 	var once sync.Once
 	replica.OnEnd = func(string) {
 		once.Do(func() {
-			seen.note(time.Now())
+			crashes.add(time.Now())
 			server.Close()
-			time.AfterFunc(lapseAfter, func() { deployment.remove("servers/" + replica.ID) })
-			time.AfterFunc(endedFor, func() {
+			time.AfterFunc(deregisterDelay, func() { deployment.remove("servers/" + replica.ID) })
+			time.AfterFunc(restartDelay, func() {
 				if deployment.t.Context().Err() == nil {
-					deployment.serveEnding(replica.Restart(replica.ID+"'"), address, seen)
+					deployment.serveCrashing(replica.Restart(replica.ID+"'"), address, crashes)
 				}
 			})
 		})
@@ -104,9 +100,9 @@
 	must.NoError(deployment.t, err)
 }
 
-// newEndingDeployment returns three settled fronts, and replicas of a service that end under some requests.
-func newEndingDeployment(t *testing.T, service, model string) (*deployment, *endings) {
-	deployment, seen := newDeployment(t), &endings{}
+// newCrashingDeployment returns a deployment with three settled fronts, in which some requests crash the replicas of the given service.
+func newCrashingDeployment(t *testing.T, service, model string) (*deployment, *crashLog) {
+	deployment, crashes := newDeployment(t), &crashLog{}
 	for id, replica := range deployment.replicas {
 		if replica.Service == service {
 			deployment.remove("servers/" + id)
@@ -114,8 +110,8 @@
 	}
 	for index := range 3 {
 		replica := site.NewReplica(fmt.Sprint(service, index), service, model)
-		replica.EndsUnder, replica.EndTime, replica.WorkTime = ending, endTime, 10*time.Millisecond
-		deployment.serveEnding(replica, "127.0.0.1:0", seen)
+		replica.EndsUnder, replica.EndTime, replica.WorkTime = crashBody, timeToCrash, 10*time.Millisecond
+		deployment.serveCrashing(replica, "127.0.0.1:0", crashes)
 	}
 	deployment.put("op/config", fmt.Appendf(nil, configurationDocument, 3))
 	deployment.startOrderer("orderer-1")
@@ -130,29 +126,29 @@
 		}
 		return true
 	})
-	return deployment, seen
+	return deployment, crashes
 }
 
-// sendFor sends calls at a pace for some time, each to the next front, and returns their statuses once all are answered; patience is how
-// long a caller waits before it leaves.
-func (deployment *deployment) sendFor(duration, pace, patience time.Duration, name, body func(call int) string) []int {
+// sendCalls sends calls at a fixed interval for some time, each to the next front, and returns their statuses once all are done. Each caller
+// leaves after timeout if it has no response.
+func (deployment *deployment) sendCalls(duration, interval, timeout time.Duration, id, body func(call int) string) []int {
 	var calls sync.WaitGroup
-	count := int(duration / pace)
+	count := int(duration / interval)
 	statuses := make([]int, count)
-	ticker := time.NewTicker(pace)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for call := range count {
 		front := deployment.fronts[call%len(deployment.fronts)]
-		calls.Go(func() { statuses[call] = deployment.ask(front, patience, name(call), body(call)) })
+		calls.Go(func() { statuses[call] = deployment.book(front, timeout, id(call), body(call)) })
 		<-ticker.C
 	}
 	calls.Wait()
 	return statuses
 }
 
-// ask makes one call for a booking, and returns the status; zero for a caller that left.
-func (deployment *deployment) ask(front *runningFront, patience time.Duration, id, body string) int {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// book sends one booking request and returns its status, or zero if the caller left before the response.
+func (deployment *deployment) book(front *runningFront, timeout time.Duration, id, body string) int {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+front.address+"/book/1", strings.NewReader(body))
 	must.NoError(deployment.t, err)
@@ -167,52 +163,52 @@
 	return response.StatusCode
 }
 
-// named returns names of calls.
-func named(prefix string) func(int) string {
+// numbered returns a function that appends the number of a call to a prefix.
+func numbered(prefix string) func(int) string {
 	return func(call int) string { return fmt.Sprint(prefix, call) }
 }
 
-// always returns the same body for each call.
-func always(body string) func(int) string { return func(int) string { return body } }
+// constant returns a function that returns the same body for each call.
+func constant(body string) func(int) string { return func(int) string { return body } }
 
 const (
-	// usualPatience is more than the deadline that callers name.
-	usualPatience = 3 * time.Second
-	// shortPatience is over before the replica that runs the request ends.
-	shortPatience = endTime / 2
+	// longTimeout is longer than the deadline in the requests.
+	longTimeout = 3 * time.Second
+	// shortTimeout ends before the replica that runs the request crashes.
+	shortTimeout = timeToCrash / 2
 )
 
-// A request under which replicas end comes again at all nodes, and at one that began later. Requests of others to the same path are served,
-// also such as are always the same.
+// A request that crashes replicas is sent repeatedly to all fronts, and to a front that starts later. Other requests to the same path must be
+// served, whether or not they have identical bodies.
 func TestRequestThatEndsReplicas(t *testing.T) {
 	t.Parallel()
 	for _, check := range []struct {
-		name     string
-		patience time.Duration
+		name    string
+		timeout time.Duration
 	}{
-		{"callers that wait", usualPatience},
-		{"callers that leave", shortPatience},
+		{"callers that wait", longTimeout},
+		{"callers that leave", shortTimeout},
 	} {
 		t.Run(check.name, func(t *testing.T) {
 			t.Parallel()
-			deployment, seen := newEndingDeployment(t, "app", "")
+			deployment, crashes := newCrashingDeployment(t, "app", "")
 			var others sync.WaitGroup
 			others.Go(func() {
-				deployment.sendFor(9*time.Second, 50*time.Millisecond, usualPatience, named("u"), always("usual"))
+				deployment.sendCalls(9*time.Second, 50*time.Millisecond, longTimeout, numbered("u"), constant("usual"))
 			})
-			statuses := deployment.sendFor(9*time.Second, 150*time.Millisecond, check.patience, named("e"), always(ending))
+			statuses := deployment.sendCalls(9*time.Second, 150*time.Millisecond, check.timeout, numbered("e"), constant(crashBody))
 			others.Wait()
 			must.SliceNotContains(t, statuses, http.StatusOK)
 			later := deployment.startFront("front-4")
 			eventually(t, 5*time.Second, "the later front is ready", func() bool { return deployment.isSettled(later) })
 			deployment.fronts = []*runningFront{later}
-			before := seen.count()
-			deployment.sendFor(2*time.Second, 100*time.Millisecond, check.patience, named("f"), always(ending))
-			must.Eq(t, before, seen.count(), must.Sprint("a front that began later knows what the others learned"))
-			seen.check(t)
+			before := crashes.count()
+			deployment.sendCalls(2*time.Second, 100*time.Millisecond, check.timeout, numbered("f"), constant(crashBody))
+			must.Eq(t, before, crashes.count(), must.Sprint("a front that starts later learns of the quarantine from the others"))
+			crashes.check(t)
 			for body, statuses := range map[string][]int{
-				"the same": deployment.sendFor(time.Second, 50*time.Millisecond, usualPatience, named("v"), always("usual")),
-				"new":      deployment.sendFor(time.Second, 50*time.Millisecond, usualPatience, named("w"), named("new")),
+				"the same": deployment.sendCalls(time.Second, 50*time.Millisecond, longTimeout, numbered("v"), constant("usual")),
+				"new":      deployment.sendCalls(time.Second, 50*time.Millisecond, longTimeout, numbered("w"), numbered("new")),
 			} {
 				for _, status := range statuses {
 					must.Eq(t, http.StatusOK, status, must.Sprint("other requests: ", body))
@@ -222,23 +218,24 @@
 	}
 }
 
-// endingJob returns a job of some items, of which the first ends replicas: under itself, or under its scoring call.
-func endingJob(t *testing.T, underScoring bool) string {
+// crashingJob returns a job whose first item crashes replicas, either when the item itself runs or when its scoring call does.
+func crashingJob(t *testing.T, inScoring bool) string {
 	job := make(map[string]any)
 	must.NoError(t, json.Unmarshal([]byte(jobBody(12, 1)), &job))
 	first := job["items"].([]any)[0].(map[string]any)
-	changed := first
-	if underScoring {
-		changed = first["scorer"].(map[string]any)
+	target := first
+	if inScoring {
+		target = first["scorer"].(map[string]any)
 	}
-	changed["body"] = []byte(ending)
+	target["body"] = []byte(crashBody)
 	content, err := json.Marshal(job)
 	must.NoError(t, err)
 	return string(content)
 }
 
-// checkJob sends a job with an item that can't be done, sends it again as another job at another node, and expects all other items listed.
-func checkJob(t *testing.T, deployment *deployment, seen *endings, job string) {
+// checkJob submits a job of twelve items, one of which cannot be completed, and the same items as another job at another node. It expects that
+// both jobs list exactly the other eleven items.
+func checkJob(t *testing.T, deployment *deployment, crashes *crashLog, job string) {
 	t.Helper()
 	for index, front := range deployment.fronts[:2] {
 		id := fmt.Sprint("job", index)
@@ -248,19 +245,20 @@
 		time.Sleep(4 * time.Second)
 		must.SliceLen(t, 11, deployment.results(front, id).Results)
 	}
-	seen.check(t)
+	crashes.check(t)
 }
 
-// An item under which engines end is tried some times, and the others of its job are made; in the next job that brings it back as well.
+// An item that crashes replicas must be tried only a limited number of times, and the other items of its job must complete. The same holds for
+// the next job that contains the item.
 func TestItemThatEndsReplicas(t *testing.T) {
 	t.Parallel()
-	deployment, seen := newEndingDeployment(t, "lm", "m")
-	checkJob(t, deployment, seen, endingJob(t, false))
+	deployment, crashes := newCrashingDeployment(t, "lm", "m")
+	checkJob(t, deployment, crashes, crashingJob(t, false))
 }
 
-// A scoring call under which replicas end is tried some times, and the others of its job are made.
+// A scoring call that crashes replicas must be tried only a limited number of times, and the other items of its job must complete.
 func TestScoringCallThatEndsReplicas(t *testing.T) {
 	t.Parallel()
-	deployment, seen := newEndingDeployment(t, "app", "")
-	checkJob(t, deployment, seen, endingJob(t, true))
+	deployment, crashes := newCrashingDeployment(t, "app", "")
+	checkJob(t, deployment, crashes, crashingJob(t, true))
 }
--- a/cmd/thistlewalk-rollout/front.go
+++ b/cmd/thistlewalk-rollout/front.go
@@ -12,44 +12,44 @@
 	"github.com/thistlewalk/thistlewalk/platform"
 )
 
-// Limits in force until the configuration is known.
 const (
-	firstHeaderBytes   = 64 << 10
-	firstHeaderTimeout = 3 * time.Second
-	firstIdleTimeout   = 15 * time.Second
-	// firstWaitSlack is how much longer than for a publisher a front waits for a configuration before it serves with the limits above:
-	// what reading the store takes.
-	firstWaitSlack = 400 * time.Millisecond
+	// The default limits of the callers' server apply where the operator's configuration sets none.
+	defaultHeaderBytes   = 64 << 10
+	defaultHeaderTimeout = 3 * time.Second
+	defaultIdleTimeout   = 15 * time.Second
+	// storeReadSlack is how long a front waits for the configuration after the wait for a publisher has ended. In that time the front
+	// reads the metadata store itself.
+	storeReadSlack = 400 * time.Millisecond
 	peerIdleConns  = 4
-	// standbyPort is the internal port of the orderer that a front may have to be.
-	standbyPort = 1
+	// standbyPortOffset is the offset, from the node's first internal port, of the port for a standby orderer in a front's process.
+	standbyPortOffset = 1
 )
 
 func runFront(process *process) error {
-	front, callers, err := startFront(process)
+	front, callerServer, err := startFront(process)
 	if err != nil {
 		return err
 	}
 	process.awaitStop()
-	front.Stop(process.settings.Grace(), callers)
+	front.Stop(process.settings.Grace(), callerServer)
 	return nil
 }
 
-// startFront puts a front together and starts it. The server is the one for callers.
+// startFront creates and starts a front. It returns the front and the server for callers.
 func startFront(process *process) (*role.Front, *http.Server, error) {
 	settings := process.settings
 	table := catalog.NewTable()
 	replicas := platform.NewReplicas(dialer())
-	patience := dissemination.LimitsFor(settings.ChangeLimit(), settings.FirstStart)
+	limits := dissemination.LimitsFor(settings.ChangeLimit(), settings.FirstStart)
 	front := role.NewFront(role.FrontOptions{
-		Node: settings.Node, Zone: settings.Zone, Role: settings.Role, Life: process.life, Cores: settings.ProcessorCores(), PeerAddress: settings.PeerAddress(0),
-		Store: process.measuredStore(), Sender: replicas, Prober: replicas, Decoder: platform.EventDecoder{},
+		Node: settings.Node, Zone: settings.Zone, Role: settings.Role, Life: process.incarnation, Cores: settings.ProcessorCores(), PeerAddress: settings.PeerAddress(0),
+		Store: process.instrumentedStore(), Sender: replicas, Prober: replicas, Decoder: platform.EventDecoder{},
 		PeerClient: peerClient(), Logger: process.logger, Metrics: process.metrics, Catalog: table,
 		ConfigurationPrefix: platform.KeyConfiguration, ReplicaPrefix: platform.PrefixReplicas,
-		ConfigurationHandler: process.operator(table),
+		ConfigurationHandler: process.operatorHandler(table),
 		ReplicaHandler:       &platform.ReplicaHandler{Logger: process.logger, Catalog: table, Metrics: process.metrics},
-		Limits:               patience,
-		StartOrderer:         process.standby(),
+		Limits:               limits,
+		StartOrderer:         process.standbyStarter(),
 		UsageWindow:          settings.UsageWindow(),
 		Clock:                process.clock,
 	})
@@ -60,35 +60,36 @@
 	if err := front.Start(); err != nil {
 		return nil, nil, err
 	}
-	callers := platform.NewServer(front.Counted(ingress), firstLimits(table, patience.Start+firstWaitSlack))
-	if err := process.serve("callers", settings.Listen["front"], callers); err != nil {
+	callerServer := platform.NewServer(front.Counted(ingress), awaitServerLimits(table, limits.Start+storeReadSlack))
+	if err := process.serve("callers", settings.Listen["front"], callerServer); err != nil {
 		return nil, nil, err
 	}
 	if err := process.serve("ready", settings.Listen["ready"], &http.Server{Handler: platform.ReadyHandler(front.Ready)}); err != nil {
 		return nil, nil, err
 	}
-	return front, callers, nil
+	return front, callerServer, nil
 }
 
-// standby returns how this process starts a candidate for giving orders; nil if it has no port for one.
-func (process *process) standby() func() (*role.Orderer, error) {
-	if process.settings.Ports[0]+standbyPort > process.settings.Ports[1] {
+// standbyStarter returns a function that starts a standby orderer in this process, or nil if the node has no internal port for it.
+func (process *process) standbyStarter() func() (*role.Orderer, error) {
+	if process.settings.Ports[0]+standbyPortOffset > process.settings.Ports[1] {
 		return nil
 	}
-	return func() (*role.Orderer, error) { return startOrderer(process, standbyPort) }
+	return func() (*role.Orderer, error) { return startOrderer(process, standbyPortOffset) }
 }
 
-// firstLimits returns the limits of the operator's configuration, or those in force without one if it does not come in time.
-func firstLimits(table *catalog.Table, wait time.Duration) catalog.Limits {
-	limits := catalog.Limits{HeaderBytes: firstHeaderBytes, HeaderTimeout: firstHeaderTimeout, IdleTimeout: firstIdleTimeout}
+// awaitServerLimits waits for the operator's configuration and returns its limits. Limits that it does not set have their default
+// values. If no configuration arrives in time, all limits have their default values.
+func awaitServerLimits(table *catalog.Table, wait time.Duration) catalog.Limits {
+	limits := catalog.Limits{HeaderBytes: defaultHeaderBytes, HeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout}
 	timeout := time.After(wait)
 	for {
 		changed := table.Changed()
 		if configuration := table.Configuration(); configuration != nil {
-			known := configuration.Limits
-			limits.HeaderBytes = cmp.Or(known.HeaderBytes, limits.HeaderBytes)
-			limits.HeaderTimeout = cmp.Or(known.HeaderTimeout, limits.HeaderTimeout)
-			limits.IdleTimeout = cmp.Or(known.IdleTimeout, limits.IdleTimeout)
+			configured := configuration.Limits
+			limits.HeaderBytes = cmp.Or(configured.HeaderBytes, limits.HeaderBytes)
+			limits.HeaderTimeout = cmp.Or(configured.HeaderTimeout, limits.HeaderTimeout)
+			limits.IdleTimeout = cmp.Or(configured.IdleTimeout, limits.IdleTimeout)
 			return limits
 		}
 		select {
@@ -103,8 +104,8 @@
 	return &http.Client{Transport: &http.Transport{DialContext: dialer(), MaxIdleConnsPerHost: peerIdleConns, DisableCompression: true}}
 }
 
-// operator is the handler of the operator's configuration.
-func (process *process) operator(table *catalog.Table) *platform.OperatorHandler {
+// operatorHandler returns the handler that puts the operator's configuration into force.
+func (process *process) operatorHandler(table *catalog.Table) *platform.OperatorHandler {
 	return &platform.OperatorHandler{Logger: process.logger, OnConfiguration: func(configuration *catalog.Configuration) {
 		if table.SetConfiguration(configuration) {
 			process.logger.Info("configuration in force", "version", configuration.Version, "routes", len(configuration.Routes))
--- a/cmd/thistlewalk-rollout/main.go
+++ b/cmd/thistlewalk-rollout/main.go
@@ -1,5 +1,5 @@
-// Command thistlewalk-rollout runs thistlewalk on the users' platform: a front serves callers and runs batch jobs, an
-// orderer brings replicas to the versions that trainers name.
+// Command thistlewalk-rollout runs one node of thistlewalk on the users' platform. A front serves callers and runs batch
+// jobs. An orderer stands for election, and the elected orderer has replicas load the weight versions that trainers publish.
 package main
 
 import (
@@ -27,8 +27,8 @@
 )
 
 func main() {
-	signals := listenForSignals() // before anything else: until then a SIGHUP ends the process
-	id, _ := build.ID()           // a role says at its start why it is not known
+	signals := listenForSignals() // first, because an unhandled SIGHUP ends the process
+	id, _ := build.ID()           // recordBuild logs the error when a role starts
 	command := &cli.Command{
 		Name:    "thistlewalk-rollout",
 		Usage:   "thistlewalk on the users' platform",
@@ -50,21 +50,21 @@
 	}
 }
 
-// process is what every role has.
+// process holds what all roles share.
 type process struct {
-	settings *platform.Settings
-	logger   *log.Logger
-	queue    *logging.Queue
-	metrics  *telemetry.Metrics
-	store    *platform.Store
-	path     string
-	life     int64
-	clock    clock.Clock
-	// signals are those that have come since the program began.
+	settings     *platform.Settings
+	logger       *log.Logger
+	queue        *logging.Queue
+	metrics      *telemetry.Metrics
+	store        *platform.Store
+	settingsPath string
+	incarnation  int64
+	clock        clock.Clock
+	// signals delivers the signals received since the start of the program.
 	signals <-chan os.Signal
 }
 
-// listenForSignals returns what the platform tells the process by signals.
+// listenForSignals returns a channel of the signals by which the platform stops the process or has it reload its settings.
 func listenForSignals() <-chan os.Signal {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
@@ -72,38 +72,38 @@
 }
 
 const (
-	memoryShare   = 0.6
-	garbageTarget = 60
-	logFlushLimit = 300 * time.Millisecond
-	bytesPerMB    = 1 << 20
+	memoryLimitShare = 0.6
+	gcPercent        = 60
+	logFlushTimeout  = 300 * time.Millisecond
+	bytesPerMB       = 1 << 20
 )
 
-// withSettings loads the settings, sets limits and logs, and runs a role.
+// withSettings returns an action that loads the settings, applies the memory limit, starts logging and metrics, and runs a role.
 func withSettings(signals <-chan os.Signal, run func(*process) error) cli.ActionFunc {
 	return func(_ context.Context, command *cli.Command) error {
 		path := command.String("settings")
-		started, err := newProcess(path, os.Stdout, command.String("log-level"))
+		process, err := newProcess(path, os.Stdout, command.String("log-level"))
 		if err != nil {
 			return err
 		}
-		started.signals = signals
-		settings := started.settings
-		debug.SetGCPercent(garbageTarget)
+		process.signals = signals
+		settings := process.settings
+		debug.SetGCPercent(gcPercent)
 		limitMemory(settings)
-		started.logger.Info("start", "node", settings.Node, "role", settings.Role, "zone", settings.Zone, "life", started.life, "build", started.build(), "settings", path)
+		process.logger.Info("start", "node", settings.Node, "role", settings.Role, "zone", settings.Zone, "life", process.incarnation, "build", process.recordBuild(), "settings", path)
 		if port := command.Int("metrics-port"); port > 0 {
-			if err := started.serveMetrics(port); err != nil {
+			if err := process.serveMetrics(port); err != nil {
 				return err
 			}
 		}
-		err = run(started)
-		started.queue.Close(logFlushLimit)
+		err = run(process)
+		process.queue.Close(logFlushTimeout)
 		return err
 	}
 }
 
-// build returns the build that this process runs, which the metrics tell since.
-func (process *process) build() string {
+// recordBuild sets the metric that identifies the build of this process, and returns the build ID.
+func (process *process) recordBuild() string {
 	id, err := build.ID()
 	if err != nil {
 		process.logger.Warn("build not known", "error", err)
@@ -112,7 +112,7 @@
 	return id
 }
 
-// newProcess reads the settings and makes what every role has.
+// newProcess reads the settings and creates what all roles share.
 func newProcess(path string, output io.Writer, level string) (*process, error) {
 	settings, err := platform.LoadSettings(path)
 	if err != nil {
@@ -123,29 +123,29 @@
 	if err != nil {
 		return nil, err
 	}
-	machine, err := clock.System()
+	systemClock, err := clock.System()
 	if err != nil {
 		return nil, err
 	}
 	return &process{
-		clock: machine, settings: settings, logger: logger, queue: queue, metrics: telemetry.New(queue.Dropped), path: path, life: time.Now().UnixNano(),
+		clock: systemClock, settings: settings, logger: logger, queue: queue, metrics: telemetry.New(queue.Dropped), settingsPath: path, incarnation: time.Now().UnixNano(),
 		store: platform.NewStore(settings.API.Address, dialer()),
 	}, nil
 }
 
 func limitMemory(settings *platform.Settings) {
 	if settings.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(settings.Limits.MemoryMB) * memoryShare * bytesPerMB))
+		debug.SetMemoryLimit(int64(float64(settings.Limits.MemoryMB) * memoryLimitShare * bytesPerMB))
 	}
 }
 
-// serveMetrics serves the figures of this process at any path of the port.
+// serveMetrics serves the metrics of this process on the given port, at every path.
 func (process *process) serveMetrics(port int) error {
 	address := net.JoinHostPort(process.settings.IP, strconv.Itoa(port))
-	return process.serve("metrics", address, &http.Server{Handler: process.metrics.Handler(), ReadHeaderTimeout: metricsTimeout})
+	return process.serve("metrics", address, &http.Server{Handler: process.metrics.Handler(), ReadHeaderTimeout: metricsHeaderTimeout})
 }
 
-const metricsTimeout = 3 * time.Second
+const metricsHeaderTimeout = 3 * time.Second
 
 func check(process *process) error {
 	settings := process.settings
@@ -159,32 +159,32 @@
 	return nil
 }
 
-// Connections are probed, since a machine that lost its power says nothing.
+// TCP keep-alive detects peers that lost power and therefore never close their connections.
 const (
-	dialLimit     = 700 * time.Millisecond
-	probeIdle     = 1000 * time.Millisecond
-	probeInterval = 500 * time.Millisecond
-	probeCount    = 3
+	dialTimeout       = 700 * time.Millisecond
+	keepAliveIdle     = 1000 * time.Millisecond
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 3
 )
 
-// measuredStore is the metadata store with its calls counted.
-func (process *process) measuredStore() metadata.Store {
+// instrumentedStore returns the metadata store with metrics for its calls.
+func (process *process) instrumentedStore() metadata.Store {
 	return &metadata.Measured{Store: process.store, Metrics: process.metrics}
 }
 
 func dialer() platform.DialFunc {
-	return (&net.Dialer{Timeout: dialLimit, KeepAliveConfig: keepAlive()}).DialContext
+	return (&net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive()}).DialContext
 }
 
 func keepAlive() net.KeepAliveConfig {
-	return net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount}
+	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 }
 
 func listen(address string) (net.Listener, error) {
 	return (&net.ListenConfig{KeepAliveConfig: keepAlive()}).Listen(context.Background(), "tcp", address)
 }
 
-// serve serves a handler on a listener until the process ends.
+// serve listens on an address and serves requests in the background until the process ends.
 func (process *process) serve(name, address string, server *http.Server) error {
 	listener, err := listen(address)
 	if err != nil {
@@ -197,11 +197,11 @@
 	return nil
 }
 
-// awaitStop waits for SIGTERM or an interrupt. On SIGHUP, and when the settings file changes, it takes the new settings.
+// awaitStop waits for SIGTERM or an interrupt. It reloads the settings on SIGHUP and when the settings file changes.
 func (process *process) awaitStop() {
-	ticker := time.NewTicker(settingsPoll)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	modified := modifiedAt(process.path)
+	modified := modifiedAt(process.settingsPath)
 	for {
 		select {
 		case received := <-process.signals:
@@ -210,9 +210,9 @@
 				return
 			}
 			process.reload("SIGHUP")
-			modified = modifiedAt(process.path)
+			modified = modifiedAt(process.settingsPath)
 		case <-ticker.C:
-			if now := modifiedAt(process.path); !now.Equal(modified) {
+			if now := modifiedAt(process.settingsPath); !now.Equal(modified) {
 				modified = now
 				process.reload("file changed")
 			}
@@ -220,9 +220,9 @@
 	}
 }
 
-const settingsPoll = 2 * time.Second
+const settingsPollInterval = 2 * time.Second
 
-// modifiedAt returns when a file was written; zero if that can't be told.
+// modifiedAt returns the modification time of a file, or the zero time if the file cannot be examined.
 func modifiedAt(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -231,10 +231,10 @@
 	return info.ModTime()
 }
 
-// reload takes what may change while a process runs: the store's address and the memory limit. Settings that are not valid
-// change nothing.
+// reload applies the settings that may change while a process runs: the store's address and the memory limit. Invalid
+// settings change nothing.
 func (process *process) reload(cause string) {
-	settings, err := platform.LoadSettings(process.path)
+	settings, err := platform.LoadSettings(process.settingsPath)
 	if err != nil {
 		process.logger.Error("reload refused", "cause", cause, "error", err)
 		return
--- a/cmd/thistlewalk-rollout/orderer.go
+++ b/cmd/thistlewalk-rollout/orderer.go
@@ -9,14 +9,15 @@
 	"github.com/thistlewalk/thistlewalk/platform"
 )
 
-// Times of the election of the orderer.
 const (
-	ordererLease  = 1300 * time.Millisecond
-	ordererRenew  = 300 * time.Millisecond
+	minElectionLease      = 1300 * time.Millisecond
+	electionRenewInterval = 300 * time.Millisecond
+	// handoverSlack is how much longer a successor waits than the pause that the platform requires between two orderers.
 	handoverSlack = 300 * time.Millisecond
-	// callOverhang is less than that by what a call may still be under way after it was given up.
+	// callOverhang is how long a call may outlast the term in which it began. The difference from handoverSlack covers the time for
+	// which a canceled call can still be in flight.
 	callOverhang = 200 * time.Millisecond
-	// retentionSlack covers clocks that differ between machines.
+	// retentionSlack covers clock skew between machines.
 	retentionSlack = time.Minute
 )
 
@@ -30,23 +31,24 @@
 	return nil
 }
 
-// startOrderer puts a candidate together and starts it, at one of the node's internal ports.
-func startOrderer(process *process, port int) (*role.Orderer, error) {
+// startOrderer creates and starts a candidate for the election of the orderer. Its peer port is the first internal port of the node
+// plus portOffset.
+func startOrderer(process *process, portOffset int) (*role.Orderer, error) {
 	settings := process.settings
 	table := catalog.NewTable()
 	orderer := role.NewOrderer(role.OrdererOptions{
-		Node: settings.Node, Role: settings.Role, Life: process.life, PeerAddress: settings.PeerAddress(port), PeerClient: peerClient(),
-		Store: process.measuredStore(), Replicas: platform.NewReplicas(dialer()), Retire: process.store, Logger: process.logger, Metrics: process.metrics, Catalog: table,
+		Node: settings.Node, Role: settings.Role, Life: process.incarnation, PeerAddress: settings.PeerAddress(portOffset), PeerClient: peerClient(),
+		Store: process.instrumentedStore(), Replicas: platform.NewReplicas(dialer()), Retire: process.store, Logger: process.logger, Metrics: process.metrics, Catalog: table,
 		OperatorPrefix: platform.PrefixOperator, ConfigurationPrefix: platform.KeyConfiguration, ReplicaPrefix: platform.PrefixReplicas,
 		ReplicaHandler: &platform.ReplicaHandler{Logger: process.logger, Catalog: table, Metrics: process.metrics},
 		Retention:      settings.Retention() + retentionSlack,
 		UsageWindow:    settings.UsageWindow(), UsageSink: platform.NewCloud(settings.Cloud.Address, dialer()), CallOverhang: callOverhang, Clock: process.clock,
 		Election: weights.ElectionSettings{
-			Lease: max(ordererLease, settings.LeastLease()), Renew: ordererRenew, HandoverWait: settings.HolderPause() + handoverSlack,
+			Lease: max(minElectionLease, settings.LeastLease()), Renew: electionRenewInterval, HandoverWait: settings.HolderPause() + handoverSlack,
 		},
 	})
-	operator := process.operator(table)
-	operator.OnVersion = orderer.Weights.SetTarget
-	operator.OnRetire = orderer.Retired
-	return orderer, orderer.Start(operator)
+	handler := process.operatorHandler(table)
+	handler.OnVersion = orderer.Weights.SetTarget
+	handler.OnRetire = orderer.Retired
+	return orderer, orderer.Start(handler)
 }
--- a/cmd/thistlewalk-rollout/lives_test.go
+++ b/cmd/thistlewalk-rollout/restart_test.go
@@ -11,28 +11,28 @@
 	"github.com/shoenig/test/must"
 )
 
-// startAgain has a replica start again under its identifier and at its address, before the entry of its former life has lapsed.
-func (deployment *deployment) startAgain(id string, born int64) {
-	next := deployment.replicas[id].StartAgain(born)
-	server := httptest.NewServer(next)
+// restartReplica restarts a replica under its identifier at a new address, before the registry entry of its previous incarnation has expired.
+func (deployment *deployment) restartReplica(id string, startedAt int64) {
+	restarted := deployment.replicas[id].StartAgain(startedAt)
+	server := httptest.NewServer(restarted)
 	deployment.t.Cleanup(server.Close)
 	register := func() {
-		deployment.put("servers/"+id, next.Entry(strings.TrimPrefix(server.URL, "http://")))
+		deployment.put("servers/"+id, restarted.Entry(strings.TrimPrefix(server.URL, "http://")))
 	}
-	next.OnChange = register
-	deployment.replicas[id] = next
+	restarted.OnChange = register
+	deployment.replicas[id] = restarted
 	register()
 }
 
-// A replica that starts again under its identifier holds no version and has taken no order. It was ordered by the count of its former life, which it
-// refused as not matching again and again, and counted as holding what that had loaded: no item ran on it any more.
+// A replica that restarts under its identifier has loaded no version and accepted no order. The orderer must not go on with the order count of the
+// previous incarnation, which the replica refuses, nor treat the versions loaded by that incarnation as loaded.
 func TestReplicasThatStartAgainAreOrderedAnew(t *testing.T) {
 	deployment := newDeployment(t)
 	deployment.put("op/config", fmt.Appendf(nil, configurationDocument, 3))
 	front := deployment.startFront("front-1")
 	deployment.startOrderer("orderer-1")
 	eventually(t, 3*time.Second, "the front is ready", func() bool { return deployment.isSettled(front) })
-	halfHold := func(version int64) bool { // the other half is left on the version before
+	halfLoaded := func(version int64) bool { // the orderer leaves the other half on the previous version
 		count := 0
 		for _, replica := range deployment.replicas {
 			if replica.Model != "" && replica.Version() >= version {
@@ -41,15 +41,15 @@
 		}
 		return count >= 2
 	}
-	for version := int64(2); version <= 5; version++ { // so that each has taken two orders
+	for version := int64(2); version <= 5; version++ { // so that each replica has accepted two orders
 		deployment.put("op/version/m", fmt.Appendf(nil, `{"model":"m","version":%d}`, version))
-		eventually(t, 6*time.Second, "half of the replicas hold the version", func() bool { return halfHold(version) })
+		eventually(t, 6*time.Second, "half of the replicas have loaded the version", func() bool { return halfLoaded(version) })
 	}
-	born := time.Now().UnixMilli()
+	startedAt := time.Now().UnixMilli()
 	for _, id := range []string{"e1", "e2", "e3", "e4"} {
-		deployment.startAgain(id, born)
+		deployment.restartReplica(id, startedAt)
 	}
-	eventually(t, 6*time.Second, "half of the replicas hold the version again", func() bool { return halfHold(5) })
+	eventually(t, 6*time.Second, "half of the replicas have loaded the version after the restart", func() bool { return halfLoaded(5) })
 	status, _, _ := deployment.call(front, http.MethodPost, "/jobs/j1", "job1", jobBody(8, 5))
 	must.Eq(t, http.StatusAccepted, status)
 	eventually(t, 6*time.Second, "a job that accepts no older version runs on them", func() bool {
@@ -58,7 +58,7 @@
 	})
 }
 
-// An entry that another writer spoiled names no replica: what its key said before is not used, the others are.
+// A registry entry that cannot be decoded registers no replica: the replica of its previous value is not used, and other replicas still are.
 func TestSpoiledEntriesNameNoReplica(t *testing.T) {
 	deployment := newDeployment(t)
 	deployment.put("op/config", fmt.Appendf(nil, configurationDocument, 3))
@@ -73,5 +73,5 @@
 		must.Zero(t, deployment.replicas["a1"].Ran(id))
 	}
 	deployment.replicas["a1"].OnChange()
-	eventually(t, 3*time.Second, "the next good entry names the replica again", func() bool { return front.front.Catalog.Replicas().FindNamed("a1") != nil })
+	eventually(t, 3*time.Second, "the next valid entry registers the replica again", func() bool { return front.front.Catalog.Replicas().FindNamed("a1") != nil })
 }
--- a/cmd/thistlewalk-rollout/signals_test.go
+++ b/cmd/thistlewalk-rollout/signals_test.go
@@ -12,27 +12,26 @@
 	"github.com/shoenig/test/must"
 )
 
-// asProgram has the test's binary run the program in place of the tests.
-const asProgram = "THISTLEWALK_TEST_AS_PROGRAM"
+// runProgramVariable is the environment variable that makes the test binary run the program instead of the tests.
+const runProgramVariable = "THISTLEWALK_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runProgramVariable) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// A SIGHUP that comes while the program begins does not end it: it used to be listened for only once the role had begun. Here the program
-// waits for its settings, which come through a pipe.
+// A SIGHUP while the program starts, before a role runs, must not end the process. The program blocks on its settings file, which is a named pipe.
 func TestHangupAtStart(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "node.json")
 	must.NoError(t, syscall.Mkfifo(path, 0o600))
 	program := exec.Command(os.Args[0], "--settings", path, "check")
-	program.Env = append(os.Environ(), asProgram+"=1")
+	program.Env = append(os.Environ(), runProgramVariable+"=1")
 	must.NoError(t, program.Start())
-	pipe, err := os.OpenFile(path, os.O_WRONLY, 0) // opens once the program reads
+	pipe, err := os.OpenFile(path, os.O_WRONLY, 0) // blocks until the program opens the pipe
 	must.NoError(t, err)
 	must.NoError(t, program.Process.Signal(syscall.SIGHUP))
 	time.Sleep(200 * time.Millisecond)
@@ -41,5 +40,5 @@
 	must.NoError(t, pipe.Close())
 	var ended *exec.ExitError
 	must.True(t, errors.As(program.Wait(), &ended))
-	must.Eq(t, 1, ended.ExitCode(), must.Sprint("it says what its settings lack: ", ended))
+	must.Eq(t, 1, ended.ExitCode(), must.Sprint("the program reports that its settings are incomplete: ", ended))
 }
--- a/cmd/thistlewalk-rollout/site_test.go
+++ b/cmd/thistlewalk-rollout/site_test.go
@@ -26,18 +26,18 @@
 	"github.com/thistlewalk/thistlewalk/internal/role"
 )
 
-// deployment is fronts and orderers over stand-ins of the platform, on the loopback address.
+// deployment runs fronts and orderers against a simulated platform on the loopback address.
 type deployment struct {
 	t        *testing.T
 	store    *memstore.Store
 	server   *httptest.Server
 	replicas map[string]*site.Replica
 	fronts   []*runningFront
-	// logs are the lines of all nodes.
+	// logs holds the log lines of all nodes.
 	logs lockedBuffer
 }
 
-// lockedBuffer is a buffer that several nodes write to.
+// lockedBuffer is a buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu      sync.Mutex
 	content strings.Builder
@@ -57,10 +57,10 @@
 }
 
 type runningFront struct {
-	front   *role.Front
-	callers *http.Server
-	address string
-	ready   string
+	front        *role.Front
+	callerServer *http.Server
+	address      string
+	ready        string
 }
 
 const configurationDocument = `{"version":%d,"routes":[
@@ -75,7 +75,7 @@
 	store := memstore.New()
 	created := &deployment{t: t, store: store, server: httptest.NewServer(&site.StoreServer{Store: store}), replicas: make(map[string]*site.Replica)}
 	t.Cleanup(func() {
-		created.server.CloseClientConnections() // watches wait on
+		created.server.CloseClientConnections() // Close alone would wait for open watches.
 		created.server.Close()
 	})
 	for _, id := range []string{"e1", "e2", "e3", "e4"} {
@@ -87,7 +87,8 @@
 	return created
 }
 
-// put writes as the operator and the replicas do. A replica may write while the test ends, whose context is over then.
+// put writes to the metadata store, as the operator and replicas do. It does not use the test's context, because a replica may write after that
+// context has been canceled.
 func (deployment *deployment) put(key string, value []byte) {
 	_, err := deployment.store.Commit(context.Background(), metadata.Txn{Puts: []metadata.Put{{Key: key, Value: value}}})
 	must.NoError(deployment.t, err)
@@ -104,7 +105,7 @@
 	register()
 }
 
-// settings writes the settings file of a node.
+// settings writes the settings file of a node, and returns its path and the addresses at which the node listens.
 func (deployment *deployment) settings(name string) (path string, listen map[string]string) {
 	peer := freePort(deployment.t)
 	listen = map[string]string{"front": fmt.Sprint("127.0.0.1:", freePort(deployment.t)), "ready": fmt.Sprint("127.0.0.1:", freePort(deployment.t))}
@@ -119,7 +120,7 @@
 	return path, listen
 }
 
-// freePort returns a port that is free together with the next one.
+// freePort returns a free port whose successor is free too.
 func freePort(t *testing.T) int {
 	pairs, err := freeport.Pairs(1)
 	must.NoError(t, err)
@@ -130,9 +131,9 @@
 	path, listen := deployment.settings(name)
 	process, err := newProcess(path, &deployment.logs, "info")
 	must.NoError(deployment.t, err)
-	front, callers, err := startFront(process)
+	front, callerServer, err := startFront(process)
 	must.NoError(deployment.t, err)
-	started := &runningFront{front: front, callers: callers, address: listen["front"], ready: listen["ready"]}
+	started := &runningFront{front: front, callerServer: callerServer, address: listen["front"], ready: listen["ready"]}
 	deployment.fronts = append(deployment.fronts, started)
 	return started
 }
@@ -146,12 +147,12 @@
 	deployment.t.Cleanup(orderer.Stop)
 }
 
-// call makes a call to a front and returns the status and the body.
+// call sends a request to a front and returns the status, body and headers of the response.
 func (deployment *deployment) call(front *runningFront, method, target, id, body string) (int, string, http.Header) {
 	return deployment.callWith(front, method, target, id, body, nil)
 }
 
-// callWith is call with further headers.
+// callWith is like call, with additional request headers.
 func (deployment *deployment) callWith(front *runningFront, method, target, id, body string, header http.Header) (int, string, http.Header) {
 	request, err := http.NewRequestWithContext(deployment.t.Context(), method, "http://"+front.address+target, strings.NewReader(body))
 	must.NoError(deployment.t, err)
@@ -167,17 +168,17 @@
 	return response.StatusCode, string(content), response.Header
 }
 
-func eventually(t *testing.T, limit time.Duration, what string, holds func() bool) {
+func eventually(t *testing.T, limit time.Duration, description string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(limit); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
-		if holds() {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("not within %s: %s", limit, what)
+	t.Fatalf("not within %s: %s", limit, description)
 }
 
-// isSettled reports whether callers are sent to a front, and it knows that it lacks nothing of the configuration.
+// isSettled reports whether a front is ready and its configuration is known to be up to date.
 func (deployment *deployment) isSettled(front *runningFront) bool {
 	return deployment.isReady(front) && front.front.UpToDate()
 }
@@ -214,7 +215,7 @@
 	} `json:"results"`
 }
 
-// results reads a job from the start.
+// results reads the results of a job from the beginning.
 func (deployment *deployment) results(front *runningFront, job string) resultPage {
 	status, content, _ := deployment.call(front, http.MethodGet, "/thistlewalk/lots/"+job+"?after-rev=0", "read", "")
 	page := resultPage{}
@@ -224,12 +225,12 @@
 	return page
 }
 
-// Requests, a step, a named version and a planned stop, through the real adapter and the stand-ins.
+// TestSite runs requests, a batch job, a new version and a planned stop through the real platform adapter against the simulated platform.
 func TestSite(t *testing.T) {
 	deployment := newDeployment(t)
 	first := deployment.startFront("front-1")
 	status, _, header := deployment.call(first, http.MethodPost, "/book/1", "q0", "x")
-	must.Eq(t, http.StatusServiceUnavailable, status, must.Sprint("a node that knows no configuration"))
+	must.Eq(t, http.StatusServiceUnavailable, status, must.Sprint("a node without a configuration"))
 	must.NotEq(t, "", header.Get("Retry-After"))
 	must.False(t, deployment.isReady(first))
 
@@ -248,17 +249,17 @@
 	status, _, _ = deployment.call(first, http.MethodPost, "/book/1", "q3", strings.Repeat("x", 2<<20))
 	must.Eq(t, http.StatusRequestEntityTooLarge, status)
 
-	runStep(t, deployment, first, second)
+	runBatchJob(t, deployment, first, second)
 	stopOwner(t, deployment, first, second)
 }
 
-func runStep(t *testing.T, deployment *deployment, first, second *runningFront) {
+func runBatchJob(t *testing.T, deployment *deployment, first, second *runningFront) {
 	t.Helper()
 	deployment.replicas["e1"].SetFaults(site.ReplicaFaults{CutAfter: 2})
 	deployment.replicas["e2"].SetFaults(site.ReplicaFaults{Full: true})
 	status, _, _ := deployment.call(first, http.MethodPost, "/jobs/j1", "job1", `{"items":[]}`)
 	must.Eq(t, http.StatusBadRequest, status)
-	for _, front := range []*runningFront{first, second} { // again at another node: taken once
+	for _, front := range []*runningFront{first, second} { // submitted again at another node, the job must run only once
 		status, _, _ = deployment.call(front, http.MethodPost, "/jobs/j1", "job1", jobBody(12, 1))
 		must.Eq(t, http.StatusAccepted, status)
 	}
@@ -285,7 +286,7 @@
 	must.Eq(t, 12, len(deployment.results(first, "job1").Results))
 }
 
-// stopOwner names a version, sends a step that needs it, and stops the front that runs the step.
+// stopOwner publishes a version, submits a job that requires it, and stops the front that runs the job. The other front must finish the job.
 func stopOwner(t *testing.T, deployment *deployment, first, second *runningFront) {
 	t.Helper()
 	deployment.put("op/version/m", []byte(`{"model":"m","version":2}`))
@@ -299,8 +300,8 @@
 		owner, other = second, first
 	}
 	must.Eq(t, 1, owner.front.Runner.OpenJobs())
-	owner.front.Stop(6*time.Second, owner.callers)
-	eventually(t, 8*time.Second, "the other front finishes the step", func() bool { return len(deployment.results(other, "job2").Results) == 20 })
+	owner.front.Stop(6*time.Second, owner.callerServer)
+	eventually(t, 8*time.Second, "the other front finishes the job", func() bool { return len(deployment.results(other, "job2").Results) == 20 })
 	for _, result := range deployment.results(other, "job2").Results {
 		must.Eq(t, []int64{2}, result.Versions)
 	}
@@ -328,7 +329,7 @@
 	}
 }
 
-// rawCall writes bytes to a front and returns the status line of its answer; empty when the connection is closed.
+// rawCall writes bytes to a front and returns the status line of the response, or an empty string if the front closes the connection without one.
 func rawCall(t *testing.T, front *runningFront, content string) string {
 	t.Helper()
 	connection, err := net.Dial("tcp", front.address)
@@ -337,12 +338,12 @@
 	must.NoError(t, connection.SetDeadline(time.Now().Add(8*time.Second)))
 	_, err = io.WriteString(connection, content)
 	must.NoError(t, err)
-	answer, _ := io.ReadAll(connection) // the end of the connection may be a reset
+	answer, _ := io.ReadAll(connection) // the front may reset the connection after the response
 	line, _, _ := strings.Cut(string(answer), "\r\n")
 	return line
 }
 
-// Bad input gets a status of the node's own, and nothing of it runs.
+// Invalid requests must be rejected by the front, and must not run on any replica.
 func TestBadInput(t *testing.T) {
 	deployment := newDeployment(t)
 	deployment.put("op/config", fmt.Appendf(nil, configurationDocument, 3))
@@ -377,7 +378,7 @@
 	}
 }
 
-// When all nodes that stand for the election always are gone for good, a front orders replicas.
+// When no orderer is running, a front must take over the role of the orderer.
 func TestFrontOrdersWhenNobodyElseDoes(t *testing.T) {
 	deployment := newDeployment(t)
 	deployment.put("op/config", fmt.Appendf(nil, configurationDocument, 3))
@@ -387,7 +388,7 @@
 	deployment.put("op/version/m", []byte(`{"model":"m","version":2}`))
 	status, _, _ := deployment.call(first, http.MethodPost, "/jobs/j1", "job1", jobBody(6, 2))
 	must.Eq(t, http.StatusAccepted, status)
-	eventually(t, 16*time.Second, "the step is whole", func() bool { return len(deployment.results(second, "job1").Results) == 6 })
+	eventually(t, 16*time.Second, "the job is complete", func() bool { return len(deployment.results(second, "job1").Results) == 6 })
 	holders := make(map[string]bool)
 	for _, replica := range deployment.replicas {
 		for _, holder := range replica.Holders() {
--- a/cmd/thistlewalk-rollout/tenants_test.go
+++ b/cmd/thistlewalk-rollout/tenants_test.go
@@ -10,8 +10,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// tenantsDocument is a configuration with keys of two tenants, to be filled in with its version and the keys of the first tenant. The
-// route of scorers is public.
+// tenantsDocument is a format for a configuration with two tenants. Its arguments are the version and the API keys of the first tenant. The
+// route for scoring calls is public.
 const tenantsDocument = `{"version":%d,"routes":[
  {"name":"r1","host":"a.example","path-prefix":"/book/","kind":"safe","timeout-ms":1500,"slo-ms":150,"service":"app","max-attempts":2},
  {"name":"r2","host":"a.example","path-prefix":"/score/","kind":"safe","timeout-ms":1500,"slo-ms":150,"service":"app","max-attempts":4,"public":true},
@@ -22,7 +22,7 @@
 
 func bearer(key string) http.Header { return http.Header{"Authorization": {"Bearer " + key}} }
 
-// newTenantsDeployment returns a deployment with two fronts that know the tenants, and an orderer.
+// newTenantsDeployment returns a deployment with tenants, two settled fronts and an orderer.
 func newTenantsDeployment(t *testing.T) (created *deployment, first, second *runningFront) {
 	t.Helper()
 	created = newDeployment(t)
@@ -33,8 +33,8 @@
 	return created, first, second
 }
 
-// receivedFrom returns what the replica that ran a request was told of its caller.
-func (deployment *deployment) receivedFrom(id string) (tenant, authorization string) {
+// callerSeenByReplica returns the tenant and the Authorization header that reached the replica which ran a request.
+func (deployment *deployment) callerSeenByReplica(id string) (tenant, authorization string) {
 	for _, replica := range deployment.replicas {
 		if replica.Ran(id) > 0 {
 			caller := replica.CallerOf(id)
@@ -45,7 +45,8 @@
 	return "", ""
 }
 
-// Replicas are told the tenant whatever the caller says, and no key leaves the front: not to a replica, a log line or a stored job.
+// Replicas must receive the tenant of the API key, whatever tenant the caller claims. No key may leave the front, neither to a replica nor in a log
+// line or a stored job.
 func TestTenantsOfRequests(t *testing.T) {
 	deployment, first, second := newTenantsDeployment(t)
 	forged := bearer("secret-2")
@@ -76,7 +77,7 @@
 		if status != http.StatusOK {
 			continue
 		}
-		tenant, authorization := deployment.receivedFrom(id)
+		tenant, authorization := deployment.callerSeenByReplica(id)
 		must.Eq(t, check.tenant, tenant, must.Sprint(id))
 		must.Eq(t, "", authorization, must.Sprint(id))
 	}
@@ -94,11 +95,11 @@
 	})
 	for index := range 4 {
 		id := fmt.Sprintf("item%s%d", strings.Repeat("y", index%3), index)
-		tenant, authorization := deployment.receivedFrom(id)
+		tenant, authorization := deployment.callerSeenByReplica(id)
 		must.Eq(t, "harbour", tenant)
 		must.Eq(t, "", authorization)
-		tenant, _ = deployment.receivedFrom("s" + id)
-		must.Eq(t, "", tenant, must.Sprint("scorers are asked for no tenant"))
+		tenant, _ = deployment.callerSeenByReplica("s" + id)
+		must.Eq(t, "", tenant, must.Sprint("scoring calls name no tenant"))
 	}
 	for _, front := range []*runningFront{first, second} {
 		status, _ := read(front, "secret-airport")
@@ -116,7 +117,7 @@
 	must.StrNotContains(t, deployment.logs.String(), "secret")
 }
 
-// A key that the operator takes away opens nothing any more at any node, and one that is added does; the tenant's jobs go on.
+// A key that the operator removes must be refused by all nodes, and an added key must be accepted. Jobs of the tenant must remain readable.
 func TestKeysChange(t *testing.T) {
 	deployment, first, second := newTenantsDeployment(t)
 	status, _, _ := deployment.callWith(first, http.MethodPost, "/jobs/j1", "job1", jobBody(4, 1), bearer("secret-1"))
