--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# Applies each one-line fault of docs/TESTING.md to a copy of the last commit and checks that the tests named beside it catch it.
-# Exit code 1 if a fault stays unseen.
+# Applies each mutation below to a copy of the last commit and checks that the given tests then fail; see docs/TESTING.md. The exit code is 1
+# if a mutation is not caught, does not build or does not match the source any more.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 copy=$(mktemp -d)
 trap 'rm -rf "$copy"' EXIT
 missed=0
-# mutate NAME FILE 'PATTERN' 'REPLACEMENT' PACKAGES: the pattern must stand in the file once, as fixed text.
+# mutate NAME FILE 'PATTERN' 'REPLACEMENT' ARGUMENT...: PATTERN is fixed text that must occur exactly once in FILE. The arguments are those of
+# go test.
 mutate() {
   local name=$1 file=$2 pattern=$3 replacement=$4
   shift 4
@@ -32,79 +33,79 @@
 mutate 'fence not checked' internal/partition/replica.go 'if write.Epoch < replica.promised {' 'if write.Epoch == 0 {' ./internal/partition/...
 mutate 'read quorum too small' internal/partition/table.go 'return n - WriteQuorum(n) + 1' 'return 1' ./internal/partition/...
 mutate 'older register wins' internal/partition/replica.go 'return register.Sequence > other.Sequence' 'return register.Sequence < other.Sequence' ./internal/partition/...
-mutate 'sequence counted anew' internal/partition/log.go 'log.sequence = recovery.AfterSequence' 'log.sequence = 0' ./internal/partition/...
+mutate 'sequence restarts at zero' internal/partition/log.go 'log.sequence = recovery.AfterSequence' 'log.sequence = 0' ./internal/partition/...
 mutate 'log not retired' internal/partition/log.go 'log.failed = errRetired' '_ = errRetired' ./internal/partition/...
-mutate 'set of stores shrinks' internal/partition/takeover.go 'if name.Kind != KindSteps {' 'if name.Kind != "" {' ./internal/partition/...
-mutate 'dedupe skipped' internal/step/step.go 'if state.Sample != nil || step.Progress.State != StateOpen {' 'if step.Progress.State != StateOpen {' ./internal/step/...
-mutate 'bound not checked' internal/step/step.go 'if staleness.Exceeds(bound) {' 'if staleness.Exceeds(experiment.Bound{}) {' ./internal/step/...
-mutate 'delivered slot offered again' internal/step/step.go 'if state.Sample != nil && !step.batched[state.Slot] {' 'if state.Sample != nil {' ./internal/step/...
+mutate 'absent copies dropped from a set' internal/partition/takeover.go 'if name.Kind != KindSteps {' 'if name.Kind != "" {' ./internal/partition/...
+mutate 'deduplication skipped' internal/step/step.go 'if state.Sample != nil || step.Progress.State != StateOpen {' 'if step.Progress.State != StateOpen {' ./internal/step/...
+mutate 'staleness bound not checked' internal/step/step.go 'if staleness.Exceeds(bound) {' 'if staleness.Exceeds(experiment.Bound{}) {' ./internal/step/...
+mutate 'delivered slot batched again' internal/step/step.go 'if state.Sample != nil && !step.batched[state.Slot] {' 'if state.Sample != nil {' ./internal/step/...
 mutate 'claim granted twice' internal/claim/book.go 'case exists && present.Token == wish.Token:' 'case exists && !present.Settled:' ./internal/claim/...
-mutate 'lost history not told' internal/claim/book.go 'case book.mayBeForgotten(wish.RequestID, now):' 'case wish.RequestID == "":' ./internal/claim/...
-mutate 'not run after a write' internal/engine/http.go 'return nil, errors.Mark(errors.Wrap(err, "engine"), ErrBroken)' 'return nil, errors.Mark(errors.Wrap(err, "engine"), ErrNotAccepted)' ./internal/engine/...
-mutate 'revision without comparison' internal/configuration/follower.go 'if document.Revision <= follower.document.Load().Revision {' 'if document.Revision == 0 {' ./internal/configuration/...
-mutate 'late chunk taken' internal/rollout/transcript.go 'if chunk.RequestID != transcript.requestID || chunk.Attempt != transcript.attempt {' 'if chunk.RequestID != transcript.requestID {' ./internal/rollout/...
-mutate 'span of the order, not the chunk' internal/rollout/transcript.go 'AppendSpan(transcript.spans, chunk.Version, len(chunk.TokenIDs))' 'AppendSpan(transcript.spans, 1, len(chunk.TokenIDs))' ./internal/lab/simulation -rapid.shrinktime=1s
+mutate 'lost claim history ignored' internal/claim/book.go 'case book.mayBeForgotten(wish.RequestID, now):' 'case wish.RequestID == "":' ./internal/claim/...
+mutate 'sent request reported as not run' internal/engine/http.go 'return nil, errors.Mark(errors.Wrap(err, "engine"), ErrBroken)' 'return nil, errors.Mark(errors.Wrap(err, "engine"), ErrNotAccepted)' ./internal/engine/...
+mutate 'revision not compared' internal/configuration/follower.go 'if document.Revision <= follower.document.Load().Revision {' 'if document.Revision == 0 {' ./internal/configuration/...
+mutate 'late chunk accepted' internal/rollout/transcript.go 'if chunk.RequestID != transcript.requestID || chunk.Attempt != transcript.attempt {' 'if chunk.RequestID != transcript.requestID {' ./internal/rollout/...
+mutate 'span without the chunk version' internal/rollout/transcript.go 'AppendSpan(transcript.spans, chunk.Version, len(chunk.TokenIDs))' 'AppendSpan(transcript.spans, 1, len(chunk.TokenIDs))' ./internal/lab/simulation -rapid.shrinktime=1s
 mutate 'refutation skipped' internal/membership/table.go 'own.member.Incarnation = news.Incarnation + 1' 'own.member.Incarnation = news.Incarnation' ./internal/membership/...
 mutate 'claims skipped' internal/gateway/completion.go 'if prepared.repeatable {' 'if prepared.requestID != "" {' ./internal/lab/simulation -rapid.shrinktime=1s
 mutate 'engine fence not checked' internal/lab/platform/orders.go 'return next.Holder == present.Holder && next.Revision >= present.Revision' 'return true' ./internal/home/...
 mutate 'report sent before it is stored' internal/metering/reporter.go '_, err = work.Store.Commit(callCtx, txn)' '_, err = work.Store.Commit(callCtx, metadata.Txn{Deletes: txn.Deletes})' ./internal/metering
 mutate 'report stored by a former holder' internal/metering/reporter.go 'Conditions: []metadata.Condition{work.term.Condition(), {Key: reportKey(work.next)}},' 'Conditions: []metadata.Condition{{Key: reportKey(work.next)}},' ./internal/metering
 mutate 'older tally wins' internal/metering/ledger.go 'known.GetSequence() < tally.GetSequence()' 'known.GetSequence() != tally.GetSequence()' ./internal/metering
-mutate 'run that was refused is counted' internal/forwarding/run.go 'return result.answer.NotExecuted' 'return false' ./internal/forwarding
+mutate 'refused run counted as usage' internal/forwarding/run.go 'return result.answer.NotExecuted' 'return false' ./internal/forwarding
 mutate 'successor does not wait' internal/weights/election.go 'wait.Pause(ctx, election.Settings.HandoverWait)' '_ = election.Settings.HandoverWait' ./internal/weights
-mutate 'waiting holder counts as the last' internal/weights/election.go 'if last == "" {' 'if last != election.Node {' ./internal/weights
-mutate 'no witness' internal/metering/teller.go 'witness.tell(ctx, teller.Listeners.Witness(), teller.isOwn)' '_ = witness' ./internal/metering
-mutate 'revoked key in a retry' internal/forwarding/run.go 'return run.call.StillAdmitted != nil && !run.call.StillAdmitted()' 'return run.call.StillAdmitted != nil && run.attempts == 0 && !run.call.StillAdmitted()' ./internal/forwarding
+mutate 'last holder replaced too early' internal/weights/election.go 'if last == "" {' 'if last != election.Node {' ./internal/weights
+mutate 'tallies not sent to the witness' internal/metering/teller.go 'witness.tell(ctx, teller.Listeners.Witness(), teller.isOwn)' '_ = witness' ./internal/metering
+mutate 'revoked key accepted in a retry' internal/forwarding/run.go 'return run.call.StillAdmitted != nil && !run.call.StillAdmitted()' 'return run.call.StillAdmitted != nil && run.attempts == 0 && !run.call.StillAdmitted()' ./internal/forwarding
 mutate "another tenant's job read" internal/batchrun/scope.go 'if strings.Contains(named, batch.ScopeSeparator) {' 'if strings.Contains(named, batch.ScopeSeparator) && named == "" {' ./internal/batchrun
 mutate "another tenant's text used" internal/batchrun/kept.go 'id = batch.InScopeOf(text.job, id)' '_ = batch.InScopeOf(text.job, id)' ./internal/batchrun
-mutate 'key denied by a node that is behind' platform/ingress.go 'if !ingress.UpToDate() {' 'if ingress.UpToDate == nil {' ./platform
-mutate 'behind though told of a newer version' internal/dissemination/subscriber.go 'if _, lacks := subscriber.lacks(topic, now); lacks && topic.Prefix() == prefix {' 'if topic.Prefix() == "" {' ./internal/dissemination
-mutate 'key passed on' platform/ingress.go 'maps.DeleteFunc(header, func(name string, _ []string) bool { return identifiesCaller(name) })' '_ = maps.DeleteFunc[http.Header]' ./cmd/thistlewalk-rollout
+mutate 'key refused by a lagging node' platform/ingress.go 'if !ingress.UpToDate() {' 'if ingress.UpToDate == nil {' ./platform
+mutate 'announced newer version ignored' internal/dissemination/subscriber.go 'if _, lacks := subscriber.lacks(topic, now); lacks && topic.Prefix() == prefix {' 'if topic.Prefix() == "" {' ./internal/dissemination
+mutate 'API key forwarded to a replica' platform/ingress.go 'maps.DeleteFunc(header, func(name string, _ []string) bool { return identifiesCaller(name) })' '_ = maps.DeleteFunc[http.Header]' ./cmd/thistlewalk-rollout
 mutate 'all nodes run a job in an outage' internal/batchrun/defer.go 'if deferral.mine.Load() {' 'if deferral.to == "" {' ./internal/batchrun
-mutate 'jobs left to each other' internal/batchrun/defer.go 'owned.deferral.mine.Store(true)' '_ = owned' ./internal/batchrun
-mutate 'holder waits to be told what it knows' internal/metering/reporter.go ' || !work.collected.Before(end.Add(tellTime)))' ')' ./internal/metering
+mutate 'two nodes defer a job mutually' internal/batchrun/defer.go 'owned.deferral.mine.Store(true)' '_ = owned' ./internal/batchrun
+mutate 'holder waits for known tallies' internal/metering/reporter.go ' || !work.collected.Before(end.Add(tellTime)))' ')' ./internal/metering
 mutate 'call outlasts a lost lease' internal/metering/reporter.go 'left := work.term.Remaining() + work.Overhang' 'left := work.term.Remaining() + work.Overhang + time.Hour' ./internal/metering
 mutate 'refusal not confirmed' internal/delivery/service.go 'if err := served.log.Append(ctx, nil, nil); err != nil {' 'if err := served.log.Failed(); err != nil {' ./internal/delivery
-mutate 'probe that hangs is waited for' internal/metadata/health.go 'if told || health.Good() {' 'if !told || health.Good() {' ./internal/metadata
-mutate 'slow probe left again and again' internal/metadata/health.go 'if told || health.Good() {' 'if health.Good() {' ./internal/metadata
-mutate 'what was made stays behind' internal/batchrun/service.go 'runner.kept.put(partial.GetItemId(), textOf(definition.GetId(), partial, started))' '_ = textOf(definition.GetId(), partial, started)' ./internal/batchrun
-mutate 'job not taken back' internal/batchrun/service.go 'other.deferral.takeBack()' '_ = other' ./internal/batchrun
-mutate 'replica that fails is not left alone' internal/batchrun/generate.go 'runner.scheduler.failed(replica.ID, time.Now())' '_ = time.Now' ./internal/batchrun
-mutate 'item goes back to who failed it' internal/batchrun/generate.go 'running.avoid, running.avoidUntil = replica.ID, now.Add(avoidFailed)' '_ = avoidFailed' ./internal/batchrun
-mutate 'nodes tell nobody of ends' internal/quarantine/outbox.go 'if guard.Teller == nil {' 'if guard.Teller == nil || told.Reporter == "" {' ./internal/quarantine
-mutate 'quarantine not kept' internal/quarantine/archive.go 'if known.Crashes < quarantineAt || kept.crashes >= known.Crashes {' 'if known.Crashes > 0 || kept.crashes >= known.Crashes {' ./internal/quarantine
+mutate 'hanging probe not abandoned' internal/metadata/health.go 'if told || health.Good() {' 'if !told || health.Good() {' ./internal/metadata
+mutate 'slow probe abandoned repeatedly' internal/metadata/health.go 'if told || health.Good() {' 'if health.Good() {' ./internal/metadata
+mutate 'partial results lost on submit' internal/batchrun/service.go 'runner.kept.put(partial.GetItemId(), textOf(definition.GetId(), partial, started))' '_ = textOf(definition.GetId(), partial, started)' ./internal/batchrun
+mutate 'deferred job not reclaimed' internal/batchrun/service.go 'other.deferral.takeBack()' '_ = other' ./internal/batchrun
+mutate 'no backoff for a failing replica' internal/batchrun/generate.go 'runner.scheduler.failed(replica.ID, time.Now())' '_ = time.Now' ./internal/batchrun
+mutate 'item retried on its last replica' internal/batchrun/generate.go 'running.avoid, running.avoidUntil = replica.ID, now.Add(avoidFailed)' '_ = avoidFailed' ./internal/batchrun
+mutate 'crashes not reported to nodes' internal/quarantine/outbox.go 'if guard.Teller == nil {' 'if guard.Teller == nil || told.Reporter == "" {' ./internal/quarantine
+mutate 'quarantine not stored' internal/quarantine/archive.go 'if known.Crashes < quarantineAt || kept.crashes >= known.Crashes {' 'if known.Crashes > 0 || kept.crashes >= known.Crashes {' ./internal/quarantine
 mutate 'quarantine not published' internal/role/topics.go '		{Mirror: topics.quarantine},
 ' '' ./cmd/thistlewalk-rollout -run EndsReplicas
-mutate 'an answer clears nothing' internal/quarantine/guard.go 'if !guard.Book.Clear(fingerprint) {
+mutate 'answer does not clear suspicion' internal/quarantine/guard.go 'if !guard.Book.Clear(fingerprint) {
 		return
 	}
 	guard.Metrics' 'if fingerprint != (Fingerprint{}) {
 		return
 	}
 	guard.Metrics' ./internal/quarantine
-mutate 'an answer that breaks off is not seen' internal/quarantine/guard.go 'body.guard.brokeOff(body.ctx, body.replica, body.request)' '_ = body.ctx' ./internal/quarantine
-mutate 'requests of callers that left forgotten' internal/quarantine/guard.go 'case errors.Is(err, backend.ErrRefused):
+mutate 'interrupted answer not noticed' internal/quarantine/guard.go 'body.guard.brokeOff(body.ctx, body.replica, body.request)' '_ = body.ctx' ./internal/quarantine
+mutate 'abandoned requests not suspected' internal/quarantine/guard.go 'case errors.Is(err, backend.ErrRefused):
 		guard.refused(replica)' 'case errors.Is(err, backend.ErrRefused):' ./internal/quarantine
-mutate 'planned ends count' internal/quarantine/guard.go 'return registered != nil && !registered.Draining' 'return registered != nil || replica != ""' ./internal/quarantine
-mutate 'ends at one moment count each' internal/quarantine/book.go 'broke.Sub(other.Broke).Abs() < together' 'broke.Sub(other.Broke).Abs() < 0' ./internal/quarantine
-mutate 'all nodes try at a time' internal/quarantine/book.go 'return claim.Exclusive || known.reporter == book.node ||' 'return claim.Exclusive || book.node != "" ||' ./internal/quarantine
-mutate 'late write without its condition' internal/quarantine/archive.go 'Conditions: []metadata.Condition{{Key: key, Revision: kept.revision}}, Puts' 'Conditions: []metadata.Condition{}, Puts' ./internal/quarantine
-mutate 'items go round the guard' internal/role/front.go 'Catalog: options.Catalog, Loads: loads, Sender: front.guard,
+mutate 'planned stop counted as a crash' internal/quarantine/guard.go 'return registered != nil && !registered.Draining' 'return registered != nil || replica != ""' ./internal/quarantine
+mutate 'simultaneous crashes all counted' internal/quarantine/book.go 'broke.Sub(other.Broke).Abs() < together' 'broke.Sub(other.Broke).Abs() < 0' ./internal/quarantine
+mutate 'trial runs by all nodes at once' internal/quarantine/book.go 'return claim.Exclusive || known.reporter == book.node ||' 'return claim.Exclusive || book.node != "" ||' ./internal/quarantine
+mutate 'unconditional quarantine write' internal/quarantine/archive.go 'Conditions: []metadata.Condition{{Key: key, Revision: kept.revision}}, Puts' 'Conditions: []metadata.Condition{}, Puts' ./internal/quarantine
+mutate 'items bypass the guard' internal/role/front.go 'Catalog: options.Catalog, Loads: loads, Sender: front.guard,
 		Decoder' 'Catalog: options.Catalog, Loads: loads, Sender: options.Sender,
 		Decoder' ./cmd/thistlewalk-rollout -run EndsReplicas
-mutate 'requests go round the guard' internal/role/front.go 'Catalog: options.Catalog, Loads: loads, Sender: front.guard, Zone' 'Catalog: options.Catalog, Loads: loads, Sender: options.Sender, Zone' ./cmd/thistlewalk-rollout -run EndsReplicas
-mutate 'a held request is tried elsewhere' internal/forwarding/run.go 'if run.held == nil && (run' 'if (run' ./internal/forwarding
-mutate 'term reads the steady clock' internal/weights/term.go 'return term.until - term.clock.Elapsed()' 'return term.until - steadily.Elapsed()
+mutate 'requests bypass the guard' internal/role/front.go 'Catalog: options.Catalog, Loads: loads, Sender: front.guard, Zone' 'Catalog: options.Catalog, Loads: loads, Sender: options.Sender, Zone' ./cmd/thistlewalk-rollout -run EndsReplicas
+mutate 'held request tried elsewhere' internal/forwarding/run.go 'if run.held == nil && (run' 'if (run' ./internal/forwarding
+mutate 'term on the steady clock' internal/weights/term.go 'return term.until - term.clock.Elapsed()' 'return term.until - steadily.Elapsed()
 }
 
 var steadily = clock.Steady()
 
 func init() {' ./internal/weights
-mutate 'knowledge ages by the steady clock' internal/dissemination/subscriber.go 'if elapsed-subscriber.checkedAt > pauseLimit {
+mutate 'staleness on the steady clock' internal/dissemination/subscriber.go 'if elapsed-subscriber.checkedAt > pauseLimit {
 		return false
 	}' 'if now.Sub(subscriber.checked) > pauseLimit {
 		return false
 	}' ./internal/dissemination
-mutate 'usage is dated by the steady clock' internal/metering/clock.go 'steady: machine.Elapsed()}' 'steady: machine.Elapsed()/2}' ./internal/metering
-mutate "a caller's time by the steady clock" internal/forwarding/run.go 'left := run.end - run.clock.Elapsed()' 'left := run.end - run.clock.Elapsed() + time.Hour' ./internal/forwarding
+mutate 'usage time on the steady clock' internal/metering/clock.go 'steady: machine.Elapsed()}' 'steady: machine.Elapsed()/2}' ./internal/metering
+mutate 'call deadline on the steady clock' internal/forwarding/run.go 'left := run.end - run.clock.Elapsed()' 'left := run.end - run.clock.Elapsed() + time.Hour' ./internal/forwarding
 exit "$missed"
