--- a/cmd/thistlewalk-lab/hollow.go
+++ b/cmd/thistlewalk-lab/hollow.go
@@ -13,7 +13,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/logging"
 )
 
-// errLimitNotMet is returned when a measurement exceeded its limit. The measurement has already been printed.
+// errLimitNotMet is returned when a measurement did not meet a limit. The measurement has already been printed.
 var errLimitNotMet = errors.New("a limit was not met")
 
 func hollowCommand() *cli.Command {
--- a/cmd/thistlewalk-rollout/main.go
+++ b/cmd/thistlewalk-rollout/main.go
@@ -1,5 +1,5 @@
 // Command thistlewalk-rollout runs one node of thistlewalk on the users' platform. A front serves callers and runs batch
-// jobs. An orderer stands for election, and the elected orderer has replicas load the weight versions that trainers publish.
+// jobs. An orderer stands for election, and the elected orderer has replicas load the weight versions that trainers request.
 package main
 
 import (
--- a/cmd/thistlewalk-rollout/restart_test.go
+++ b/cmd/thistlewalk-rollout/restart_test.go
@@ -24,8 +24,9 @@
 	register()
 }
 
-// A replica that restarts under its identifier has loaded no version and accepted no order. The orderer must not go on with the order count of the
-// previous incarnation, which the replica refuses, nor treat the versions loaded by that incarnation as loaded.
+// A replica that restarts under its identifier has loaded no version and accepted no order. The orderer must start a new order count
+// for the replica, which refuses orders with the count of its previous incarnation. The versions that the previous incarnation loaded must not
+// count as loaded.
 func TestReplicasThatStartAgainAreOrderedAnew(t *testing.T) {
 	deployment := newDeployment(t)
 	deployment.put("op/config", fmt.Appendf(nil, configurationDocument, 3))
@@ -58,7 +59,7 @@
 	})
 }
 
-// A registry entry that cannot be decoded registers no replica: the replica of its previous value is not used, and other replicas still are.
+// A registry entry that cannot be decoded must take the replica of its previous value out of use. All other replicas must remain in use.
 func TestSpoiledEntriesNameNoReplica(t *testing.T) {
 	deployment := newDeployment(t)
 	deployment.put("op/config", fmt.Appendf(nil, configurationDocument, 3))
