--- a/internal/lab/bench/api_test.go
+++ b/internal/lab/bench/api_test.go
@@ -22,7 +22,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/settings"
 )
 
-// service starts one node with one engine over loopback and returns the node's base URL.
+// service starts a platform with one engine and one node over loopback, and configures policies and an experiment.
 func service(t *testing.T) (*Site, *RunningNode, *Client) {
 	logger, err := logging.New(io.Discard, "error")
 	must.NoError(t, err)
--- a/internal/lab/bench/caller.go
+++ b/internal/lab/bench/caller.go
@@ -14,37 +14,39 @@
 	"github.com/thistlewalk/thistlewalk/internal/rollout"
 )
 
-// Told is what a caller was told about one sending of a request.
-type Told struct {
+// CallResult is the result of sending a request to a node once.
+type CallResult struct {
 	RequestID  string
 	Repeatable bool
 	Node       string
-	// Code is zero when the connection failed; NotSent and Cut tell how.
-	Code    result.Code
+	// Code is zero if the call returned no result code.
+	Code result.Code
+	// NotSent is true if no connection was established, so the request cannot have reached the node.
 	NotSent bool
-	Cut     bool
-	Text    string
-	Spans   []rollout.Span
-	Sent    time.Time
-	Took    time.Duration
+	// Interrupted is true if the call failed after a connection was established and returned no result code.
+	Interrupted bool
+	Text        string
+	Spans       []rollout.Span
+	Sent        time.Time
+	Took        time.Duration
 }
 
-// Callers send requests and note what they are told. They are safe for concurrent use.
+// Callers sends requests and records their results. It is safe for concurrent use.
 type Callers struct {
 	client     *Client
 	experiment string
 	mu         sync.Mutex
-	told       []Told
+	calls      []CallResult
 	pending    sync.WaitGroup
 }
 
-// NewCallers returns callers of an experiment.
+// NewCallers returns Callers that send requests to an experiment.
 func NewCallers(client *Client, experiment string) *Callers {
 	return &Callers{client: client, experiment: experiment}
 }
 
-// Send sends one request to a node and notes the answer.
-func (callers *Callers) Send(ctx context.Context, node, requestID, prompt string, tokens int, repeatable bool) Told {
+// Send sends a request to a node, and records and returns the result.
+func (callers *Callers) Send(ctx context.Context, node, requestID, prompt string, tokens int, repeatable bool) CallResult {
 	request := gateway.CompletionRequest{Model: callers.experiment, Prompt: prompt, MaxTokens: tokens, Extension: gateway.Extension{
 		RequestID: requestID, Repeatable: &repeatable,
 	}}
@@ -56,36 +58,36 @@
 	}
 	began := time.Now()
 	err := callers.client.Call(ctx, node+"/v1/completions", request, &answer)
-	told := Told{RequestID: requestID, Repeatable: repeatable, Node: node, Sent: began, Took: time.Since(began)}
+	call := CallResult{RequestID: requestID, Repeatable: repeatable, Node: node, Sent: began, Took: time.Since(began)}
 	var failure *result.Error
 	switch {
 	case err == nil && len(answer.Choices) == 1:
-		told.Code = result.Code(answer.Extension.Code)
-		told.Text = answer.Choices[0].Text
-		told.Spans = answer.Extension.Spans
+		call.Code = result.Code(answer.Extension.Code)
+		call.Text = answer.Choices[0].Text
+		call.Spans = answer.Extension.Spans
 	case errors.As(err, &failure):
-		told.Code = failure.Code
-	case errors.Is(err, errNotSent):
-		told.NotSent = true
+		call.Code = failure.Code
+	case errors.Is(err, errNotConnected):
+		call.NotSent = true
 	default:
-		told.Cut = true
+		call.Interrupted = true
 	}
 	callers.mu.Lock()
-	callers.told = append(callers.told, told)
+	callers.calls = append(callers.calls, call)
 	callers.mu.Unlock()
-	return told
+	return call
 }
 
-// Load is a stream of requests.
+// Load describes a stream of requests.
 type Load struct {
 	// PerSecond is the mean rate of arrivals, which follow a Poisson process.
 	PerSecond float64
-	// NotRepeatable is the share of requests that may run once only; each is sent to two nodes at the same time.
+	// NotRepeatable is the fraction of requests that must run at most once. Each is sent to two nodes concurrently.
 	NotRepeatable float64
-	Tokens        int
+	Tokens        int // maximum number of tokens per request
 }
 
-// Run sends requests to the nodes until the context ends, and then waits for the answers.
+// Run sends requests to the nodes until the context ends, and then waits for the pending answers.
 func (callers *Callers) Run(ctx context.Context, load Load, nodes func() []string, random *rand.Rand) {
 	for ctx.Err() == nil {
 		select {
@@ -97,8 +99,8 @@
 	callers.pending.Wait()
 }
 
-// callerPatience bounds the wait for an answer, since one may be lost on the way.
-const callerPatience = 2 * time.Minute
+// answerTimeout limits the wait for an answer, which may be lost.
+const answerTimeout = 2 * time.Minute
 
 func (callers *Callers) dispatch(load Load, nodes []string, random *rand.Rand) {
 	if len(nodes) == 0 {
@@ -117,19 +119,19 @@
 	}
 	for _, target := range targets {
 		callers.pending.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), callerPatience)
+			ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
 			defer cancel()
 			callers.Send(ctx, target, requestID, "request "+requestID, load.Tokens, !once)
 		})
 	}
 }
 
-// Wait waits for all answers.
+// Wait waits for the answers to all requests sent by Run.
 func (callers *Callers) Wait() { callers.pending.Wait() }
 
-// Told returns what callers were told so far.
-func (callers *Callers) Told() []Told {
+// Calls returns the results recorded so far.
+func (callers *Callers) Calls() []CallResult {
 	callers.mu.Lock()
 	defer callers.mu.Unlock()
-	return append([]Told(nil), callers.told...)
+	return append([]CallResult(nil), callers.calls...)
 }
--- a/internal/lab/bench/client.go
+++ b/internal/lab/bench/client.go
@@ -16,22 +16,23 @@
 	"github.com/thistlewalk/thistlewalk/internal/result"
 )
 
-// errCut means that a connection ended in the middle of an answer.
-var errCut = errors.New("the connection ended before the answer was whole")
+// errInterrupted marks a call that failed after its connection was established and before the response was complete.
+var errInterrupted = errors.New("connection closed before the response was complete")
 
-// errNotSent means that no connection was had.
-var errNotSent = errors.New("no connection")
+// errNotConnected marks a call for which no connection was established.
+var errNotConnected = errors.New("no connection established")
 
-// Client calls nodes' HTTP interface.
+// Client calls the HTTP API of nodes.
 type Client struct{ http *http.Client }
 
-// NewClient returns a client.
+// NewClient returns a Client that sends its calls with the given HTTP client.
 func NewClient(client *http.Client) *Client { return &Client{http: client} }
 
 // Close closes idle connections.
 func (client *Client) Close() { client.http.CloseIdleConnections() }
 
-// Call posts a body and decodes the answer. A failure that the node reports is a result.Error.
+// Call posts a body as JSON and decodes the response into answer. It returns a result.Error for a failure that the node
+// reports.
 func (client *Client) Call(ctx context.Context, url string, body, answer any) error {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -47,14 +48,14 @@
 	response, err := client.http.Do(request)
 	if err != nil {
 		if connected.Load() {
-			return errors.Mark(err, errCut)
+			return errors.Mark(err, errInterrupted)
 		}
-		return errors.Mark(err, errNotSent)
+		return errors.Mark(err, errNotConnected)
 	}
 	defer response.Body.Close()
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
-		return errors.Mark(err, errCut)
+		return errors.Mark(err, errInterrupted)
 	}
 	if response.StatusCode == http.StatusOK {
 		return json.Unmarshal(content, answer)
@@ -67,7 +68,7 @@
 	return result.New(result.Code(failure.Error.Number), "%s", failure.Error.Message).WithRetryAfter(wait)
 }
 
-// Execute carries out a script of commands and fails on the first statement that does.
+// Execute runs a script of commands on a node and returns an error for the first statement that failed.
 func (client *Client) Execute(ctx context.Context, api, text string) ([]gateway.StatementResponse, error) {
 	var answer gateway.CommandResponse
 	if err := client.Call(ctx, api+"/v1/commands", gateway.CommandRequest{Text: text}, &answer); err != nil {
--- a/internal/lab/bench/oracle.go
+++ b/internal/lab/bench/oracle.go
@@ -12,7 +12,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/rollout"
 )
 
-// Verdict counts the breaches of what must always hold. Every count but Delivered and Requested must be zero.
+// Verdict counts violations of the system's guarantees. SamplesRequested and SamplesDelivered are totals; every other
+// count must be zero.
 type Verdict struct {
 	SamplesRequested      int `json:"samples_requested"`
 	SamplesDelivered      int `json:"samples_delivered"`
@@ -24,70 +25,72 @@
 	NotRepeatableRanTwice int `json:"not_repeatable_ran_twice"`
 	RequestsCutOff        int `json:"requests_cut_off"`
 	AnswersWrong          int `json:"answers_wrong"`
-	// Examples names the first few breaches.
+	// Examples describes the first few violations.
 	Examples []string `json:"examples,omitempty"`
 }
 
-// Breaches returns the number of breaches.
+// Breaches returns the total number of violations.
 func (verdict Verdict) Breaches() int {
 	return verdict.SamplesLost + verdict.SamplesDuplicated + verdict.SamplesMislabelled + verdict.SamplesOverBound +
 		verdict.NotRunButRan + verdict.NotRepeatableRanTwice + verdict.RequestsCutOff + verdict.AnswersWrong
 }
 
-const keptExamples = 10
+const maxExamples = 10
 
-func (verdict *Verdict) example(format string, arguments ...any) {
-	if len(verdict.Examples) < keptExamples {
+func (verdict *Verdict) addExample(format string, arguments ...any) {
+	if len(verdict.Examples) < maxExamples {
 		verdict.Examples = append(verdict.Examples, fmt.Sprintf(format, arguments...))
 	}
 }
 
-// Evidence is what the oracle judges: the engines' own log against what trainers and callers received.
+// Evidence is the input of the oracle: the log of the engines, and the results that trainers and callers received.
 type Evidence struct {
 	Begun    []platform.Begun
 	Produced []platform.Produced
-	Received []Received
-	// Requested is how many samples trainers asked for in steps that they collected.
+	Received []ReceivedSample
+	// Requested is the number of samples in the steps that trainers collected.
 	Requested int
-	Told      []Told
+	Calls     []CallResult
 	Bound     experiment.Bound
-	// Excuses are when nodes were killed or out of callers' reach, so that their answers may be cut.
-	Excuses []Excuse
+	// Outages lists when nodes were killed or unreachable. Interrupted calls to a node are permitted during its outages.
+	Outages []Outage
 }
 
-// Excuse is a time in which the answers of the node at a base URL may be cut.
-type Excuse struct {
-	Node     string
+// Outage is a period in which a node was killed or unreachable.
+type Outage struct {
+	Node     string // base URL
 	From, To time.Time
 }
 
-// excused reports whether the node was killed or out of reach while a caller waited.
-func (evidence Evidence) excused(told Told) bool {
-	return slices.ContainsFunc(evidence.Excuses, func(excuse Excuse) bool {
-		return excuse.Node == told.Node && !told.Sent.After(excuse.To) && !told.Sent.Add(told.Took).Before(excuse.From)
+// duringOutage reports whether the called node had an outage while the call was pending.
+func (evidence Evidence) duringOutage(call CallResult) bool {
+	return slices.ContainsFunc(evidence.Outages, func(outage Outage) bool {
+		return outage.Node == call.Node && !call.Sent.After(outage.To) && !call.Sent.Add(call.Took).Before(outage.From)
 	})
 }
 
-type place struct {
+// tokenKey identifies a token by request, position and the version that generated it.
+type tokenKey struct {
 	request  string
 	position int
 	version  uint64
 }
 
-// word is one token with its text.
-type word struct {
+// producedToken is a token in the engines' log.
+type producedToken struct {
 	id   uint32
 	text string
 }
 
-// Judge compares the evidence. It uses nothing of the system but the shapes of its answers.
+// Judge checks the received results against the engines' log. It shares no logic with the system under test, only the
+// types of its answers.
 func Judge(evidence Evidence) Verdict {
 	verdict := Verdict{SamplesRequested: evidence.Requested}
-	words := make(map[place]word)
+	tokens := make(map[tokenKey]producedToken)
 	for _, chunk := range evidence.Produced {
 		texts := strings.SplitAfter(strings.TrimPrefix(chunk.Text, " "), " ")
 		for index, token := range chunk.TokenIDs {
-			words[place{chunk.RequestID, chunk.Position + index, chunk.Version}] = word{token, strings.TrimSuffix(texts[index], " ")}
+			tokens[tokenKey{chunk.RequestID, chunk.Position + index, chunk.Version}] = producedToken{token, strings.TrimSuffix(texts[index], " ")}
 		}
 	}
 	begun := make(map[string]int)
@@ -98,12 +101,12 @@
 			firstBegun[begin.RequestID] = begin.At
 		}
 	}
-	judgeSamples(&verdict, evidence, words, firstBegun)
-	judgeAnswers(&verdict, evidence, words, begun)
+	judgeSamples(&verdict, evidence, tokens, firstBegun)
+	judgeAnswers(&verdict, evidence, tokens, begun)
 	return verdict
 }
 
-func judgeSamples(verdict *Verdict, evidence Evidence, words map[place]word, firstBegun map[string]time.Time) {
+func judgeSamples(verdict *Verdict, evidence Evidence, tokens map[tokenKey]producedToken, firstBegun map[string]time.Time) {
 	type slot struct {
 		step string
 		slot uint32
@@ -113,30 +116,30 @@
 		key := slot{received.Step, received.Body.Slot}
 		if seen[key] {
 			verdict.SamplesDuplicated++
-			verdict.example("step %s slot %d came twice", key.step, key.slot)
+			verdict.addExample("step %s slot %d was delivered twice", key.step, key.slot)
 		}
 		seen[key] = true
 		sample := received.Body.Sample
-		if !labelsTrue(sample, words) {
+		if !spansMatch(sample, tokens) {
 			verdict.SamplesMislabelled++
-			verdict.example("step %s slot %d: spans %v are not what engines produced", key.step, key.slot, sample.Spans)
+			verdict.addExample("step %s slot %d: spans %v do not match the engines' log", key.step, key.slot, sample.Spans)
 		}
-		if overBound(received, evidence.Bound, firstBegun) {
+		if exceedsBound(received, evidence.Bound, firstBegun) {
 			verdict.SamplesOverBound++
-			verdict.example("step %s slot %d: spans %v, newest %d", key.step, key.slot, sample.Spans, received.Newest)
+			verdict.addExample("step %s slot %d exceeds the staleness bound: spans %v, newest version %d", key.step, key.slot, sample.Spans, received.NewestKnown)
 		}
 	}
 	verdict.SamplesDelivered = len(seen)
 	verdict.SamplesLost = evidence.Requested - len(seen)
 }
 
-// labelsTrue checks each token against what an engine produced at that place under that version.
-func labelsTrue(sample rollout.Sample, words map[place]word) bool {
+// spansMatch reports whether an engine generated each token of the sample at its position with the version of its span.
+func spansMatch(sample rollout.Sample, tokens map[tokenKey]producedToken) bool {
 	covered := 0
 	for _, span := range sample.Spans {
 		for position := span.First; position <= span.Last; position++ {
-			made, ok := words[place{sample.RequestID, position, span.Version}]
-			if !ok || position >= len(sample.TokenIDs) || made.id != sample.TokenIDs[position] || position != covered {
+			produced, ok := tokens[tokenKey{sample.RequestID, position, span.Version}]
+			if !ok || position >= len(sample.TokenIDs) || produced.id != sample.TokenIDs[position] || position != covered {
 				return false
 			}
 			covered++
@@ -145,71 +148,72 @@
 	return covered == len(sample.TokenIDs) && covered > 0
 }
 
-// overBound checks against the newest version that the trainer surely had when it asked, and the time since an engine
-// began the rollout.
-func overBound(received Received, bound experiment.Bound, firstBegun map[string]time.Time) bool {
+// exceedsBound reports whether a sample exceeded the staleness bound when the trainer sent its fetch. Versions count from
+// the newest version that the trainer had recorded by then. Age counts from when an engine began the rollout, with a
+// tolerance of one second.
+func exceedsBound(received ReceivedSample, bound experiment.Bound, firstBegun map[string]time.Time) bool {
 	oldest := uint64(0)
 	for index, span := range received.Body.Sample.Spans {
 		if index == 0 || span.Version < oldest {
 			oldest = span.Version
 		}
 	}
-	if bound.HasVersions && received.Newest > oldest && received.Newest-oldest > bound.Versions {
+	if bound.HasVersions && received.NewestKnown > oldest && received.NewestKnown-oldest > bound.Versions {
 		return true
 	}
-	return bound.Age > 0 && received.Asked.Sub(firstBegun[received.Body.Sample.RequestID]) > bound.Age+time.Second
+	return bound.Age > 0 && received.FetchSent.Sub(firstBegun[received.Body.Sample.RequestID]) > bound.Age+time.Second
 }
 
-func judgeAnswers(verdict *Verdict, evidence Evidence, words map[place]word, begun map[string]int) {
-	runs := make(map[string]bool) // requests of which some sending may have run
+func judgeAnswers(verdict *Verdict, evidence Evidence, tokens map[tokenKey]producedToken, begun map[string]int) {
+	mayHaveRun := make(map[string]bool) // requests of which at least one call may have run
 	notRun := make(map[string]bool)
-	for _, told := range evidence.Told {
+	for _, call := range evidence.Calls {
 		switch {
-		case told.NotSent:
-		case told.Cut && evidence.excused(told):
-			runs[told.RequestID] = true
-		case told.Cut:
-			runs[told.RequestID] = true
+		case call.NotSent:
+		case call.Interrupted && evidence.duringOutage(call):
+			mayHaveRun[call.RequestID] = true
+		case call.Interrupted:
+			mayHaveRun[call.RequestID] = true
 			verdict.RequestsCutOff++
-			verdict.example("request %s to %s was cut off", told.RequestID, told.Node)
-		case told.Code.Class() == result.ClassDone:
-			runs[told.RequestID] = true
-			if !answerTrue(told, words) {
+			verdict.addExample("request %s to %s was interrupted", call.RequestID, call.Node)
+		case call.Code.Class() == result.ClassDone:
+			mayHaveRun[call.RequestID] = true
+			if !answerMatches(call, tokens) {
 				verdict.AnswersWrong++
-				verdict.example("request %s: the answer is not what engines produced", told.RequestID)
+				verdict.addExample("request %s: the answer does not match the engines' log", call.RequestID)
 			}
-		case told.Code.Class() == result.ClassNotRun:
-			notRun[told.RequestID] = true
+		case call.Code.Class() == result.ClassNotRun:
+			notRun[call.RequestID] = true
 		default:
-			runs[told.RequestID] = true
+			mayHaveRun[call.RequestID] = true
 		}
-		if !told.Repeatable && begun[told.RequestID] > 1 {
+		if !call.Repeatable && begun[call.RequestID] > 1 {
 			verdict.NotRepeatableRanTwice++
-			verdict.example("request %s began %d times", told.RequestID, begun[told.RequestID])
+			verdict.addExample("request %s began %d times", call.RequestID, begun[call.RequestID])
 		}
 	}
 	for requestID := range notRun {
-		if !runs[requestID] && begun[requestID] > 0 {
+		if !mayHaveRun[requestID] && begun[requestID] > 0 {
 			verdict.NotRunButRan++
-			verdict.example("request %s was told not run and ran", requestID)
+			verdict.addExample("request %s was reported as not run, but an engine began it", requestID)
 		}
 	}
 }
 
-// answerTrue rebuilds the text of an answer from the engines' log by its spans.
-func answerTrue(told Told, words map[place]word) bool {
+// answerMatches reports whether the text of an answer equals the text in the engines' log for its spans.
+func answerMatches(call CallResult, tokens map[tokenKey]producedToken) bool {
 	var text strings.Builder
 	next := 0
-	for _, span := range told.Spans {
+	for _, span := range call.Spans {
 		for position := span.First; position <= span.Last; position++ {
-			made, ok := words[place{told.RequestID, position, span.Version}]
+			produced, ok := tokens[tokenKey{call.RequestID, position, span.Version}]
 			if !ok || position != next {
 				return false
 			}
 			text.WriteString(" ")
-			text.WriteString(made.text)
+			text.WriteString(produced.text)
 			next++
 		}
 	}
-	return next > 0 && text.String() == told.Text
+	return next > 0 && text.String() == call.Text
 }
--- a/internal/lab/bench/report.go
+++ b/internal/lab/bench/report.go
@@ -12,26 +12,26 @@
 	"github.com/thistlewalk/thistlewalk/internal/result"
 )
 
-// Percentiles of a distribution.
+// Percentiles summarizes a distribution.
 type Percentiles struct {
 	P50 int64 `json:"p50"`
 	P99 int64 `json:"p99"`
 	Max int64 `json:"max"`
 }
 
-// Outcomes counts what callers were told, by class.
+// Outcomes counts the results of calls by class. NotRepeatableSends counts calls of every class.
 type Outcomes struct {
-	Done      int `json:"done"`
-	NotRun    int `json:"not_run"`
-	Unknown   int `json:"unknown"`
-	Conflict  int `json:"conflict"`
-	Other     int `json:"other"`
-	NotSent   int `json:"not_sent"`
-	NotWhole  int `json:"not_whole"`
-	OnceSends int `json:"not_repeatable_sends"`
+	Done               int `json:"done"`
+	NotRun             int `json:"not_run"`
+	Unknown            int `json:"unknown"`
+	Conflict           int `json:"conflict"`
+	Other              int `json:"other"`
+	NotSent            int `json:"not_sent"`
+	NotWhole           int `json:"not_whole"`
+	NotRepeatableSends int `json:"not_repeatable_sends"`
 }
 
-// Report is report.json.
+// Report is the content of report.json.
 type Report struct {
 	Seed uint64 `json:"seed"`
 	Verdict
@@ -53,9 +53,9 @@
 	reportDigits     = 3
 )
 
-// NewReport judges the evidence and counts.
+// NewReport judges the evidence and computes the statistics of the report.
 func NewReport(seed uint64, evidence Evidence) Report {
-	report := Report{Seed: seed, Verdict: Judge(evidence), Requests: len(evidence.Told)}
+	report := Report{Seed: seed, Verdict: Judge(evidence), Requests: len(evidence.Calls)}
 	staleness := hdrhistogram.New(1, maximumStaleness, reportDigits)
 	for _, received := range evidence.Received {
 		_ = staleness.RecordValue(int64(received.Body.StalenessVersions))
@@ -70,24 +70,24 @@
 	for _, chunk := range evidence.Produced {
 		report.Tokens += len(chunk.TokenIDs)
 	}
-	for _, told := range evidence.Told {
-		report.Outcomes.Count(told)
+	for _, call := range evidence.Calls {
+		report.Outcomes.Count(call)
 	}
 	return report
 }
 
-// Count adds what a caller was told.
-func (outcomes *Outcomes) Count(told Told) {
-	if !told.Repeatable {
-		outcomes.OnceSends++
+// Count adds the result of a call.
+func (outcomes *Outcomes) Count(call CallResult) {
+	if !call.Repeatable {
+		outcomes.NotRepeatableSends++
 	}
 	switch {
-	case told.NotSent:
+	case call.NotSent:
 		outcomes.NotSent++
-	case told.Cut:
+	case call.Interrupted:
 		outcomes.NotWhole++
 	default:
-		outcomes.countCode(told.Code)
+		outcomes.countCode(call.Code)
 	}
 }
 
@@ -106,15 +106,16 @@
 	}
 }
 
-// NoteDocument takes the revision from the stored configuration.
-func (report *Report) NoteDocument(content []byte) {
+// SetConfigRevision sets ConfigRevision from the stored configuration document. It ignores a document that cannot be
+// decoded.
+func (report *Report) SetConfigRevision(content []byte) {
 	var document experiment.Document
 	if json.Unmarshal(content, &document) == nil {
 		report.ConfigRevision = document.Revision
 	}
 }
 
-// WriteWords writes the report for people.
+// WriteWords writes a readable summary of the report.
 func (report Report) WriteWords(output io.Writer) {
 	fmt.Fprintf(output, "\nStep: %d of %d samples delivered in %.1f s; %d went on at a second engine, %d span more than one version.\n",
 		report.SamplesDelivered, report.SamplesRequested, report.StepSeconds, report.ResumedSamples, report.MixedSamples)
--- a/internal/lab/bench/site.go
+++ b/internal/lab/bench/site.go
@@ -1,5 +1,5 @@
-// Package bench assembles stand-ins of the platform and nodes in one process, drives trainers and callers against them,
-// and has an oracle judge what they received.
+// Package bench runs simulated platform services and nodes in one process, generates load as trainers and callers, and
+// checks the results with an oracle.
 package bench
 
 import (
@@ -20,27 +20,27 @@
 	"github.com/thistlewalk/thistlewalk/internal/settings"
 )
 
-// SiteSettings describe the platform of an experiment.
+// SiteSettings configures a simulated platform.
 type SiteSettings struct {
 	Zones []Zone
-	// KeyValuePerSecond and WeightsPerSecond are the rate limits of the services.
+	// KeyValuePerSecond and WeightsPerSecond are the rate limits of the services, in requests per second.
 	KeyValuePerSecond float64
 	WeightsPerSecond  float64
-	// MachineLag is the lag of the machine list.
+	// MachineLag is the delay until a change of the machine list becomes visible.
 	MachineLag time.Duration
 	ScoreDelay time.Duration
-	// Engine is the model of every engine; its ID is set by the site.
+	// Engine configures every engine. The site sets the ID.
 	Engine platform.EngineSettings
 }
 
-// Zone is a zone with its engines.
+// Zone is a zone of the platform.
 type Zone struct {
 	Name    string
 	Region  string
-	Engines int
+	Engines int // number of engines to start in the zone
 }
 
-// Site is the platform of an experiment, running.
+// Site is a running simulated platform.
 type Site struct {
 	KeyValue *platform.KeyValue
 	Machines *platform.MachineList
@@ -61,7 +61,7 @@
 	keyValueAddress, machinesAddress, weightsAddress, scorerAddress string
 }
 
-// RunningEngine is one engine with its server.
+// RunningEngine is a simulated engine with its HTTP server.
 type RunningEngine struct {
 	ID      string
 	Zone    Zone
@@ -70,10 +70,10 @@
 	server  *http.Server
 }
 
-// Addresses gives an unused address in a zone.
+// Addresses returns an unused address in a zone. Platform services use the zone name "platform".
 type Addresses func(zone string) (string, error)
 
-// LoopbackAddresses gives free ports of the loopback address.
+// LoopbackAddresses returns the loopback address with a free port.
 func LoopbackAddresses(string) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,12 +83,12 @@
 	return listener.Addr().String(), nil
 }
 
-// NewSite starts the services and engines.
-func NewSite(site SiteSettings, through network.Network, addresses Addresses, logger *log.Logger) (*Site, error) {
+// NewSite starts the platform services and the engines.
+func NewSite(site SiteSettings, transport network.Network, addresses Addresses, logger *log.Logger) (*Site, error) {
 	running := &Site{
 		KeyValue: platform.NewKeyValue(site.KeyValuePerSecond), Machines: platform.NewMachineList(site.MachineLag),
 		Weights: platform.NewWeightStore(site.WeightsPerSecond), Scorer: platform.NewScorer(site.ScoreDelay), Truth: platform.NewTruth(),
-		network: through, addresses: addresses, settings: site, logger: logger,
+		network: transport, addresses: addresses, settings: site, logger: logger,
 	}
 	for _, service := range []struct {
 		address *string
@@ -97,7 +97,7 @@
 		{&running.keyValueAddress, running.KeyValue.Handler()}, {&running.machinesAddress, running.Machines.Handler()},
 		{&running.scorerAddress, running.Scorer.Handler()}, {&running.weightsAddress, running.Weights.Handler()},
 	} {
-		address, _, err := running.serve("platform", service.handler)
+		address, _, err := running.startServer("platform", service.handler)
 		if err != nil {
 			running.Close()
 			return nil, err
@@ -115,8 +115,8 @@
 	return running, nil
 }
 
-// serve starts a server on a new address.
-func (site *Site) serve(zone string, handler http.Handler) (string, *http.Server, error) {
+// startServer starts an HTTP server on a new address in the zone.
+func (site *Site) startServer(zone string, handler http.Handler) (string, *http.Server, error) {
 	address, err := site.addresses(zone)
 	if err != nil {
 		return "", nil, err
@@ -133,13 +133,13 @@
 	return address, server, nil
 }
 
-// Serve serves a further stand-in on an address of its own, which it returns.
+// Serve starts a server for an additional platform service and returns its address.
 func (site *Site) Serve(handler http.Handler) (string, error) {
-	address, _, err := site.serve("platform", handler)
+	address, _, err := site.startServer("platform", handler)
 	return address, err
 }
 
-// AddEngine starts one more engine and puts it on the machine list.
+// AddEngine starts an engine and registers it in the machine list.
 func (site *Site) AddEngine(zone Zone) (*RunningEngine, error) {
 	site.mu.Lock()
 	model := site.settings.Engine
@@ -150,7 +150,7 @@
 	started.Model = platform.NewEngine(model, site.Truth, func(ctx context.Context, policy string, version uint64) error {
 		return site.fetchWeights(ctx, client, policy, version)
 	})
-	address, server, err := site.serve(zone.Name, started.Model.Handler())
+	address, server, err := site.startServer(zone.Name, started.Model.Handler())
 	if err != nil {
 		return nil, err
 	}
@@ -179,20 +179,20 @@
 	return nil
 }
 
-// Engines returns the engines that were started, dead ones included.
+// Engines returns all engines that were started, including crashed ones.
 func (site *Site) Engines() []*RunningEngine {
 	site.mu.Lock()
 	defer site.mu.Unlock()
 	return append([]*RunningEngine(nil), site.engines...)
 }
 
-// Crash kills an engine: its streams break and its address refuses.
+// Crash kills the engine. Its streams are aborted and its address refuses connections.
 func (engine *RunningEngine) Crash() {
 	_ = engine.server.Close()
 	engine.Model.Close()
 }
 
-// Close stops everything.
+// Close stops the engines and all servers, and closes idle connections.
 func (site *Site) Close() {
 	site.mu.Lock()
 	servers, engines, clients := site.servers, site.engines, site.clients
@@ -208,14 +208,15 @@
 	}
 }
 
-// Platform returns the settings that point a node at this site.
+// Platform returns the settings with which a node uses this platform.
 func (site *Site) Platform(timeout time.Duration) settings.Platform {
 	return settings.Platform{KeyValue: "http://" + site.keyValueAddress, Machines: "http://" + site.machinesAddress,
 		Scorer: "http://" + site.scorerAddress, Timeout: timeout}
 }
 
-// StartNode starts a node in a zone. adjust may change its settings.
-func (site *Site) StartNode(id string, zone Zone, dataFolder string, networks node.Networks, logger *log.Logger, life uint64,
+// StartNode starts a node in a zone and registers it in the machine list. If adjust is not nil, it may change the settings
+// before the start.
+func (site *Site) StartNode(id string, zone Zone, dataFolder string, networks node.Networks, logger *log.Logger, incarnation uint64,
 	adjust func(*settings.Settings)) (*RunningNode, error) {
 	config := settings.Defaults()
 	config.Platform = site.Platform(config.Platform.Timeout)
@@ -227,11 +228,11 @@
 	if config.Node.Control, err = site.addresses(zone.Name); err != nil {
 		return nil, err
 	}
-	config.Security.AllowPlain = true // the addresses of a network in memory are not loopback
+	config.Security.AllowPlain = true // addresses of the in-memory network are not loopback addresses
 	if adjust != nil {
 		adjust(&config)
 	}
-	started, err := node.New(node.Options{Settings: config, Networks: networks, Logger: logger, Life: life, Seed: life})
+	started, err := node.New(node.Options{Settings: config, Networks: networks, Logger: logger, Life: incarnation, Seed: incarnation})
 	if err != nil {
 		return nil, err
 	}
@@ -240,11 +241,11 @@
 	return &RunningNode{Node: started, Settings: config}, nil
 }
 
-// RunningNode is a node with the settings it was started with.
+// RunningNode is a node with the settings that it was started with.
 type RunningNode struct {
 	*node.Node
 	Settings settings.Settings
 }
 
-// API returns the node's base URL for callers.
+// API returns the base URL of the node's HTTP API.
 func (running *RunningNode) API() string { return "http://" + running.Settings.Node.API }
--- a/internal/lab/bench/trainer.go
+++ b/internal/lab/bench/trainer.go
@@ -11,64 +11,66 @@
 	"github.com/thistlewalk/thistlewalk/internal/step"
 )
 
-// Received is one sample as a trainer took it.
-type Received struct {
+// ReceivedSample is a sample that a trainer fetched.
+type ReceivedSample struct {
 	Step string
 	Body gateway.SampleBody
-	// Asked is when the fetch that brought it was sent, Newest the greatest version of its policy that the trainer had
-	// then published or was told of.
-	Asked  time.Time
-	Newest uint64
+	// FetchSent is when the trainer sent the fetch that returned the sample.
+	FetchSent time.Time
+	// NewestKnown is the greatest version of the policy that the trainer had recorded by then.
+	NewestKnown uint64
 }
 
-// Trainer asks for steps and takes their samples. It is safe for concurrent use.
+// Trainer submits steps and fetches their samples. It is safe for concurrent use.
 type Trainer struct {
 	client *Client
-	nodes  func() []string // base URLs, the preferred first
+	nodes  func() []string // base URLs in order of preference
 
-	mu        sync.Mutex
-	published map[string]uint64
-	received  []Received
-	requested int
-	progress  func(delivered, slots int)
+	mu             sync.Mutex
+	newestVersions map[string]uint64 // greatest recorded version, by policy
+	received       []ReceivedSample
+	requested      int
+	progress       func(delivered, slots int)
 }
 
-// NewTrainer returns a trainer. nodes gives the base URLs to call.
+// NewTrainer returns a trainer. nodes returns the base URLs to call, in order of preference. If progress is not nil, the
+// trainer calls it after each fetch that returned samples.
 func NewTrainer(client *Client, nodes func() []string, progress func(delivered, slots int)) *Trainer {
-	return &Trainer{client: client, nodes: nodes, published: make(map[string]uint64), progress: progress}
+	return &Trainer{client: client, nodes: nodes, newestVersions: make(map[string]uint64), progress: progress}
 }
 
-const callPause = 50 * time.Millisecond
+const retryInterval = 50 * time.Millisecond
 
-// call posts to one node after the other until one answers with a result that is not "not run".
+// call posts the body to one node after the other, and retries until a call succeeds, fails permanently or the context
+// ends.
 func (trainer *Trainer) call(ctx context.Context, path string, body, answer any) error {
 	for {
 		var last error
 		for _, node := range trainer.nodes() {
 			last = trainer.try(ctx, node+path, body, answer)
-			if last == nil || final(last) {
+			if last == nil || permanent(last) {
 				return last
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return last
-		case <-time.After(callPause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// tryLimit bounds one call, so that an answer that was lost on the way is asked for again.
-const tryLimit = 15 * time.Second
+// attemptTimeout limits one call, so that a call whose answer was lost is retried.
+const attemptTimeout = 15 * time.Second
 
 func (trainer *Trainer) try(ctx context.Context, url string, body, answer any) error {
-	ctx, cancel := context.WithTimeout(ctx, tryLimit)
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	return trainer.client.Call(ctx, url, body, answer)
 }
 
-// final reports whether asking again cannot help. All of a trainer's calls can be repeated.
-func final(err error) bool {
+// permanent reports whether a retry cannot succeed. All calls of a trainer are idempotent, so any other error is retried.
+func permanent(err error) bool {
 	switch result.CodeOf(err).Class() {
 	case result.ClassInvalid, result.ClassConflict:
 		return true
@@ -77,7 +79,7 @@
 	}
 }
 
-// Submit asks for a step.
+// Submit submits a step.
 func (trainer *Trainer) Submit(ctx context.Context, request gateway.StepRequest) error {
 	var answer gateway.StepResponse
 	if err := trainer.call(ctx, "/v1/steps", request, &answer); err != nil {
@@ -89,29 +91,29 @@
 	return nil
 }
 
-// Publish announces a version.
+// Publish publishes a version and records it.
 func (trainer *Trainer) Publish(ctx context.Context, policy string, version uint64) error {
 	var answer gateway.RevisionResponse
 	body := gateway.PublishRequest{Version: version, CommandID: fmt.Sprintf("publish-%s-%d", policy, version)}
 	if err := trainer.call(ctx, "/v1/policies/"+policy+"/versions", body, &answer); err != nil {
 		return err
 	}
-	trainer.NoteVersion(policy, version)
+	trainer.RecordVersion(policy, version)
 	return nil
 }
 
-// NoteVersion makes the trainer name the version in its fetches.
-func (trainer *Trainer) NoteVersion(policy string, version uint64) {
+// RecordVersion records a version of a policy. The trainer's fetches state the greatest recorded version.
+func (trainer *Trainer) RecordVersion(policy string, version uint64) {
 	trainer.mu.Lock()
 	defer trainer.mu.Unlock()
-	trainer.published[policy] = max(trainer.published[policy], version)
+	trainer.newestVersions[policy] = max(trainer.newestVersions[policy], version)
 }
 
 func (trainer *Trainer) versions() map[string]uint64 {
 	trainer.mu.Lock()
 	defer trainer.mu.Unlock()
-	versions := make(map[string]uint64, len(trainer.published))
-	for policy, version := range trainer.published {
+	versions := make(map[string]uint64, len(trainer.newestVersions))
+	for policy, version := range trainer.newestVersions {
 		versions[policy] = version
 	}
 	return versions
@@ -122,19 +124,19 @@
 	fetchWait    = 2 * time.Second
 )
 
-// Collect takes a step's samples until it is whole.
+// Collect fetches and acknowledges the samples of a step until all are delivered or the step is no longer open.
 func (trainer *Trainer) Collect(ctx context.Context, stepID string) error {
 	cursor, number := uint64(0), uint64(0)
 	for {
 		number++
-		asked := time.Now()
+		fetchSent := time.Now()
 		versions := trainer.versions()
 		var answer gateway.FetchResponse
 		err := trainer.call(ctx, "/v1/steps/"+stepID+"/fetch", gateway.FetchRequest{
 			Cursor: cursor, Fetch: number, Maximum: fetchMaximum, WaitMilliseconds: fetchWait.Milliseconds(), Versions: versions,
 		}, &answer)
 		if result.CodeOf(err) == result.ConflictFetch {
-			continue // an answer was lost: ask with a greater number
+			continue // an answer was lost: retry with a greater fetch number
 		}
 		if err != nil {
 			return err
@@ -145,7 +147,7 @@
 		if len(answer.Samples) == 0 {
 			continue
 		}
-		trainer.take(stepID, answer, asked, versions)
+		trainer.recordSamples(stepID, answer, fetchSent, versions)
 		if err := trainer.call(ctx, "/v1/steps/"+stepID+"/acknowledge", gateway.AcknowledgeRequest{Cursor: cursor}, new(struct{})); err != nil {
 			return err
 		}
@@ -156,20 +158,20 @@
 	}
 }
 
-func (trainer *Trainer) take(stepID string, answer gateway.FetchResponse, asked time.Time, versions map[string]uint64) {
+func (trainer *Trainer) recordSamples(stepID string, answer gateway.FetchResponse, fetchSent time.Time, versions map[string]uint64) {
 	trainer.mu.Lock()
 	defer trainer.mu.Unlock()
 	for _, sample := range answer.Samples {
-		trainer.received = append(trainer.received, Received{Step: stepID, Body: sample, Asked: asked, Newest: versions[sample.Sample.Policy]})
+		trainer.received = append(trainer.received, ReceivedSample{Step: stepID, Body: sample, FetchSent: fetchSent, NewestKnown: versions[sample.Sample.Policy]})
 	}
 	if trainer.progress != nil {
 		trainer.progress(answer.Delivered, answer.Slots)
 	}
 }
 
-// Received returns the samples taken, and how many were asked for.
-func (trainer *Trainer) Received() ([]Received, int) {
+// Received returns the samples that were fetched, and the number of samples that the submitted steps request.
+func (trainer *Trainer) Received() ([]ReceivedSample, int) {
 	trainer.mu.Lock()
 	defer trainer.mu.Unlock()
-	return append([]Received(nil), trainer.received...), trainer.requested
+	return append([]ReceivedSample(nil), trainer.received...), trainer.requested
 }
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -232,7 +232,7 @@
 	if _, err := demo.client.Execute(ctx, demo.api()[0], swapCommands); err != nil {
 		demo.event("swap failed: %v", err)
 	} else {
-		demo.trainer.NoteVersion(firstPolicy, 2)
+		demo.trainer.RecordVersion(firstPolicy, 2)
 		demo.event("policy %s swapped to version 2", firstPolicy)
 	}
 	pause(ctx, 600*time.Millisecond)
@@ -261,9 +261,9 @@
 
 func (demo *run) report(stepTime, total time.Duration) bench.Report {
 	received, requested := demo.trainer.Received()
-	told := demo.callers.Told()
+	told := demo.callers.Calls()
 	evidence := bench.Evidence{
-		Begun: demo.site.Truth.Begun(), Produced: demo.site.Truth.Produced(), Received: received, Requested: requested, Told: told,
+		Begun: demo.site.Truth.Begun(), Produced: demo.site.Truth.Produced(), Received: received, Requested: requested, Calls: told,
 		Bound: experiment.Bound{HasVersions: true, Versions: boundVersions},
 	}
 	report := bench.NewReport(demo.options.Seed, evidence)
@@ -271,7 +271,7 @@
 	report.TrainerIdleSeconds = stepTime.Seconds()
 	report.Seconds = total.Seconds()
 	if item, ok := demo.site.KeyValue.Item("configuration/document"); ok {
-		report.NoteDocument(item.Value)
+		report.SetConfigRevision(item.Value)
 	}
 	report.Events = demo.events
 	return report
--- a/internal/lab/scenario/run.go
+++ b/internal/lab/scenario/run.go
@@ -63,7 +63,7 @@
 	hosts    map[string]int
 	nodes    []*bench.RunningNode
 	down     map[int]bool
-	excuses  []bench.Excuse
+	excuses  []bench.Outage
 	timeline Timeline
 	version  uint64
 }
@@ -350,7 +350,7 @@
 func (scenario *run) judge(result *Result) {
 	received, requested := scenario.trainer.Received()
 	evidence := bench.Evidence{Begun: scenario.site.Truth.Begun(), Produced: scenario.site.Truth.Produced(), Received: received, Requested: requested,
-		Told: scenario.callers.Told(), Bound: experiment.Bound{HasVersions: true, Versions: scenario.spec.Trainer.BoundVersions}, Excuses: scenario.excuses}
+		Calls: scenario.callers.Calls(), Bound: experiment.Bound{HasVersions: true, Versions: scenario.spec.Trainer.BoundVersions}, Outages: scenario.excuses}
 	result.Report = bench.NewReport(scenario.seed, evidence)
 	result.Report.Seconds = result.Modelled.Seconds()
 	for index := range result.Idle {
@@ -358,7 +358,7 @@
 		result.Report.StepSeconds += result.Step[index].Seconds() / float64(len(result.Step))
 	}
 	if item, ok := scenario.site.KeyValue.Item("configuration/document"); ok {
-		result.Report.NoteDocument(item.Value)
+		result.Report.SetConfigRevision(item.Value)
 	}
 	for _, sample := range received {
 		result.Staleness = append(result.Staleness, sample.Body.StalenessVersions)
--- a/internal/lab/scenario/timeline.go
+++ b/internal/lab/scenario/timeline.go
@@ -116,7 +116,7 @@
 func (scenario *run) excuse(running *bench.RunningNode, since time.Time) {
 	scenario.mu.Lock()
 	defer scenario.mu.Unlock()
-	scenario.excuses = append(scenario.excuses, bench.Excuse{Node: running.API(), From: since, To: time.Now()})
+	scenario.excuses = append(scenario.excuses, bench.Outage{Node: running.API(), From: since, To: time.Now()})
 }
 
 // endNode takes a node away for good.
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -62,7 +62,7 @@
 	nextCut  int
 	version  uint64
 	lives    uint64
-	excuses  []bench.Excuse
+	excuses  []bench.Outage
 	breaches []string
 	commands []CommandRecord
 	events   sync.WaitGroup
@@ -227,7 +227,7 @@
 	for _, candidate := range world.nodes {
 		if concerned(candidate) {
 			node := "http://" + netip.AddrPortFrom(candidate.host, addressPort+1).String()
-			world.excuses = append(world.excuses, bench.Excuse{Node: node, From: since, To: time.Now()})
+			world.excuses = append(world.excuses, bench.Outage{Node: node, From: since, To: time.Now()})
 		}
 	}
 }
@@ -357,12 +357,12 @@
 
 func (world *World) judge(modelled time.Duration) Outcome {
 	received, requested := world.trainer.Received()
-	told := world.callers.Told()
+	told := world.callers.Calls()
 	world.mu.Lock()
 	defer world.mu.Unlock()
 	evidence := bench.Evidence{
-		Begun: world.site.Truth.Begun(), Produced: world.site.Truth.Produced(), Received: received, Requested: requested, Told: told,
-		Bound: experiment.Bound{HasVersions: true, Versions: uint64(world.plan.Bound)}, Excuses: world.excuses,
+		Begun: world.site.Truth.Begun(), Produced: world.site.Truth.Produced(), Received: received, Requested: requested, Calls: told,
+		Bound: experiment.Bound{HasVersions: true, Versions: uint64(world.plan.Bound)}, Outages: world.excuses,
 	}
 	outcome := Outcome{Verdict: bench.Judge(evidence), Breaches: world.breaches, Modelled: modelled, Commands: world.commands}
 	for _, answer := range told {
