--- a/internal/lab/simulation/bubble.go
+++ b/internal/lab/simulation/bubble.go
@@ -10,7 +10,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/lab/bubble"
 )
 
-// InBubble runs a plan in a bubble of modelled time.
+// InBubble runs a plan in a testing/synctest bubble, which has its own virtual clock.
 func InBubble(t *testing.T, plan Plan, logger *log.Logger) (Outcome, error) {
 	var outcome Outcome
 	err := bubble.Run(t, func(folder string) error {
@@ -24,10 +24,10 @@
 	return outcome, err
 }
 
-// Example returns the plan of a seed: always the same one.
+// Example returns the plan of a seed. The same seed always gives the same plan.
 func Example(seed int) Plan { return rapid.Custom(Draw).Example(seed) }
 
-// Shorten removes events from a failing plan as long as it goes on failing, and returns the shortest found.
+// Shorten removes events one at a time from a failing plan while the plan still fails, and returns the shortest plan found.
 func Shorten(plan Plan, fails func(Plan) bool) Plan {
 	for index := 0; index < len(plan.Events); {
 		shorter := plan
--- a/internal/lab/simulation/events.go
+++ b/internal/lab/simulation/events.go
@@ -17,13 +17,13 @@
 	"github.com/thistlewalk/thistlewalk/internal/result"
 )
 
-// happen does one event and returns when it is over.
-func (world *World) happen(ctx context.Context, event Event) {
+// applyEvent executes an event and returns when its failure has ended.
+func (world *World) applyEvent(ctx context.Context, event Event) {
 	switch event.Kind {
 	case CrashNode, LoseNode, StopNode:
-		world.downNode(ctx, event)
+		world.restartNode(ctx, event)
 	case CutNode, CutZone, CutService:
-		world.cutFor(event)
+		world.partitionFor(event)
 	case CrashEngine, LeaveEngine:
 		world.replaceEngine(event)
 	case KeepVersion:
@@ -35,7 +35,7 @@
 	case ServiceDown:
 		world.serviceFault(event, platform.KeyValueFaults{Down: true})
 	case ServiceSlow:
-		world.serviceFault(event, platform.KeyValueFaults{Delay: event.Length / slowShare})
+		world.serviceFault(event, platform.KeyValueFaults{Delay: event.Length / delayDivisor})
 	case LoseAnswers:
 		world.serviceFault(event, platform.KeyValueFaults{LoseAnswers: 1 + event.Target%3})
 	case ScorerDown:
@@ -45,47 +45,49 @@
 	case Publish:
 		world.publish(ctx)
 	case RaceOperators:
-		world.race(ctx, event)
+		world.raceOperators(ctx, event)
 	case CallOnce:
 		world.callOnce(ctx, event)
 	case CallRepeatable:
-		world.call(ctx, event.Target, world.identifier(), true)
+		world.call(ctx, event.Target, world.newRequestID(), true)
 	case CallBurst:
-		for index := range burst {
-			world.events.Go(func() { world.call(ctx, index, world.identifier(), true) })
+		for index := range burstSize {
+			world.events.Go(func() { world.call(ctx, index, world.newRequestID(), true) })
 		}
 	}
 }
 
 const (
-	burst = 30
-	// slowShare makes the service's delay from an event's length.
-	slowShare = 10
-	// repeatAfter is when a not-repeatable request is sent again.
-	repeatAfter = 4 * time.Second
+	burstSize = 30
+	// delayDivisor is the ratio of an event's length to the delay that a slow service adds to each call.
+	delayDivisor = 10
+	// resendDelay is the delay before a not-repeatable request is sent again.
+	resendDelay = 4 * time.Second
 )
 
-// claimNode marks a running node as going down; nil when it is already or when it would be the third of four.
-func (world *World) claimNode(target int) *simulated {
+// reserveNode marks a node as restarting. It returns nil if the node is already restarting or if fewer than two nodes
+// would stay up.
+func (world *World) reserveNode(target int) *simulatedNode {
 	world.mu.Lock()
 	defer world.mu.Unlock()
 	down := 0
 	for _, candidate := range world.nodes {
-		if candidate.busy {
+		if candidate.restarting {
 			down++
 		}
 	}
 	chosen := world.nodes[target%len(world.nodes)]
-	if chosen.busy || down >= nodeCount-2 {
+	if chosen.restarting || down >= nodeCount-2 {
 		return nil
 	}
-	chosen.busy = true
+	chosen.restarting = true
 	return chosen
 }
 
-// downNode takes a node down and starts it again after a while.
-func (world *World) downNode(ctx context.Context, event Event) {
-	chosen := world.claimNode(event.Target)
+// restartNode kills or stops a node and starts it again after the event's length. A LoseNode event also erases the node's
+// disk if canLoseDisk permits it.
+func (world *World) restartNode(ctx context.Context, event Event) {
+	chosen := world.reserveNode(event.Target)
 	if chosen == nil {
 		return
 	}
@@ -95,38 +97,40 @@
 	} else {
 		since := time.Now()
 		running.Kill()
-		world.excuse(since, func(candidate *simulated) bool { return candidate == chosen })
+		world.recordOutage(since, func(candidate *simulatedNode) bool { return candidate == chosen })
 	}
 	world.mu.Lock()
 	chosen.running = nil
 	world.mu.Unlock()
 	time.Sleep(event.Length)
-	if event.Kind == LoseNode && world.diskMayGo() {
+	if event.Kind == LoseNode && world.canLoseDisk() {
 		_ = os.RemoveAll(chosen.folder)
-		chosen.fresh++
-		chosen.folder = filepath.Join(world.folder, fmt.Sprintf("%s-fresh-%d", chosen.id, chosen.fresh))
+		chosen.diskLosses++
+		chosen.folder = filepath.Join(world.folder, fmt.Sprintf("%s-fresh-%d", chosen.id, chosen.diskLosses))
 	}
 	if err := world.start(chosen); err != nil {
-		world.breach("%s did not start again: %v", chosen.id, err)
+		world.recordBreach("%s did not restart: %v", chosen.id, err)
 	}
 	world.mu.Lock()
-	chosen.busy = false
+	chosen.restarting = false
 	world.mu.Unlock()
 }
 
-// diskMayGo allows one lost disk a history: a sample is on two disks of three.
-func (world *World) diskMayGo() bool {
+// canLoseDisk reports whether no disk has been lost in this run. Each sample is guaranteed to be on two disks, so a run may
+// lose one of them.
+func (world *World) canLoseDisk() bool {
 	world.mu.Lock()
 	defer world.mu.Unlock()
 	lost := 0
 	for _, candidate := range world.nodes {
-		lost += candidate.fresh
+		lost += candidate.diskLosses
 	}
 	return lost == 0
 }
 
-func (world *World) cutFor(event Event) {
-	added := cut{}
+// partitionFor partitions the network for the event's length.
+func (world *World) partitionFor(event Event) {
+	added := partition{}
 	switch event.Kind {
 	case CutZone:
 		zone := byte(event.Target % zoneCount)
@@ -136,14 +140,14 @@
 		added.inside = func(host netip.Addr) bool { return host == chosen }
 	}
 	if event.Kind == CutService {
-		service := outside(serviceHost)
+		service := externalAddress(serviceHost)
 		added.only = func(host netip.Addr) bool { return host == service }
 	}
 	since := time.Now()
-	number := world.beginCut(added)
+	number := world.addPartition(added)
 	time.Sleep(event.Length)
-	world.endCut(number)
-	world.excuse(since, func(candidate *simulated) bool { return event.Kind != CutService && added.inside(candidate.host) })
+	world.removePartition(number)
+	world.recordOutage(since, func(candidate *simulatedNode) bool { return event.Kind != CutService && added.inside(candidate.host) })
 }
 
 func (world *World) engine(target int) *bench.RunningEngine {
@@ -159,27 +163,27 @@
 	chosen.Model.SetFaults(platform.EngineFaults{})
 }
 
-// replaceEngine crashes an engine or has it leave, and starts another in its zone.
+// replaceEngine starts a new engine in the zone of an existing engine, which then crashes or leaves.
 func (world *World) replaceEngine(event Event) {
 	world.mu.Lock()
 	index := event.Target % len(world.engines)
-	gone := world.engines[index]
+	replaced := world.engines[index]
 	world.mu.Unlock()
-	added, err := world.site.AddEngine(gone.Zone)
+	added, err := world.site.AddEngine(replaced.Zone)
 	if err != nil {
-		world.breach("no new engine: %v", err)
+		world.recordBreach("replacement engine did not start: %v", err)
 		return
 	}
 	world.mu.Lock()
 	world.engines[index] = added
 	world.mu.Unlock()
 	if event.Kind == CrashEngine {
-		gone.Crash()
-		world.site.Machines.Remove(gone.ID)
+		replaced.Crash()
+		world.site.Machines.Remove(replaced.ID)
 		return
 	}
-	gone.Model.Leave()
-	leaving := machines.Machine{ID: gone.ID, Address: gone.Address, Zone: gone.Zone.Name, Region: gone.Zone.Region, Role: machines.RoleEngine, Leaving: true}
+	replaced.Model.Leave()
+	leaving := machines.Machine{ID: replaced.ID, Address: replaced.Address, Zone: replaced.Zone.Name, Region: replaced.Zone.Region, Role: machines.RoleEngine, Leaving: true}
 	world.site.Machines.Put(leaving)
 }
 
@@ -189,13 +193,13 @@
 	world.site.KeyValue.SetFaults(platform.KeyValueFaults{})
 }
 
-// publish has the trainer publish a version, and an operator swap to it.
+// publish publishes the next version as the trainer and swaps to it as an operator.
 func (world *World) publish(ctx context.Context) {
 	world.mu.Lock()
 	world.version++
 	version := world.version
 	world.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, prepareLimit)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	if err := world.trainer.Publish(ctx, policyName, version); err != nil && result.CodeOf(err) != result.ConflictRevision {
 		return
@@ -203,48 +207,48 @@
 	world.command(ctx, 0, fmt.Sprintf("swap policy %s to %d", policyName, version))
 }
 
-// swapToNewest has an operator swap to the newest version until it is done: swaps may have failed before.
+// swapToNewest swaps to the newest version and retries until the swap succeeds, since earlier swaps may have failed.
 func (world *World) swapToNewest(ctx context.Context) {
 	world.mu.Lock()
 	text := fmt.Sprintf("swap policy %s to %d", policyName, world.version)
 	world.mu.Unlock()
 	for ctx.Err() == nil {
 		for _, api := range world.apis() {
-			callCtx, cancel := context.WithTimeout(ctx, prepareLimit)
+			callCtx, cancel := context.WithTimeout(ctx, commandTimeout)
 			_, err := world.clients[operatorHost].Execute(callCtx, api, text)
 			cancel()
 			if err == nil {
 				return
 			}
 		}
-		time.Sleep(watchPause)
+		time.Sleep(pollInterval)
 	}
 }
 
-// race sends clashing commands by two operators to two nodes at one time.
-func (world *World) race(ctx context.Context, event Event) {
+// raceOperators concurrently sends two conflicting commands to two nodes.
+func (world *World) raceOperators(ctx context.Context, event Event) {
 	for index, text := range []string{
 		fmt.Sprintf("alter experiment %s age %ds", experimentName, 1000+event.Target),
 		fmt.Sprintf("alter experiment %s age %ds", experimentName, 2000+event.Target),
 	} {
 		world.events.Go(func() {
-			ctx, cancel := context.WithTimeout(ctx, prepareLimit)
+			ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 			defer cancel()
 			world.command(ctx, index, text)
 		})
 	}
 }
 
-// CommandRecord is one command as its sender saw it.
+// CommandRecord is a command and the answer that its sender received.
 type CommandRecord struct {
 	Text     string
 	Sent     time.Time
 	Answered time.Time
-	Code     result.Code // zero without an answer
+	Code     result.Code // zero if no answer arrived
 	Revision uint64
 }
 
-// command sends a command once and records what came of it.
+// command sends a command once and records the answer.
 func (world *World) command(ctx context.Context, target int, text string) {
 	apis := world.apis()
 	if len(apis) == 0 {
@@ -263,8 +267,9 @@
 	world.commands = append(world.commands, record)
 }
 
-// identifier makes a UUID of version 7 of the modelled time: that of the library never goes back between histories.
-func (world *World) identifier() string {
+// newRequestID returns a version 7 UUID with the virtual time. uuid.NewV7 cannot be used here: its timestamps never
+// decrease within a process, while the virtual clock starts anew with each run.
+func (world *World) newRequestID() string {
 	identifier := uuid.New()
 	milliseconds := time.Now().UnixMilli()
 	const timeBytes = 6
@@ -280,17 +285,17 @@
 	if len(apis) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, prepareLimit)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	world.callers.Send(ctx, apis[target%len(apis)], requestID, "call "+requestID, 40, repeatable)
 }
 
-// callOnce sends a not-repeatable request to two nodes at one time, and again later.
+// callOnce sends a not-repeatable request to two nodes concurrently, and again after resendDelay.
 func (world *World) callOnce(ctx context.Context, event Event) {
-	requestID := world.identifier()
+	requestID := world.newRequestID()
 	for index := range 2 {
 		world.events.Go(func() { world.call(ctx, event.Target+index, requestID, false) })
 	}
-	time.Sleep(repeatAfter)
+	time.Sleep(resendDelay)
 	world.call(ctx, event.Target+1, requestID, false)
 }
--- a/internal/lab/simulation/history_test.go
+++ b/internal/lab/simulation/history_test.go
@@ -10,12 +10,13 @@
 	"github.com/thistlewalk/thistlewalk/internal/result"
 )
 
-// The configuration is modelled as a counter: a command that was done returns a revision that no other got and that is
-// greater than every revision returned before the command was sent; one that was not done changes nothing; one without
-// a clear answer may have taken effect.
+// commandOutput is the answer to a command in the linearizability check, which models the configuration as a counter. A
+// completed command returns a revision greater than each revision returned before the command was sent, and no two
+// commands return the same revision. Any other command leaves the counter as it is, also if its outcome is unknown:
+// revisions may be skipped, so it does not matter whether the command took effect.
 type commandOutput struct {
 	done     bool
-	unclear  bool
+	unknown  bool
 	revision uint64
 }
 
@@ -38,7 +39,7 @@
 	for index, command := range commands {
 		operations = append(operations, porcupine.Operation{
 			ClientId: index, Input: command.Text, Call: command.Sent.UnixNano(), Return: command.Answered.UnixNano() + 1,
-			Output: commandOutput{done: command.Code == result.Done, unclear: command.Code.Class() == result.ClassUnknown, revision: command.Revision},
+			Output: commandOutput{done: command.Code == result.Done, unknown: command.Code.Class() == result.ClassUnknown, revision: command.Revision},
 		})
 	}
 	return operations
@@ -48,14 +49,14 @@
 	Fatalf(format string, arguments ...any)
 }
 
-// checkCommands fails when no order of the commands explains the revisions that their senders were told.
+// checkCommands fails the test if no sequential order of the commands explains the revisions that they returned.
 func checkCommands(t failer, commands []CommandRecord) {
 	if !porcupine.CheckOperations(configurationModel, operationsOf(commands)) {
-		t.Fatalf("the revisions told are not those of one growing configuration: %+v", commands)
+		t.Fatalf("command history is not linearizable: %+v", commands)
 	}
 }
 
-// The check itself must be able to fail: a revision told twice, and one that went back.
+// Guards against a check that accepts every history: a repeated revision and a decreasing revision must be rejected.
 func TestCommandCheckCanFail(t *testing.T) {
 	at := func(seconds int64) time.Time { return time.Unix(seconds, 0) }
 	good := []CommandRecord{
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -12,7 +12,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/logging"
 )
 
-// simulate runs a plan in a bubble of modelled time.
+// simulate runs a plan in a bubble and returns its outcome.
 func simulate(t *testing.T, plan Plan) Outcome {
 	logger, err := logging.New(logOutput(), "info")
 	must.NoError(t, err)
@@ -21,7 +21,7 @@
 	return outcome
 }
 
-// logOutput shows the nodes' logs when THISTLEWALK_TEST_LOG is set.
+// logOutput returns standard error if THISTLEWALK_TEST_LOG is set, and discards the nodes' logs otherwise.
 func logOutput() io.Writer {
 	if os.Getenv("THISTLEWALK_TEST_LOG") != "" {
 		return os.Stderr
@@ -36,7 +36,8 @@
 	must.Eq(t, 0, outcome.Outcomes.Unknown)
 }
 
-// The seed is fixed so that every run gives the same verdict; 'thistlewalk-lab fuzz' runs fresh ones.
+// Guards against violated invariants under random failures. The seed is fixed so that each run checks the same plans;
+// 'thistlewalk-lab fuzz' draws new ones.
 func TestSystemHistories(t *testing.T) {
 	const checks = "60"
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -33,13 +33,13 @@
 	hostsPerZone   = 250
 )
 
-// hosts that are not in a zone: 10.200.0.n.
+// Hosts outside all zones have the addresses 10.200.0.n.
 const (
-	outsideZone  = 200
+	externalZone = 200
 	trainerHost  = 1
 	callerHost   = 2
 	operatorHost = 3
-	serviceHost  = 4 // the first of the platform's services
+	serviceHost  = 4 // the first platform service, which is the key-value service
 )
 
 // World is a running simulated system.
@@ -52,53 +52,53 @@
 	zones   []bench.Zone
 	trainer *bench.Trainer
 	callers *bench.Callers
-	clients map[int]*bench.Client // by host outside
+	clients map[int]*bench.Client // by external host number
 
-	mu       sync.Mutex
-	hosts    map[string]int // hosts given out, by zone
-	nodes    []*simulated
-	engines  []*bench.RunningEngine
-	cuts     map[int]cut
-	nextCut  int
-	version  uint64
-	lives    uint64
-	excuses  []bench.Outage
-	breaches []string
-	commands []CommandRecord
-	events   sync.WaitGroup
-	closers  []func()
+	mu            sync.Mutex
+	hosts         map[string]int // number of addresses allocated, by zone
+	nodes         []*simulatedNode
+	engines       []*bench.RunningEngine
+	partitions    map[int]partition
+	nextPartition int
+	version       uint64
+	incarnations  uint64
+	outages       []bench.Outage
+	breaches      []string
+	commands      []CommandRecord
+	events        sync.WaitGroup
+	closers       []func()
 }
 
-// cut severs some hosts from the others.
-type cut struct {
+// partition blocks traffic between the hosts inside it and all other hosts.
+type partition struct {
 	inside func(netip.Addr) bool
-	// only, when set, limits the cut to what it holds of the other side.
+	// only, if set, restricts the partition to connections with at least one end for which it returns true.
 	only func(netip.Addr) bool
 }
 
-// simulated is one node over its lives.
-type simulated struct {
-	id      string
-	zone    bench.Zone
-	host    netip.Addr
-	folder  string
-	fresh   int
-	running *bench.RunningNode // nil while down
-	busy    bool               // a crash or stop is under way
-	// revision is the greatest revision seen in force in the present life.
-	revision uint64
+// simulatedNode is a node of the simulation across its restarts.
+type simulatedNode struct {
+	id         string
+	zone       bench.Zone
+	host       netip.Addr
+	folder     string
+	diskLosses int
+	running    *bench.RunningNode // nil while down
+	restarting bool               // a crash or stop is in progress
+	// lastRevision is the configuration revision last observed in the current incarnation.
+	lastRevision uint64
 }
 
-// NewWorld starts the platform and the nodes. Samples go into the folder.
+// NewWorld starts the platform and the nodes. The nodes store their samples in the folder.
 func NewWorld(plan Plan, folder string, logger *log.Logger) (*World, error) {
 	world := &World{plan: plan, folder: folder, logger: logger, memory: network.NewMemory(), hosts: make(map[string]int),
-		cuts: make(map[int]cut), clients: make(map[int]*bench.Client), version: 1}
-	world.memory.Sever(world.severed)
+		partitions: make(map[int]partition), clients: make(map[int]*bench.Client), version: 1}
+	world.memory.Sever(world.isPartitioned)
 	for index := range zoneCount {
 		world.zones = append(world.zones, bench.Zone{Name: fmt.Sprintf("zone-%d", index), Region: "region", Engines: enginesPerZone})
 	}
 	for _, host := range []int{trainerHost, callerHost, operatorHost} {
-		world.clients[host] = bench.NewClient(network.NewClient(world.memory.At(outside(host)), time.Minute, network.Connections{PerHost: 8}))
+		world.clients[host] = bench.NewClient(network.NewClient(world.memory.At(externalAddress(host)), time.Minute, network.Connections{PerHost: 8}))
 		world.closers = append(world.closers, world.clients[host].Close)
 	}
 	world.trainer = bench.NewTrainer(world.clients[trainerHost], world.apis, nil)
@@ -110,14 +110,14 @@
 			Capacity: 8, TokensPerSecond: 40, BatchSlowdown: 0.05, PrefillPerSecond: 10000, CachedPrefixes: 8, ChunkTokens: 8,
 			ReportLag: 500 * time.Millisecond, StageTime: 500 * time.Millisecond, Lengths: platform.Lengths{Median: 60, Sigma: 0.8}, RoundTime: 50 * time.Millisecond,
 		},
-	}, world.memory.At(outside(serviceHost)), world.address, logger)
+	}, world.memory.At(externalAddress(serviceHost)), world.allocateAddress, logger)
 	if err != nil {
 		return nil, err
 	}
 	world.engines = world.site.Engines()
 	for index := range nodeCount {
 		zone := world.zones[index%zoneCount]
-		started := &simulated{id: fmt.Sprintf("node-%d", index), zone: zone, folder: filepath.Join(folder, fmt.Sprintf("node-%d", index))}
+		started := &simulatedNode{id: fmt.Sprintf("node-%d", index), zone: zone, folder: filepath.Join(folder, fmt.Sprintf("node-%d", index))}
 		started.host = netip.AddrFrom4([4]byte{10, byte(index % zoneCount), 1, byte(index)})
 		world.nodes = append(world.nodes, started)
 		if err := world.start(started); err != nil {
@@ -127,34 +127,37 @@
 	return world, nil
 }
 
-func outside(host int) netip.Addr { return netip.AddrFrom4([4]byte{10, outsideZone, 0, byte(host)}) }
+func externalAddress(host int) netip.Addr {
+	return netip.AddrFrom4([4]byte{10, externalZone, 0, byte(host)})
+}
 
-// address gives engines and services an address of their own host.
-func (world *World) address(zone string) (string, error) {
+// allocateAddress returns an address on a new host of the zone. If no zone has the name, the host is an external host for a
+// platform service.
+func (world *World) allocateAddress(zone string) (string, error) {
 	world.mu.Lock()
 	defer world.mu.Unlock()
 	world.hosts[zone]++
-	number := outsideZone
+	number := externalZone
 	for index, candidate := range world.zones {
 		if candidate.Name == zone {
 			number = index
 		}
 	}
 	host := world.hosts[zone]
-	if number == outsideZone {
+	if number == externalZone {
 		host += serviceHost - 1
 	}
 	if host >= hostsPerZone {
-		return "", errors.Newf("no host is left in %s", zone)
+		return "", errors.Newf("no host address left in zone %s", zone)
 	}
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(number), 0, byte(host)}), addressPort).String(), nil
 }
 
-// severed implements the cuts.
-func (world *World) severed(from, to netip.Addr) bool {
+// isPartitioned reports whether a partition blocks traffic between two hosts.
+func (world *World) isPartitioned(from, to netip.Addr) bool {
 	world.mu.Lock()
 	defer world.mu.Unlock()
-	for _, present := range world.cuts {
+	for _, present := range world.partitions {
 		if present.inside(from) == present.inside(to) {
 			continue
 		}
@@ -165,28 +168,28 @@
 	return false
 }
 
-func (world *World) beginCut(added cut) int {
+func (world *World) addPartition(added partition) int {
 	world.mu.Lock()
 	defer world.mu.Unlock()
-	world.nextCut++
-	world.cuts[world.nextCut] = added
-	return world.nextCut
+	world.nextPartition++
+	world.partitions[world.nextPartition] = added
+	return world.nextPartition
 }
 
-func (world *World) endCut(number int) {
+func (world *World) removePartition(number int) {
 	world.mu.Lock()
 	defer world.mu.Unlock()
-	delete(world.cuts, number)
+	delete(world.partitions, number)
 }
 
-// start starts a node's next life.
-func (world *World) start(started *simulated) error {
+// start starts the next incarnation of a node.
+func (world *World) start(started *simulatedNode) error {
 	world.mu.Lock()
-	world.lives++
-	life := uint64(time.Now().UnixMilli()) + world.lives
+	world.incarnations++
+	incarnation := uint64(time.Now().UnixMilli()) + world.incarnations
 	world.mu.Unlock()
-	through := world.memory.At(started.host)
-	running, err := world.site.StartNode(started.id, started.zone, started.folder, node.Networks{Control: through, Data: through}, world.logger, life,
+	transport := world.memory.At(started.host)
+	running, err := world.site.StartNode(started.id, started.zone, started.folder, node.Networks{Control: transport, Data: transport}, world.logger, incarnation,
 		func(config *settings.Settings) {
 			config.Node.Control = netip.AddrPortFrom(started.host, addressPort).String()
 			config.Node.API = netip.AddrPortFrom(started.host, addressPort+1).String()
@@ -202,7 +205,7 @@
 	world.mu.Lock()
 	defer world.mu.Unlock()
 	started.running = running
-	started.revision = 0
+	started.lastRevision = 0
 	return nil
 }
 
@@ -220,47 +223,49 @@
 	return urls
 }
 
-// excuse allows the answers of some nodes to be cut from a moment until now.
-func (world *World) excuse(since time.Time, concerned func(*simulated) bool) {
+// recordOutage records that the affected nodes were unavailable from since until now, so that the oracle accepts
+// interrupted responses from them.
+func (world *World) recordOutage(since time.Time, affected func(*simulatedNode) bool) {
 	world.mu.Lock()
 	defer world.mu.Unlock()
 	for _, candidate := range world.nodes {
-		if concerned(candidate) {
+		if affected(candidate) {
 			node := "http://" + netip.AddrPortFrom(candidate.host, addressPort+1).String()
-			world.excuses = append(world.excuses, bench.Outage{Node: node, From: since, To: time.Now()})
+			world.outages = append(world.outages, bench.Outage{Node: node, From: since, To: time.Now()})
 		}
 	}
 }
 
-func (world *World) breach(format string, arguments ...any) {
+func (world *World) recordBreach(format string, arguments ...any) {
 	world.mu.Lock()
 	defer world.mu.Unlock()
 	world.breaches = append(world.breaches, fmt.Sprintf(format, arguments...))
 }
 
-// Outcome is what a history showed.
+// Outcome is the result of a simulated run.
 type Outcome struct {
 	Verdict  bench.Verdict
 	Outcomes bench.Outcomes
-	// Breaches are those beside the verdict's: a revision that went back, a step that never became whole.
+	// Breaches lists violations that the verdict does not count, such as a configuration revision that decreased or a
+	// step that did not complete.
 	Breaches []string
-	Modelled time.Duration
-	// Commands and Revisions are the history of the configuration, for a model checker.
+	Modelled time.Duration // virtual time that the run took
+	// Commands is the history of configuration commands, for a linearizability check.
 	Commands []CommandRecord
 }
 
-// Failed reports whether the history shows a breach.
+// Failed reports whether the run violated an invariant.
 func (outcome Outcome) Failed() bool {
 	return outcome.Verdict.Breaches() > 0 || len(outcome.Breaches) > 0
 }
 
 const (
-	prepareLimit = time.Minute
-	collectLimit = 30 * time.Minute
-	watchPause   = 100 * time.Millisecond
+	commandTimeout = time.Minute
+	collectTimeout = 30 * time.Minute
+	pollInterval   = 100 * time.Millisecond
 )
 
-// Run carries the plan out and judges it. It returns when everything has stopped.
+// Run executes the plan and returns the judged outcome after the platform and all nodes have stopped.
 func (world *World) Run() (Outcome, error) {
 	began := time.Now()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -269,33 +274,33 @@
 		world.close()
 		return Outcome{}, err
 	}
-	var watching sync.WaitGroup
+	var watcher sync.WaitGroup
 	watchCtx, endWatch := context.WithCancel(ctx)
-	watching.Go(func() { world.watchRevisions(watchCtx) })
+	watcher.Go(func() { world.watchRevisions(watchCtx) })
 	collected := make(chan error, 1)
-	collectCtx, giveUp := context.WithTimeout(ctx, collectLimit)
-	defer giveUp()
+	collectCtx, cancelCollect := context.WithTimeout(ctx, collectTimeout)
+	defer cancelCollect()
 	go func() { collected <- world.collect(collectCtx) }()
 	for _, event := range world.plan.Events {
 		time.Sleep(event.After)
-		world.events.Go(func() { world.happen(ctx, event) })
+		world.events.Go(func() { world.applyEvent(ctx, event) })
 	}
 	world.events.Wait()
 	world.heal(ctx)
 	if err := <-collected; err != nil {
-		world.breach("the step did not become whole: %v", err)
+		world.recordBreach("step did not complete: %v", err)
 	}
 	world.callers.Wait()
 	endWatch()
-	watching.Wait()
+	watcher.Wait()
 	outcome := world.judge(time.Since(began))
 	world.close()
 	return outcome, nil
 }
 
-// configure adds the policy and the experiment and waits until engines serve them.
+// configure creates the policy and the experiment, and retries until a node accepts them.
 func (world *World) configure(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, prepareLimit)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	text := fmt.Sprintf("add policy %s version 1; create experiment %s with %s share 100 staleness %d versions", policyName, experimentName, policyName, world.plan.Bound)
 	for {
@@ -306,11 +311,11 @@
 		if ctx.Err() != nil {
 			return errors.Wrap(err, "configure")
 		}
-		time.Sleep(watchPause)
+		time.Sleep(pollInterval)
 	}
 }
 
-// collect submits the step and takes all of its samples.
+// collect submits the step and fetches all of its samples.
 func (world *World) collect(ctx context.Context) error {
 	request := gateway.StepRequest{Step: stepName, Experiment: experimentName, GroupSize: 1, MaxTokens: 200}
 	for index := range world.plan.Slots {
@@ -322,7 +327,7 @@
 	return world.trainer.Collect(ctx, stepName)
 }
 
-// watchRevisions checks that no node goes back to an older configuration within a life.
+// watchRevisions checks that the configuration revision of a node never decreases within one incarnation.
 func (world *World) watchRevisions(ctx context.Context) {
 	for ctx.Err() == nil {
 		world.mu.Lock()
@@ -331,20 +336,20 @@
 				continue
 			}
 			revision := candidate.running.Revision()
-			if revision < candidate.revision {
-				world.breaches = append(world.breaches, fmt.Sprintf("%s went from revision %d back to %d", candidate.id, candidate.revision, revision))
+			if revision < candidate.lastRevision {
+				world.breaches = append(world.breaches, fmt.Sprintf("%s went from revision %d back to %d", candidate.id, candidate.lastRevision, revision))
 			}
-			candidate.revision = revision
+			candidate.lastRevision = revision
 		}
 		world.mu.Unlock()
-		time.Sleep(watchPause)
+		time.Sleep(pollInterval)
 	}
 }
 
-// heal ends all failures, so that what was accepted must now be finished.
+// heal ends all failures and swaps to the newest version, after which all accepted work must complete.
 func (world *World) heal(ctx context.Context) {
 	world.mu.Lock()
-	world.cuts = make(map[int]cut)
+	world.partitions = make(map[int]partition)
 	engines := world.engines
 	world.mu.Unlock()
 	world.site.KeyValue.SetFaults(platform.KeyValueFaults{})
@@ -357,21 +362,21 @@
 
 func (world *World) judge(modelled time.Duration) Outcome {
 	received, requested := world.trainer.Received()
-	told := world.callers.Calls()
+	calls := world.callers.Calls()
 	world.mu.Lock()
 	defer world.mu.Unlock()
 	evidence := bench.Evidence{
-		Begun: world.site.Truth.Begun(), Produced: world.site.Truth.Produced(), Received: received, Requested: requested, Calls: told,
-		Bound: experiment.Bound{HasVersions: true, Versions: uint64(world.plan.Bound)}, Outages: world.excuses,
+		Begun: world.site.Truth.Begun(), Produced: world.site.Truth.Produced(), Received: received, Requested: requested, Calls: calls,
+		Bound: experiment.Bound{HasVersions: true, Versions: uint64(world.plan.Bound)}, Outages: world.outages,
 	}
 	outcome := Outcome{Verdict: bench.Judge(evidence), Breaches: world.breaches, Modelled: modelled, Commands: world.commands}
-	for _, answer := range told {
-		outcome.Outcomes.Count(answer)
+	for _, call := range calls {
+		outcome.Outcomes.Count(call)
 	}
 	return outcome
 }
 
-// close stops everything, so that no goroutine is left.
+// close stops the nodes and the platform and closes the clients. The bubble requires that all of its goroutines end.
 func (world *World) close() {
 	for _, candidate := range world.nodes {
 		if candidate.running != nil {
