--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -76,7 +76,7 @@
 		at := point.At.Seconds()
 		tokens = append(tokens, plotter.XY{X: at, Y: point.TokensPerSecond})
 		queue = append(queue, plotter.XY{X: at, Y: float64(point.Queued)})
-		newest = append(newest, plotter.XY{X: at, Y: float64(point.OnNewest)})
+		newest = append(newest, plotter.XY{X: at, Y: float64(point.EnginesOnNewest)})
 	}
 	return tokens, queue, newest
 }
--- a/internal/lab/scenario/compare.go
+++ b/internal/lab/scenario/compare.go
@@ -10,17 +10,19 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Summary is a side over all seeds.
+// Summary holds the results of a side over all seeds.
 type Summary struct {
 	Side Side
-	// Idle is the trainer's mean wait a step, Step the mean time until a step is whole, in seconds, one value a seed.
+	// The slices hold one value per seed. Idle is the mean time in seconds that the trainer waited for a step, Step the mean
+	// time in seconds from submission of a step to its completion, and StepOverBound the ratio of Step to its lower bound.
 	Idle, Step, StepOverBound []float64
-	Staleness, StalenessMax   []float64
-	Breaches                  int
-	Dropped                   int
+	// Staleness and StalenessMax are the mean and the maximum over delivered samples, in versions.
+	Staleness, StalenessMax []float64
+	Breaches                int
+	Dropped                 int
 }
 
-// Summarize adds up the results of a side.
+// Summarize summarizes the results of a side, one for each seed.
 func Summarize(side Side, results []Result) Summary {
 	summary := Summary{Side: side}
 	for _, result := range results {
@@ -47,7 +49,8 @@
 	return total.Seconds() / float64(max(len(times), 1))
 }
 
-// Interval is a mean with the half width of its 95% confidence interval by Student's t.
+// Interval returns the mean and the half width of its 95% confidence interval by Student's t-distribution. The half width
+// of fewer than two values is NaN.
 func Interval(values []float64) (mean, half float64) {
 	mean, deviation := stat.MeanStdDev(values, nil)
 	if len(values) < 2 {
@@ -58,7 +61,7 @@
 	return mean, quantile * deviation / math.Sqrt(float64(len(values)))
 }
 
-func cell(values []float64) string {
+func formatInterval(values []float64) string {
 	mean, half := Interval(values)
 	if math.IsNaN(half) {
 		return fmt.Sprintf("%.2f", mean)
@@ -66,22 +69,23 @@
 	return fmt.Sprintf("%.2f ± %.2f", mean, half)
 }
 
-// WriteComparison prints the sides side by side and returns the number of breaches.
+// WriteComparison prints a table with one row per side and returns the total number of breaches. The first summary is that
+// of the system, the others are baselines.
 func WriteComparison(output io.Writer, spec Spec, seeds int, bound float64, summaries []Summary) int {
 	fmt.Fprintf(output, "%s, %d seeds; mean and 95%% confidence interval over seeds; perfect packing needs %.2f s a step\n", spec.Name, seeds, bound)
 	fmt.Fprintf(output, "%-24s %-18s %-18s %-16s %-20s %-10s %s\n", "side", "idle s/step", "step s", "step/bound", "staleness versions", "greatest", "breaches")
 	breaches := 0
-	best := math.Inf(1)
+	bestBaseline := math.Inf(1)
 	for index, summary := range summaries {
 		greatest, _ := Interval(summary.StalenessMax)
-		fmt.Fprintf(output, "%-24s %-18s %-18s %-16s %-20s %-10.1f %d\n", summary.Side.Name, cell(summary.Idle), cell(summary.Step),
-			cell(summary.StepOverBound), cell(summary.Staleness), greatest, summary.Breaches)
+		fmt.Fprintf(output, "%-24s %-18s %-18s %-16s %-20s %-10.1f %d\n", summary.Side.Name, formatInterval(summary.Idle), formatInterval(summary.Step),
+			formatInterval(summary.StepOverBound), formatInterval(summary.Staleness), greatest, summary.Breaches)
 		breaches += summary.Breaches
 		if mean, _ := Interval(summary.Idle); index > 0 {
-			best = min(best, mean)
+			bestBaseline = min(bestBaseline, mean)
 		}
 	}
-	own, _ := Interval(summaries[0].Idle)
-	fmt.Fprintf(output, "idle against the best baseline: %.2f\n", own/best)
+	systemIdle, _ := Interval(summaries[0].Idle)
+	fmt.Fprintf(output, "idle against the best baseline: %.2f\n", systemIdle/bestBaseline)
 	return breaches
 }
--- a/internal/lab/scenario/run.go
+++ b/internal/lab/scenario/run.go
@@ -27,25 +27,26 @@
 	experimentName = "main"
 	clientZone     = 200
 	port           = 7000
-	pollPause      = 100 * time.Millisecond
-	runLimit       = 6 * time.Hour
+	pollInterval   = 100 * time.Millisecond
+	runTimeout     = 6 * time.Hour
 )
 
-// Result is one run of one side.
+// Result is the result of running one side with one seed.
 type Result struct {
 	Report bench.Report
-	// Idle and Step are by step: how long the trainer waited, and from submission until whole.
+	// Idle is how long the trainer waited for each step.
 	Idle []time.Duration
+	// Step is the time from submission to completion of each step.
 	Step []time.Duration
-	// Bound is the lower bound by step: no packing can be whole sooner.
+	// Bound is the lower bound of the generation time of each step.
 	Bound []time.Duration
-	// Staleness is by delivered sample, in versions.
+	// Staleness is the staleness of each delivered sample, in versions.
 	Staleness []uint64
-	Modelled  time.Duration
+	Modelled  time.Duration // virtual time that the run took
 	Timeline  Timeline
 }
 
-// run is one running scenario.
+// run is the state of one run.
 type run struct {
 	spec    Spec
 	side    Side
@@ -60,19 +61,20 @@
 	began   time.Time
 
 	mu       sync.Mutex
-	hosts    map[string]int
+	hosts    map[string]int // number of addresses allocated, by zone
 	nodes    []*bench.RunningNode
-	down     map[int]bool
-	excuses  []bench.Outage
+	down     map[int]bool // removed nodes, by index
+	outages  []bench.Outage
 	timeline Timeline
 	version  uint64
 }
 
-// Run runs a side of a scenario in the bubble of modelled time that it is called in. It returns when all has stopped.
+// Run runs a side of a scenario in the testing/synctest bubble of the caller. It returns after all nodes and the platform
+// have stopped.
 func Run(spec Spec, side Side, seed uint64, folder string, logger *log.Logger) (Result, error) {
 	scenario := &run{spec: spec, side: side, seed: seed, folder: folder, logger: logger, memory: network.NewMemory(),
 		hosts: make(map[string]int), down: make(map[int]bool), version: 1, began: time.Now()}
-	ctx, cancel := context.WithTimeout(context.Background(), runLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), runTimeout)
 	defer cancel()
 	scenario.memory.Delay(scenario.latency)
 	defer scenario.close()
@@ -82,7 +84,7 @@
 	return scenario.train(ctx)
 }
 
-// latency is that between zones, or to clients and the platform.
+// latency returns the one-way latency between two hosts. Clients and the platform form a zone of their own.
 func (scenario *run) latency(from, to netip.Addr) time.Duration {
 	a, b := from.As4()[1], to.As4()[1]
 	switch {
@@ -95,8 +97,8 @@
 	}
 }
 
-// address gives a new address in a zone; hosts outside all zones are clients and the platform.
-func (scenario *run) address(zone string) (string, error) {
+// allocateAddress returns an address on a new host of a zone. Clients and the platform are in clientZone.
+func (scenario *run) allocateAddress(zone string) (string, error) {
 	scenario.mu.Lock()
 	defer scenario.mu.Unlock()
 	number := slices.IndexFunc(scenario.spec.Zones, func(candidate Zone) bool { return candidate.Name == zone })
@@ -108,13 +110,13 @@
 }
 
 func (scenario *run) start(ctx context.Context) error {
-	outside := scenario.memory.At(netip.AddrFrom4([4]byte{10, clientZone, 1, 1}))
-	scenario.client = bench.NewClient(network.NewClient(outside, time.Minute, network.Connections{PerHost: 64}))
+	clientNetwork := scenario.memory.At(netip.AddrFrom4([4]byte{10, clientZone, 1, 1}))
+	scenario.client = bench.NewClient(network.NewClient(clientNetwork, time.Minute, network.Connections{PerHost: 64}))
 	scenario.trainer = bench.NewTrainer(scenario.client, scenario.apis, nil)
 	scenario.callers = bench.NewCallers(scenario.client, experimentName)
 	var err error
 	scenario.site, err = bench.NewSite(bench.SiteSettings{Zones: scenario.spec.zones(), KeyValuePerSecond: 200, WeightsPerSecond: scenario.spec.Engine.WeightsPerSecond,
-		MachineLag: time.Second, ScoreDelay: 2 * time.Millisecond, Engine: scenario.spec.Engine.settings()}, outside, scenario.address, scenario.logger)
+		MachineLag: time.Second, ScoreDelay: 2 * time.Millisecond, Engine: scenario.spec.Engine.settings()}, clientNetwork, scenario.allocateAddress, scenario.logger)
 	if err != nil {
 		return err
 	}
@@ -129,14 +131,14 @@
 }
 
 func (scenario *run) startNode(zone bench.Zone) error {
-	control, err := scenario.address(zone.Name)
+	control, err := scenario.allocateAddress(zone.Name)
 	if err != nil {
 		return err
 	}
 	host := netip.MustParseAddrPort(control).Addr()
-	through := scenario.memory.At(host)
+	transport := scenario.memory.At(host)
 	id := fmt.Sprintf("node-%d", len(scenario.nodes))
-	started, err := scenario.site.StartNode(id, zone, filepath.Join(scenario.folder, id), node.Networks{Control: through, Data: through}, scenario.logger,
+	started, err := scenario.site.StartNode(id, zone, filepath.Join(scenario.folder, id), node.Networks{Control: transport, Data: transport}, scenario.logger,
 		uint64(time.Now().UnixMilli()), func(config *settings.Settings) {
 			config.Node.Control = control
 			config.Node.API = netip.AddrPortFrom(host, port+1).String()
@@ -144,7 +146,7 @@
 			if !scenario.side.Stragglers {
 				config.Steps.StragglerTime = 0
 			}
-			if scenario.side.Plain {
+			if scenario.side.QueueAtEngines {
 				config.Steps.RoomShare, config.Steps.AheadShare, config.Steps.SwapPatience = 0, 0, 0
 			}
 		})
@@ -167,7 +169,7 @@
 	return urls
 }
 
-// execute carries a script out at some node, again until it is done.
+// execute runs a script of commands, and retries on all running nodes until the script succeeds.
 func (scenario *run) execute(ctx context.Context, text string) error {
 	for {
 		var last error
@@ -182,7 +184,7 @@
 		if ctx.Err() != nil {
 			return errors.Wrap(last, text)
 		}
-		time.Sleep(pollPause)
+		time.Sleep(pollInterval)
 	}
 }
 
@@ -191,16 +193,16 @@
 	if err := scenario.execute(ctx, text); err != nil {
 		return err
 	}
-	for !scenario.allRun(1) {
+	for !scenario.allEnginesRun(1) {
 		if ctx.Err() != nil {
 			return errors.New("the engines did not load the first version")
 		}
-		time.Sleep(pollPause)
+		time.Sleep(pollInterval)
 	}
 	return nil
 }
 
-func (scenario *run) allRun(version uint64) bool {
+func (scenario *run) allEnginesRun(version uint64) bool {
 	for _, engine := range scenario.site.Engines() {
 		if engine.Model.Active(policyName) < version {
 			return false
@@ -209,7 +211,8 @@
 	return true
 }
 
-// stepID names a step; lengths of completions follow from it, so that all sides of a seed have the same work.
+// stepID returns the ID of a step. The simulated engines derive completion lengths from it, so that all sides with the same
+// seed have the same work.
 func (scenario *run) stepID(number int) string {
 	return fmt.Sprintf("step-%d-%d", scenario.seed, number)
 }
@@ -223,24 +226,24 @@
 	return scenario.trainer.Submit(ctx, request)
 }
 
-// train runs all steps: while the trainer trains on one, the next ones are generated. It fetches a step's samples when it
-// can train on them, so that their staleness is that of their use.
+// train runs all steps, with calls and failures in the background. The next steps are generated while the trainer trains.
+// The trainer fetches the samples of a step only when it can train on them, so that their staleness is measured at use.
 func (scenario *run) train(ctx context.Context) (Result, error) {
 	result := Result{}
 	began := time.Now()
 	callCtx, endCalls := context.WithCancel(ctx)
 	defer endCalls()
-	var beside sync.WaitGroup
+	var background sync.WaitGroup
 	if scenario.spec.Calls.PerSecond > 0 {
-		beside.Go(func() { scenario.call(callCtx) })
+		background.Go(func() { scenario.sendCalls(callCtx) })
 	}
 	for _, failure := range scenario.spec.Failures {
-		beside.Go(func() { scenario.fail(callCtx, failure) })
+		background.Go(func() { scenario.injectFailure(callCtx, failure) })
 	}
-	beside.Go(func() { scenario.watch(callCtx) })
-	err := scenario.steps(ctx, &result)
+	background.Go(func() { scenario.sampleTimeline(callCtx) })
+	err := scenario.runSteps(ctx, &result)
 	endCalls()
-	beside.Wait()
+	background.Wait()
 	if err != nil {
 		return result, err
 	}
@@ -249,11 +252,11 @@
 	return result, nil
 }
 
-func (scenario *run) steps(ctx context.Context, result *Result) error {
+func (scenario *run) runSteps(ctx context.Context, result *Result) error {
 	trainer := scenario.spec.Trainer
 	submitted := make(map[int]time.Time)
 	next := 0
-	// ready is when the trainer could train on the next step: swapping weights is waiting too.
+	// ready is when the trainer finished the previous step. Idle time therefore includes the weight swap.
 	var ready time.Time
 	for number := range trainer.Steps {
 		for ; next <= number+trainer.Ahead && next < trainer.Steps; next++ {
@@ -268,14 +271,14 @@
 		if err := scenario.trainer.Collect(ctx, scenario.stepID(number)); err != nil {
 			return errors.Wrap(err, "collect")
 		}
-		scenario.mark("step %d whole", number)
+		scenario.recordEvent("step %d complete", number)
 		result.Idle = append(result.Idle, time.Since(ready))
 		result.Step = append(result.Step, time.Since(submitted[number]))
 		result.Bound = append(result.Bound, scenario.lowerBound(number))
 		time.Sleep(trainer.TrainTime)
 		ready = time.Now()
 		if number < trainer.Steps-1 {
-			if err := scenario.swap(ctx); err != nil {
+			if err := scenario.publishAndSwap(ctx); err != nil {
 				return err
 			}
 		}
@@ -283,8 +286,8 @@
 	return nil
 }
 
-// swap publishes the next version and activates it everywhere.
-func (scenario *run) swap(ctx context.Context) error {
+// publishAndSwap publishes the next version and swaps the policy to it.
+func (scenario *run) publishAndSwap(ctx context.Context) error {
 	scenario.mu.Lock()
 	scenario.version++
 	version := scenario.version
@@ -301,11 +304,11 @@
 	if scenario.side.DrainBeforeSwap {
 		text += "; resume policy " + policyName
 	}
-	scenario.mark("swap to version %d", version)
+	scenario.recordEvent("swap to version %d", version)
 	return scenario.execute(ctx, text)
 }
 
-// drain pauses the policy and waits until no engine runs anything.
+// drain pauses the policy and waits until all engines are idle.
 func (scenario *run) drain(ctx context.Context) error {
 	if err := scenario.execute(ctx, "pause policy "+policyName); err != nil {
 		return err
@@ -315,13 +318,13 @@
 		if !busy {
 			return nil
 		}
-		time.Sleep(pollPause)
+		time.Sleep(pollInterval)
 	}
 	return ctx.Err()
 }
 
-// lowerBound is the time that perfect packing of a step's tokens over all engines would need, or its longest completion
-// on an idle engine, whichever is longer.
+// lowerBound returns a lower bound of a step's generation time: the time that all engines at full batch need for the
+// tokens of the step, or the time of the longest completion on an idle engine, whichever is longer.
 func (scenario *run) lowerBound(number int) time.Duration {
 	model := scenario.spec.Engine
 	trainer := scenario.spec.Trainer
@@ -341,7 +344,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-func (scenario *run) call(ctx context.Context) {
+func (scenario *run) sendCalls(ctx context.Context) {
 	random := rand.New(rand.NewPCG(scenario.seed, 3))
 	load := bench.Load{PerSecond: scenario.spec.Calls.PerSecond, NotRepeatable: scenario.spec.Calls.NotRepeatable, Tokens: scenario.spec.Calls.Tokens}
 	scenario.callers.Run(ctx, load, scenario.apis, random)
@@ -350,7 +353,7 @@
 func (scenario *run) judge(result *Result) {
 	received, requested := scenario.trainer.Received()
 	evidence := bench.Evidence{Begun: scenario.site.Truth.Begun(), Produced: scenario.site.Truth.Produced(), Received: received, Requested: requested,
-		Calls: scenario.callers.Calls(), Bound: experiment.Bound{HasVersions: true, Versions: scenario.spec.Trainer.BoundVersions}, Outages: scenario.excuses}
+		Calls: scenario.callers.Calls(), Bound: experiment.Bound{HasVersions: true, Versions: scenario.spec.Trainer.BoundVersions}, Outages: scenario.outages}
 	result.Report = bench.NewReport(scenario.seed, evidence)
 	result.Report.Seconds = result.Modelled.Seconds()
 	for index := range result.Idle {
--- a/internal/lab/scenario/spec.go
+++ b/internal/lab/scenario/spec.go
@@ -1,4 +1,4 @@
-// Package scenario runs experiments with trainers and callers in modelled time, and compares the system with baselines.
+// Package scenario runs workloads of trainers and callers in virtual time, and compares the system with baselines.
 package scenario
 
 import (
@@ -12,34 +12,34 @@
 	"github.com/thistlewalk/thistlewalk/internal/lab/platform"
 )
 
-// Spec is a scenario file.
+// Spec is the content of a scenario file.
 type Spec struct {
 	Name string `yaml:"name" validate:"required"`
-	// Source says where the sizes and distributions come from.
+	// Source documents the origin of the sizes and distributions.
 	Source  string  `yaml:"source" validate:"required"`
 	Zones   []Zone  `yaml:"zones" validate:"min=1,dive"`
 	Latency Latency `yaml:"latency"`
 	Engine  Engine  `yaml:"engine"`
 	Trainer Trainer `yaml:"trainer"`
 	Calls   Calls   `yaml:"calls"`
-	// Failures happen at fixed times after the first step was submitted.
+	// Failures are injected at fixed times after the start of training.
 	Failures []Failure `yaml:"failures" validate:"dive"`
 }
 
-// Zone of a scenario.
+// Zone describes a zone of the platform.
 type Zone struct {
 	Name    string `yaml:"name" validate:"required"`
 	Engines int    `yaml:"engines" validate:"min=0,max=1000"`
 	Nodes   int    `yaml:"nodes" validate:"min=0,max=100"`
 }
 
-// Latency is one way.
+// Latency holds one-way network latencies: between zones, and between a zone and clients or the platform.
 type Latency struct {
 	Zones   time.Duration `yaml:"zones" validate:"min=0,max=1s"`
 	Clients time.Duration `yaml:"clients" validate:"min=0,max=1s"`
 }
 
-// Engine is the model of every engine.
+// Engine describes the simulated engines, which are all alike.
 type Engine struct {
 	Capacity         int           `yaml:"capacity" validate:"min=1"`
 	TokensPerSecond  float64       `yaml:"tokens_per_second" validate:"gt=0"`
@@ -53,7 +53,8 @@
 	LengthSigma      float64       `yaml:"length_sigma" validate:"min=0"`
 }
 
-// Trainer asks for steps; one trains while the next is generated.
+// Trainer describes the steps that a trainer submits. Ahead is the number of later steps that are generated while it
+// waits for or trains on the current one.
 type Trainer struct {
 	Steps         int           `yaml:"steps" validate:"min=1,max=1000"`
 	Prompts       int           `yaml:"prompts" validate:"min=1"`
@@ -64,14 +65,14 @@
 	BoundVersions uint64        `yaml:"bound_versions" validate:"max=100"`
 }
 
-// Calls arrive beside training as a Poisson process.
+// Calls describes requests that arrive during training as a Poisson process.
 type Calls struct {
 	PerSecond     float64 `yaml:"per_second" validate:"min=0"`
 	NotRepeatable float64 `yaml:"not_repeatable" validate:"min=0,max=1"`
 	Tokens        int     `yaml:"tokens" validate:"min=0"`
 }
 
-// Failure is one thing that goes wrong.
+// Failure is an injected failure.
 type Failure struct {
 	At     time.Duration `yaml:"at" validate:"min=0"`
 	Kind   string        `yaml:"kind" validate:"oneof=crash-engine crash-node stop-node service-down lose-answers keep-version cut-zone"`
@@ -79,7 +80,7 @@
 	Length time.Duration `yaml:"length" validate:"min=0"`
 }
 
-// Parse reads and checks a scenario.
+// Parse decodes and validates a scenario file.
 func Parse(content []byte) (Spec, error) {
 	var spec Spec
 	if err := yaml.UnmarshalWithOptions(content, &spec, yaml.Strict()); err != nil {
@@ -107,26 +108,27 @@
 	return zones
 }
 
-// Side is one way to run a scenario: the system as it is, or a baseline.
+// Side is a variant of the system in a comparison: the system with its default settings, or a baseline.
 type Side struct {
 	Name string
-	// Routing is the setting rollout.routing.
+	// Routing is the value of the setting rollout.routing.
 	Routing string
-	// Stragglers tells whether second attempts are run.
+	// Stragglers is true if second attempts are run for stragglers.
 	Stragglers bool
-	// DrainBeforeSwap pauses the policy and waits until no rollout runs before each swap.
+	// DrainBeforeSwap is true if the policy is paused before each swap until no rollout runs.
 	DrainBeforeSwap bool
-	// Plain queues at engines, and begins rollouts on whatever version runs.
-	Plain bool
+	// QueueAtEngines is true if rollouts are queued at engines instead of nodes, and start on whatever version the engine
+	// runs.
+	QueueAtEngines bool
 }
 
-// Sides are the system and its baselines.
+// Sides returns the system, followed by its baselines.
 func Sides() []Side {
 	return []Side{
 		{Name: "thistlewalk", Routing: "scored", Stragglers: true},
-		{Name: "round robin", Routing: "round-robin", Stragglers: true, Plain: true},
-		{Name: "least reported load", Routing: "least-reported", Stragglers: true, Plain: true},
-		{Name: "drain before swap", Routing: "scored", Stragglers: true, DrainBeforeSwap: true, Plain: true},
+		{Name: "round robin", Routing: "round-robin", Stragglers: true, QueueAtEngines: true},
+		{Name: "least reported load", Routing: "least-reported", Stragglers: true, QueueAtEngines: true},
+		{Name: "drain before swap", Routing: "scored", Stragglers: true, DrainBeforeSwap: true, QueueAtEngines: true},
 		{Name: "no straggler handling", Routing: "scored"},
 	}
 }
--- a/internal/lab/scenario/timeline.go
+++ b/internal/lab/scenario/timeline.go
@@ -10,37 +10,37 @@
 	"github.com/thistlewalk/thistlewalk/internal/lab/platform"
 )
 
-// Event is something that happened, for the plots.
+// Event is an event of a run, such as a completed step or an injected failure.
 type Event struct {
 	At   time.Duration
 	What string
 }
 
-// Point is the state at one moment.
+// Point is the state of the engines at one time.
 type Point struct {
 	At              time.Duration
 	TokensPerSecond float64
 	Queued          int
-	// OnNewest is how many engines run the newest version.
-	OnNewest int
+	// EnginesOnNewest is the number of engines that run the newest version.
+	EnginesOnNewest int
 }
 
-// Timeline is what happened when.
+// Timeline holds the points and events of a run in order of time.
 type Timeline struct {
 	Points []Point
 	Events []Event
 }
 
-func (scenario *run) mark(format string, arguments ...any) {
+func (scenario *run) recordEvent(format string, arguments ...any) {
 	scenario.mu.Lock()
 	defer scenario.mu.Unlock()
 	scenario.timeline.Events = append(scenario.timeline.Events, Event{At: time.Since(scenario.began), What: fmt.Sprintf(format, arguments...)})
 }
 
-const watchPause = time.Second
+const sampleInterval = time.Second
 
-// watch notes the state once a modelled second.
-func (scenario *run) watch(ctx context.Context) {
+// sampleTimeline records the state of the engines once per sampleInterval of virtual time.
+func (scenario *run) sampleTimeline(ctx context.Context) {
 	before := int64(0)
 	for ctx.Err() == nil {
 		tokens, queued, newest := int64(0), 0, 0
@@ -57,24 +57,24 @@
 		}
 		scenario.mu.Lock()
 		scenario.timeline.Points = append(scenario.timeline.Points, Point{At: time.Since(scenario.began),
-			TokensPerSecond: float64(tokens-before) / watchPause.Seconds(), Queued: queued, OnNewest: newest})
+			TokensPerSecond: float64(tokens-before) / sampleInterval.Seconds(), Queued: queued, EnginesOnNewest: newest})
 		scenario.mu.Unlock()
 		before = tokens
 		select {
 		case <-ctx.Done():
-		case <-time.After(watchPause):
+		case <-time.After(sampleInterval):
 		}
 	}
 }
 
-// fail does one failure at its time.
-func (scenario *run) fail(ctx context.Context, failure Failure) {
+// injectFailure waits until the failure is due and injects it.
+func (scenario *run) injectFailure(ctx context.Context, failure Failure) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-time.After(failure.At):
 	}
-	scenario.mark("%s %d", failure.Kind, failure.Target)
+	scenario.recordEvent("%s %d", failure.Kind, failure.Target)
 	engines := scenario.site.Engines()
 	engine := engines[failure.Target%len(engines)]
 	switch failure.Kind {
@@ -82,10 +82,10 @@
 		engine.Crash()
 		scenario.site.Machines.Remove(engine.ID)
 		if _, err := scenario.site.AddEngine(engine.Zone); err != nil {
-			scenario.logger.Error("no new engine", "error", err)
+			scenario.logger.Error("replacement engine cannot be started", "error", err)
 		}
 	case "crash-node", "stop-node":
-		scenario.endNode(ctx, failure)
+		scenario.removeNode(ctx, failure)
 	case "service-down":
 		scenario.serviceFault(failure, platform.KeyValueFaults{Down: true})
 	case "lose-answers":
@@ -102,7 +102,7 @@
 		time.Sleep(failure.Length)
 		scenario.memory.Sever(nil)
 		for _, running := range scenario.nodes {
-			scenario.excuse(running, since)
+			scenario.recordOutage(running, since)
 		}
 	}
 }
@@ -113,14 +113,14 @@
 	scenario.site.KeyValue.SetFaults(platform.KeyValueFaults{})
 }
 
-func (scenario *run) excuse(running *bench.RunningNode, since time.Time) {
+func (scenario *run) recordOutage(running *bench.RunningNode, since time.Time) {
 	scenario.mu.Lock()
 	defer scenario.mu.Unlock()
-	scenario.excuses = append(scenario.excuses, bench.Outage{Node: running.API(), From: since, To: time.Now()})
+	scenario.outages = append(scenario.outages, bench.Outage{Node: running.API(), From: since, To: time.Now()})
 }
 
-// endNode takes a node away for good.
-func (scenario *run) endNode(ctx context.Context, failure Failure) {
+// removeNode kills or stops a node, which is not restarted.
+func (scenario *run) removeNode(ctx context.Context, failure Failure) {
 	index := failure.Target % len(scenario.nodes)
 	running := scenario.nodes[index]
 	scenario.mu.Lock()
@@ -132,6 +132,6 @@
 	}
 	since := time.Now()
 	running.Kill()
-	scenario.excuse(running, since)
+	scenario.recordOutage(running, since)
 	scenario.site.Machines.Remove(running.Settings.Node.ID)
 }
