--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -1,5 +1,6 @@
-// Package demo runs the whole path once in one process over loopback: three nodes, six engines, two policies, one
-// training step with a weight swap, a crash and a planned stop in its middle, and callers beside it.
+// Package demo runs a demonstration in one process over loopback: three nodes and six engines serve two policies, while
+// callers send requests and a trainer collects one step. During the step, the weights of a policy are swapped, an engine
+// crashes and a node is stopped.
 package demo
 
 import (
@@ -25,10 +26,10 @@
 	"github.com/thistlewalk/thistlewalk/internal/settings"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
 	Seed   uint64
-	Folder string // for samples and nothing else
+	Folder string // data folder of the nodes, for samples only
 	Output io.Writer
 	Logger *log.Logger
 }
@@ -41,7 +42,7 @@
 	groupSize      = 8
 	maximumTokens  = 400
 	boundVersions  = 1
-	runTime        = 28 * time.Second
+	runTimeout     = 28 * time.Second
 	callsPerSecond = 40
 	callTokens     = 60
 	setUpCommands  = `add policy dispatch version 1; add policy draft version 1;
@@ -49,7 +50,7 @@
 	swapCommands = `publish policy dispatch version 2; swap policy dispatch to 2`
 )
 
-// zones of the demo: one region with three zones.
+// zones returns the zones of the demo, which are in one region.
 func zones() []bench.Zone {
 	return []bench.Zone{{Name: "zone-a", Region: "region-1", Engines: 2}, {Name: "zone-b", Region: "region-1", Engines: 2}, {Name: "zone-c", Region: "region-1", Engines: 2}}
 }
@@ -63,15 +64,15 @@
 	trainer *bench.Trainer
 	callers *bench.Callers
 
-	mu      sync.Mutex
-	stopped map[int]bool // nodes that were stopped, by index
-	printed time.Time
-	events  []string
+	mu           sync.Mutex
+	stopped      map[int]bool // stopped nodes, by index
+	lastProgress time.Time
+	events       []string
 }
 
-// Run runs the demo and returns its report. The report's breaches are for the caller to judge.
+// Run runs the demo and returns its report. Breaches in the report are not returned as an error.
 func Run(ctx context.Context, options Options) (bench.Report, error) {
-	ctx, cancel := context.WithTimeout(ctx, runTime)
+	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
 	demo := &run{options: options, stopped: make(map[int]bool)}
 	began := time.Now()
@@ -82,7 +83,7 @@
 	if err := demo.configure(ctx); err != nil {
 		return bench.Report{}, err
 	}
-	demo.event("%d nodes and %d engines run, configuration accepted", len(demo.nodes), len(demo.site.Engines()))
+	demo.logEvent("%d nodes and %d engines run, configuration accepted", len(demo.nodes), len(demo.site.Engines()))
 	stepTime, err := demo.train(ctx)
 	if err != nil {
 		return bench.Report{}, err
@@ -90,7 +91,7 @@
 	return demo.report(stepTime, time.Since(began)), nil
 }
 
-func (demo *run) event(format string, arguments ...any) {
+func (demo *run) logEvent(format string, arguments ...any) {
 	line := fmt.Sprintf(format, arguments...)
 	demo.mu.Lock()
 	demo.events = append(demo.events, line)
@@ -114,7 +115,7 @@
 	for index, zone := range zones() {
 		id := fmt.Sprintf("node-%d", index+1)
 		started, err := demo.site.StartNode(id, zone, filepath.Join(demo.options.Folder, id), node.Networks{Control: tcp, Data: tcp},
-			demo.options.Logger, uint64(time.Now().UnixMilli()), quick)
+			demo.options.Logger, uint64(time.Now().UnixMilli()), shortenIntervals)
 		if err != nil {
 			demo.close()
 			return err
@@ -122,13 +123,13 @@
 		demo.nodes = append(demo.nodes, started)
 	}
 	demo.client = bench.NewClient(network.NewClient(tcp, time.Minute, network.Connections{PerHost: 64}))
-	demo.trainer = bench.NewTrainer(demo.client, demo.api, demo.progress)
+	demo.trainer = bench.NewTrainer(demo.client, demo.apis, demo.progress)
 	demo.callers = bench.NewCallers(demo.client, experimentName)
 	return nil
 }
 
-// quick shortens the times that a machine room needs and one machine does not.
-func quick(config *settings.Settings) {
+// shortenIntervals replaces intervals and timeouts that suit a data center by shorter ones for a single machine.
+func shortenIntervals(config *settings.Settings) {
 	config.Membership.ProbeInterval = 200 * time.Millisecond
 	config.Membership.ProbeTimeout = 80 * time.Millisecond
 	config.Membership.SuspicionTime = time.Second
@@ -141,8 +142,8 @@
 	config.Rollout.StallTime = 3 * time.Second
 }
 
-// api returns the base URLs of the nodes that are not stopped.
-func (demo *run) api() []string {
+// apis returns the base URLs of the running nodes.
+func (demo *run) apis() []string {
 	demo.mu.Lock()
 	defer demo.mu.Unlock()
 	var urls []string
@@ -163,9 +164,9 @@
 	}
 }
 
-// configure sends the operators' commands and waits until the first engines serve both policies.
+// configure creates the policies and the experiment, and waits until all engines serve both policies.
 func (demo *run) configure(ctx context.Context) error {
-	if _, err := demo.client.Execute(ctx, demo.api()[0], setUpCommands); err != nil {
+	if _, err := demo.client.Execute(ctx, demo.apis()[0], setUpCommands); err != nil {
 		return errors.Wrap(err, "configure")
 	}
 	for ctx.Err() == nil {
@@ -177,7 +178,7 @@
 	return errors.Wrap(ctx.Err(), "engines did not load the policies")
 }
 
-// serving reports whether every live engine runs at least the version.
+// serving reports whether every engine runs at least the given version of the policy.
 func (demo *run) serving(policy string, version uint64) bool {
 	return !slices.ContainsFunc(demo.site.Engines(), func(engine *bench.RunningEngine) bool {
 		return engine.Model.Active(policy) < version
@@ -186,9 +187,9 @@
 
 func (demo *run) progress(delivered, slots int) {
 	demo.mu.Lock()
-	due := time.Since(demo.printed) > time.Second || delivered == slots
+	due := time.Since(demo.lastProgress) > time.Second || delivered == slots
 	if due {
-		demo.printed = time.Now()
+		demo.lastProgress = time.Now()
 	}
 	demo.mu.Unlock()
 	if due {
@@ -196,14 +197,14 @@
 	}
 }
 
-// train runs the step with everything that happens in its middle, and returns how long the step took.
+// train runs the step, with callers and injected failures in the background, and returns how long the step took.
 func (demo *run) train(ctx context.Context) (time.Duration, error) {
 	callCtx, endCalls := context.WithCancel(ctx)
 	defer endCalls()
-	var beside sync.WaitGroup
-	beside.Go(func() {
+	var background sync.WaitGroup
+	background.Go(func() {
 		random := rand.New(rand.NewPCG(demo.options.Seed, 1))
-		demo.callers.Run(callCtx, bench.Load{PerSecond: callsPerSecond, NotRepeatable: 0.3, Tokens: callTokens}, demo.api, random)
+		demo.callers.Run(callCtx, bench.Load{PerSecond: callsPerSecond, NotRepeatable: 0.3, Tokens: callTokens}, demo.apis, random)
 	})
 	request := gateway.StepRequest{Step: fmt.Sprintf("demo-%d", demo.options.Seed), Experiment: experimentName, GroupSize: groupSize, MaxTokens: maximumTokens}
 	for index := range prompts {
@@ -213,46 +214,46 @@
 	if err := demo.trainer.Submit(ctx, request); err != nil {
 		return 0, errors.Wrap(err, "submit the step")
 	}
-	demo.event("step %s submitted: %d slots", request.Step, prompts*groupSize)
-	beside.Go(func() { demo.disturb(ctx) })
+	demo.logEvent("step %s submitted: %d slots", request.Step, prompts*groupSize)
+	background.Go(func() { demo.injectFailures(ctx) })
 	err := demo.trainer.Collect(ctx, request.Step)
 	took := time.Since(began)
 	endCalls()
-	beside.Wait()
+	background.Wait()
 	if err != nil {
 		return took, errors.Wrap(err, "collect the step")
 	}
-	demo.event("step whole after %.1f s", took.Seconds())
+	demo.logEvent("step complete after %.1f s", took.Seconds())
 	return took, nil
 }
 
-// disturb swaps the weights of a policy, kills an engine and stops a node, while the step runs.
-func (demo *run) disturb(ctx context.Context) {
-	pause(ctx, 1200*time.Millisecond)
-	if _, err := demo.client.Execute(ctx, demo.api()[0], swapCommands); err != nil {
-		demo.event("swap failed: %v", err)
+// injectFailures swaps the weights of a policy, kills an engine and stops a node while the step runs.
+func (demo *run) injectFailures(ctx context.Context) {
+	sleep(ctx, 1200*time.Millisecond)
+	if _, err := demo.client.Execute(ctx, demo.apis()[0], swapCommands); err != nil {
+		demo.logEvent("swap failed: %v", err)
 	} else {
 		demo.trainer.RecordVersion(firstPolicy, 2)
-		demo.event("policy %s swapped to version 2", firstPolicy)
+		demo.logEvent("policy %s swapped to version 2", firstPolicy)
 	}
-	pause(ctx, 600*time.Millisecond)
-	victim := demo.site.Engines()[int(demo.options.Seed)%len(demo.site.Engines())]
-	victim.Crash()
-	demo.event("%s killed", victim.ID)
-	pause(ctx, 500*time.Millisecond)
+	sleep(ctx, 600*time.Millisecond)
+	crashed := demo.site.Engines()[int(demo.options.Seed)%len(demo.site.Engines())]
+	crashed.Crash()
+	demo.logEvent("%s killed", crashed.ID)
+	sleep(ctx, 500*time.Millisecond)
 	last := len(demo.nodes) - 1
 	demo.mu.Lock()
 	demo.stopped[last] = true
 	demo.mu.Unlock()
 	began := time.Now()
 	if err := demo.nodes[last].Stop(ctx); err != nil {
-		demo.event("planned stop was cut short: %v", err)
+		demo.logEvent("planned stop was cut short: %v", err)
 		return
 	}
-	demo.event("node-%d stopped as planned in %.1f s", last+1, time.Since(began).Seconds())
+	demo.logEvent("node-%d stopped as planned in %.1f s", last+1, time.Since(began).Seconds())
 }
 
-func pause(ctx context.Context, wait time.Duration) {
+func sleep(ctx context.Context, wait time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(wait):
@@ -261,9 +262,9 @@
 
 func (demo *run) report(stepTime, total time.Duration) bench.Report {
 	received, requested := demo.trainer.Received()
-	told := demo.callers.Calls()
+	calls := demo.callers.Calls()
 	evidence := bench.Evidence{
-		Begun: demo.site.Truth.Begun(), Produced: demo.site.Truth.Produced(), Received: received, Requested: requested, Calls: told,
+		Begun: demo.site.Truth.Begun(), Produced: demo.site.Truth.Produced(), Received: received, Requested: requested, Calls: calls,
 		Bound: experiment.Bound{HasVersions: true, Versions: boundVersions},
 	}
 	report := bench.NewReport(demo.options.Seed, evidence)
@@ -277,11 +278,11 @@
 	return report
 }
 
-// Folder makes a folder for a run's samples; the function returned removes it.
+// Folder creates a temporary folder for the samples of a run, and returns its path and a function that removes it.
 func Folder() (string, func(), error) {
 	folder, err := os.MkdirTemp("", "thistlewalk-demo-")
 	if err != nil {
-		return "", nil, errors.Wrap(err, "folder for samples")
+		return "", nil, errors.Wrap(err, "create sample folder")
 	}
 	return folder, func() { _ = os.RemoveAll(folder) }, nil
 }
