--- a/internal/lab/cost/cost.go
+++ b/internal/lab/cost/cost.go
@@ -1,5 +1,5 @@
-// Package cost measures, over loopback and in real time, what a node adds to a call of an engine, and how it does under
-// more load than it can serve.
+// Package cost measures the latency that a node adds to a call of an engine, and the goodput of a node under overload.
+// It runs over loopback in real time.
 package cost
 
 import (
@@ -25,91 +25,93 @@
 	"github.com/thistlewalk/thistlewalk/internal/settings"
 )
 
-// Options of a measurement.
+// Options configures a measurement.
 type Options struct {
-	Length time.Duration // of each phase
+	Length time.Duration // duration of each phase
 	Logger *log.Logger
 	Output io.Writer
 }
 
 const (
-	engines        = 4
-	peakWorkers    = 64
-	overloadFactor = 5
-	tokens         = 8
-	experimentName = "main"
-	readyLimit     = 20 * time.Second
-	maximumMicros  = 60_000_000
-	digits         = 3
-	goodputShare   = 0.9
-	addedBudget    = time.Millisecond
-	// nodeConcurrency is what the node admits: what the engines can run.
+	engines           = 4
+	peakWorkers       = 64
+	overloadFactor    = 5
+	tokens            = 8
+	experimentName    = "main"
+	readyTimeout      = 20 * time.Second
+	maxLatencyMicros  = 60_000_000
+	significantDigits = 3
+	minGoodputShare   = 0.9
+	maxAddedLatency   = time.Millisecond
+	// nodeConcurrency is the number of requests that the node admits, which equals the total capacity of the engines.
 	nodeConcurrency = 64
 )
 
-// call makes one request; its outcome is a result code.
-type call func(ctx context.Context) result.Code
+// callFunc sends one request and returns its result code.
+type callFunc func(ctx context.Context) result.Code
 
-// measurement is one running system.
+// measurement is a running system with one node.
 type measurement struct {
-	options Options
-	site    *bench.Site
-	running *bench.RunningNode
-	client  *bench.Client
-	direct  *engine.HTTP
-	next    atomic.Uint64
+	options    Options
+	site       *bench.Site
+	running    *bench.RunningNode
+	client     *bench.Client
+	direct     *engine.HTTP
+	nextEngine atomic.Uint64
 }
 
-// Token rates of the engines: fast ones show what the node costs, slow ones make their capacity the limit.
+// Tokens per second of the engines. With fast engines the overhead of the node is visible; with slow engines their capacity
+// limits the throughput.
 const (
 	fastTokens = 2000
 	slowTokens = 80
 )
 
-// Run measures and returns whether both aims are met: less than a millisecond added at the 99th percentile at half load,
-// and at least nine tenths of the peak's goodput at five times its load.
+// Run measures the added latency and the goodput under overload, and reports whether both targets are met: the node adds
+// less than maxAddedLatency at the 99th percentile at half load, and at overloadFactor times the peak load the goodput is at
+// least minGoodputShare of the peak and each other call is refused as not run.
 func Run(ctx context.Context, options Options) (bool, error) {
-	added, err := with(ctx, options, fastTokens, (*measurement).addedLatency)
+	added, err := runMeasurement(ctx, options, fastTokens, (*measurement).addedLatency)
 	if err != nil {
 		return false, err
 	}
-	goodput, err := with(ctx, options, slowTokens, (*measurement).overload)
+	goodput, err := runMeasurement(ctx, options, slowTokens, (*measurement).overload)
 	return added && goodput, err
 }
 
-// with runs one measurement on a system of its own.
-func with(ctx context.Context, options Options, tokensPerSecond float64, measure func(*measurement, context.Context) bool) (bool, error) {
+// runMeasurement starts a system, warms it up and runs one measurement on it.
+func runMeasurement(ctx context.Context, options Options, tokensPerSecond float64, measure func(*measurement, context.Context) bool) (bool, error) {
 	measured := &measurement{options: options}
 	defer measured.close()
 	if err := measured.start(ctx, tokensPerSecond); err != nil {
 		return false, err
 	}
-	measured.closedLoop(ctx, measured.throughNode, options.Length/2) // warm up
+	measured.closedLoop(ctx, measured.callNode, options.Length/2) // warm-up
 	return measure(measured, ctx), nil
 }
 
-// addedLatency compares calls at the engines with calls through the node.
+// addedLatency compares the latency of direct calls to engines with that of calls through the node.
 func (measured *measurement) addedLatency(ctx context.Context) bool {
 	length, output := measured.options.Length, measured.options.Output
-	peakDirect := measured.closedLoop(ctx, measured.throughEngine, length)
-	peak := measured.closedLoop(ctx, measured.throughNode, length)
+	peakDirect := measured.closedLoop(ctx, measured.callEngine, length)
+	peak := measured.closedLoop(ctx, measured.callNode, length)
 	fmt.Fprintf(output, "throughput: %.0f calls/s at the engines, %.0f through the node, %d callers\n", peakDirect.rate, peak.rate, peakWorkers)
-	direct := measured.openLoop(ctx, measured.throughEngine, peak.rate/2)
-	through := measured.openLoop(ctx, measured.throughNode, peak.rate/2)
+	direct := measured.openLoop(ctx, measured.callEngine, peak.rate/2)
+	through := measured.openLoop(ctx, measured.callNode, peak.rate/2)
 	added50 := through.latency.ValueAtQuantile(50) - direct.latency.ValueAtQuantile(50)
 	added99 := through.latency.ValueAtQuantile(99) - direct.latency.ValueAtQuantile(99)
-	met := time.Duration(added99)*time.Microsecond < addedBudget
+	met := time.Duration(added99)*time.Microsecond < maxAddedLatency
 	fmt.Fprintf(output, "at half load (%.0f/s): direct p50 %d us, p99 %d us; through the node p50 %d us, p99 %d us; added %d us and %d us: %s\n",
 		peak.rate/2, direct.latency.ValueAtQuantile(50), direct.latency.ValueAtQuantile(99), through.latency.ValueAtQuantile(50),
 		through.latency.ValueAtQuantile(99), added50, added99, verdict(met))
 	return met
 }
 
-// overload offers a multiple of what the engines can serve.
+// overload measures the goodput at overloadFactor times the load that the engines can serve.
 func (measured *measurement) overload(ctx context.Context) bool {
-	peak := measured.closedLoop(ctx, measured.throughNode, measured.options.Length)
-	over := measured.openLoop(ctx, measured.throughNode, peak.rate*overloadFactor)
-	met := over.rate >= goodputShare*peak.rate && over.other == 0
+	peak := measured.closedLoop(ctx, measured.callNode, measured.options.Length)
+	over := measured.openLoop(ctx, measured.callNode, peak.rate*overloadFactor)
+	met := over.rate >= minGoodputShare*peak.rate && over.other == 0
 	fmt.Fprintf(measured.options.Output, "at %dx the peak of %.0f/s: goodput %.0f/s (%.0f%% of the peak), %d refused as not run, %d other outcomes: %s\n",
 		overloadFactor, peak.rate, over.rate, 100*over.rate/peak.rate, over.notRun, over.other, verdict(met))
 	return met
@@ -146,10 +148,10 @@
 	if _, err := measured.client.Execute(ctx, measured.running.API(), "add policy p version 1; create experiment main with p share 100"); err != nil {
 		return err
 	}
-	deadline := time.Now().Add(readyLimit)
-	for measured.throughNode(ctx) != result.Done {
+	deadline := time.Now().Add(readyTimeout)
+	for measured.callNode(ctx) != result.Done {
 		if time.Now().After(deadline) {
-			return errors.New("the node does not serve")
+			return errors.New("the node did not become ready in time")
 		}
 	}
 	return nil
@@ -164,7 +166,7 @@
 	}
 }
 
-func (measured *measurement) throughNode(ctx context.Context) result.Code {
+func (measured *measurement) callNode(ctx context.Context) result.Code {
 	var answer struct {
 		Choices []struct{} `json:"choices"`
 	}
@@ -176,8 +178,8 @@
 	return result.CodeOf(measured.client.Call(ctx, measured.running.API()+"/v1/completions", body, &answer))
 }
 
-func (measured *measurement) throughEngine(ctx context.Context) result.Code {
-	chosen := measured.site.Engines()[measured.next.Add(1)%engines]
+func (measured *measurement) callEngine(ctx context.Context) result.Code {
+	chosen := measured.site.Engines()[measured.nextEngine.Add(1)%engines]
 	request := engine.Request{RequestID: uuid.NewString(), Attempt: 1, Policy: "p", Prompt: "a prompt", MaxTokens: tokens}
 	err := measured.direct.Stream(ctx, chosen.Address, request, func(rollout.Chunk) error { return nil })
 	if errors.Is(err, engine.ErrNotAccepted) {
@@ -186,15 +188,15 @@
 	return result.CodeOf(err)
 }
 
-// outcome of a phase.
+// outcome is the result of a phase.
 type outcome struct {
-	rate    float64 // calls done a second
+	rate    float64 // completed calls per second
 	latency *hdrhistogram.Histogram
 	notRun  int
 	other   int
 }
 
-// tally collects outcomes from many goroutines.
+// tally counts results. Its record method is safe for concurrent use.
 type tally struct {
 	mu      sync.Mutex
 	done    int
@@ -202,16 +204,16 @@
 }
 
 func newTally() *tally {
-	return &tally{outcome: outcome{latency: hdrhistogram.New(1, maximumMicros, digits)}}
+	return &tally{outcome: outcome{latency: hdrhistogram.New(1, maxLatencyMicros, significantDigits)}}
 }
 
-func (tally *tally) note(code result.Code, took time.Duration) {
+func (tally *tally) record(code result.Code, took time.Duration) {
 	tally.mu.Lock()
 	defer tally.mu.Unlock()
 	switch code.Class() {
 	case result.ClassDone:
 		tally.done++
-		_ = tally.outcome.latency.RecordValue(min(took.Microseconds(), maximumMicros))
+		_ = tally.outcome.latency.RecordValue(min(took.Microseconds(), maxLatencyMicros))
 	case result.ClassNotRun:
 		tally.outcome.notRun++
 	default:
@@ -224,21 +226,21 @@
 	return tally.outcome
 }
 
-func timed(ctx context.Context, tally *tally, make call) {
+func timed(ctx context.Context, tally *tally, call callFunc) {
 	began := time.Now()
-	code := make(ctx)
-	tally.note(code, time.Since(began))
+	code := call(ctx)
+	tally.record(code, time.Since(began))
 }
 
-// closedLoop keeps a fixed number of callers busy.
-func (measured *measurement) closedLoop(ctx context.Context, make call, length time.Duration) outcome {
+// closedLoop runs peakWorkers workers, each of which sends its next call when the previous one has returned.
+func (measured *measurement) closedLoop(ctx context.Context, call callFunc, length time.Duration) outcome {
 	tally := newTally()
 	began := time.Now()
 	var workers sync.WaitGroup
 	for range peakWorkers {
 		workers.Go(func() {
 			for time.Since(began) < length && ctx.Err() == nil {
-				timed(ctx, tally, make)
+				timed(ctx, tally, call)
 			}
 		})
 	}
@@ -246,8 +248,8 @@
 	return tally.finish(time.Since(began))
 }
 
-// openLoop sends calls at a rate, whether or not earlier ones were answered.
-func (measured *measurement) openLoop(ctx context.Context, make call, perSecond float64) outcome {
+// openLoop sends calls at a fixed rate without waiting for earlier calls.
+func (measured *measurement) openLoop(ctx context.Context, call callFunc, perSecond float64) outcome {
 	tally := newTally()
 	began := time.Now()
 	var pending sync.WaitGroup
@@ -257,7 +259,7 @@
 			break
 		}
 		time.Sleep(time.Until(due))
-		pending.Go(func() { timed(ctx, tally, make) })
+		pending.Go(func() { timed(ctx, tally, call) })
 	}
 	pending.Wait()
 	return tally.finish(time.Since(began))
