--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,4 +1,4 @@
-// Package report draws the plots of a run and writes them into one HTML page that opens without a network.
+// Package report writes the result of a run as a self-contained HTML page with plots.
 package report
 
 import (
@@ -32,7 +32,7 @@
 	eventColour = color.RGBA{R: 200, G: 60, B: 40, A: 130}
 )
 
-// Plot is one picture of a report.
+// Plot is a rendered plot of a report.
 type Plot struct {
 	Name    string
 	Caption string
@@ -45,7 +45,7 @@
 	for index, wait := range result.Idle {
 		idle = append(idle, plotter.XY{X: float64(index), Y: wait.Seconds()})
 	}
-	tokens, queue, newest := columns(result.Timeline.Points)
+	tokens, queue, newest := timelineCurves(result.Timeline.Points)
 	drawings := []struct {
 		name, caption, x, y string
 		points              plotter.XYs
@@ -58,20 +58,20 @@
 	}
 	var plots []Plot
 	for _, drawing := range drawings {
-		image, err := lines(drawing.caption, drawing.x, drawing.y, drawing.points, drawing.events)
+		image, err := drawCurve(drawing.caption, drawing.x, drawing.y, drawing.points, drawing.events)
 		if err != nil {
 			return nil, err
 		}
 		plots = append(plots, Plot{Name: drawing.name, Caption: drawing.caption, Image: image})
 	}
-	histogram, err := staleness(result.Staleness)
+	histogram, err := drawStaleness(result.Staleness)
 	if err != nil {
 		return nil, err
 	}
 	return append(plots, Plot{Name: "staleness", Caption: "Staleness of delivered samples", Image: histogram}), nil
 }
 
-func columns(points []scenario.Point) (tokens, queue, newest plotter.XYs) {
+func timelineCurves(points []scenario.Point) (tokens, queue, newest plotter.XYs) {
 	for _, point := range points {
 		at := point.At.Seconds()
 		tokens = append(tokens, plotter.XY{X: at, Y: point.TokensPerSecond})
@@ -81,8 +81,8 @@
 	return tokens, queue, newest
 }
 
-// lines draws one curve, with a mark for each event.
-func lines(caption, x, y string, points plotter.XYs, events []scenario.Event) ([]byte, error) {
+// drawCurve draws a curve, with a vertical line for each event.
+func drawCurve(caption, x, y string, points plotter.XYs, events []scenario.Event) ([]byte, error) {
 	drawing := plot.New()
 	drawing.Title.Text = caption
 	drawing.X.Label.Text, drawing.Y.Label.Text = x, y
@@ -101,7 +101,7 @@
 		}
 	}
 	drawing.Y.Min = 0
-	return encode(drawing)
+	return encodePNG(drawing)
 }
 
 // addEvents adds a vertical line for each event.
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// staleness draws how many samples were how many versions behind.
-func staleness(versions []uint64) ([]byte, error) {
+// drawStaleness draws a histogram of the staleness of samples.
+func drawStaleness(versions []uint64) ([]byte, error) {
 	drawing := plot.New()
 	drawing.Title.Text = "Staleness of delivered samples"
 	drawing.X.Label.Text, drawing.Y.Label.Text = "versions behind the newest", "samples"
@@ -142,10 +142,10 @@
 	}
 	drawing.NominalX(names...)
 	drawing.Y.Min = 0
-	return encode(drawing)
+	return encodePNG(drawing)
 }
 
-func encode(drawing *plot.Plot) ([]byte, error) {
+func encodePNG(drawing *plot.Plot) ([]byte, error) {
 	writer, err := drawing.WriterTo(width, height, "png")
 	if err != nil {
 		return nil, errors.Wrap(err, "plot")
@@ -160,11 +160,11 @@
 	Side    string
 	Result  scenario.Result
 	Idle    float64
-	Plots   []picture
+	Plots   []pageImage
 	Written string
 }
 
-type picture struct {
+type pageImage struct {
 	Caption string
 	Source  template.URL
 }
@@ -189,7 +189,7 @@
 <p>Written {{.Written}}.</p></body></html>
 `))
 
-// Write writes report.html and one PNG file a plot into a folder.
+// Write writes report.html and one PNG file per plot into a folder.
 func Write(folder, title string, side scenario.Side, result scenario.Result) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return errors.Wrap(err, "report folder")
@@ -207,7 +207,7 @@
 			return errors.Wrap(err, "plot")
 		}
 		source := "data:image/png;base64," + base64.StdEncoding.EncodeToString(drawn.Image)
-		content.Plots = append(content.Plots, picture{Caption: drawn.Caption, Source: template.URL(source)})
+		content.Plots = append(content.Plots, pageImage{Caption: drawn.Caption, Source: template.URL(source)})
 	}
 	var html bytes.Buffer
 	if err := pageTemplate.Execute(&html, content); err != nil {
