--- a/internal/lab/platform/cache.go
+++ b/internal/lab/platform/cache.go
@@ -9,10 +9,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// prefixCache remembers the prompts read last, the least recently used first.
+// prefixCache is an LRU cache of prompt prefixes. It records its insertions and evictions as events.
 type prefixCache struct {
 	size   int
-	keys   []uint64
+	keys   []uint64 // least recently used first
 	events []cacheEvent
 	number uint64
 }
@@ -24,51 +24,52 @@
 	at     time.Time
 }
 
-// Events are published late and with gaps: only the newest ones are kept, and every eighth is lost.
+// The event feed is incomplete on purpose: only the newest events are kept, and one in dropInterval is dropped.
 const (
-	keptEvents = 256
-	lostEvent  = 8
+	maxCacheEvents = 256
+	dropInterval   = 8
 )
 
 func newPrefixCache(size int) *prefixCache { return &prefixCache{size: size} }
 
-// read notes that a prompt is read and returns whether it was not cached.
-func (cache *prefixCache) read(prompt string) bool {
-	return cache.store(xxhash.Sum64String(prompt))
+// insertPrompt makes a prompt the most recently used entry and reports whether it was missing from the cache.
+func (cache *prefixCache) insertPrompt(prompt string) bool {
+	return cache.insert(xxhash.Sum64String(prompt))
 }
 
-func (cache *prefixCache) store(key uint64) bool {
+func (cache *prefixCache) insert(key uint64) bool {
 	index := slices.Index(cache.keys, key)
 	if index >= 0 {
 		cache.keys = append(slices.Delete(cache.keys, index, index+1), key)
 		return false
 	}
 	cache.keys = append(cache.keys, key)
-	cache.note(key, true)
+	cache.recordEvent(key, true)
 	if len(cache.keys) > cache.size {
-		cache.note(cache.keys[0], false)
+		cache.recordEvent(cache.keys[0], false)
 		cache.keys = cache.keys[1:]
 	}
 	return true
 }
 
-func (cache *prefixCache) note(key uint64, stored bool) {
+func (cache *prefixCache) recordEvent(key uint64, stored bool) {
 	cache.number++
-	if cache.number%lostEvent == 0 {
+	if cache.number%dropInterval == 0 {
 		return
 	}
 	cache.events = append(cache.events, cacheEvent{Number: cache.number, Prefix: key, Stored: stored, at: time.Now()})
-	if len(cache.events) > keptEvents {
+	if len(cache.events) > maxCacheEvents {
 		cache.events = cache.events[1:]
 	}
 }
 
+// cacheEvents serves the cache events that are older than ReportLag.
 func (model *Engine) cacheEvents(writer http.ResponseWriter, _ *http.Request) {
 	model.mu.Lock()
-	late := time.Now().Add(-model.settings.ReportLag)
+	cutoff := time.Now().Add(-model.settings.ReportLag)
 	events := []cacheEvent{}
 	for _, event := range model.cache.events {
-		if event.at.Before(late) {
+		if event.at.Before(cutoff) {
 			events = append(events, event)
 		}
 	}
@@ -92,7 +93,7 @@
 	model.mu.Lock()
 	defer model.mu.Unlock()
 	for _, key := range keys {
-		model.cache.store(key)
+		model.cache.insert(key)
 	}
 	writeJSON(writer, http.StatusOK, struct{}{})
 }
--- a/internal/lab/platform/engine.go
+++ b/internal/lab/platform/engine.go
@@ -9,42 +9,42 @@
 	"github.com/thistlewalk/thistlewalk/internal/engine"
 )
 
-// EngineSettings describe the model of an engine's speed and memory.
+// EngineSettings are the parameters of a simulated engine: its speed, batch size, cache and reporting lag.
 type EngineSettings struct {
 	ID string
-	// Capacity is the greatest batch.
+	// Capacity is the maximum batch size.
 	Capacity int
-	// TokensPerSecond is one stream's rate alone in the batch.
+	// TokensPerSecond is the decode rate of a stream that is alone in the batch.
 	TokensPerSecond float64
-	// BatchSlowdown is how much each further stream slows every stream: rate = TokensPerSecond / (1 + slowdown*(n-1)).
+	// BatchSlowdown is the slowdown caused by each additional stream: rate = TokensPerSecond / (1 + BatchSlowdown*(n-1)).
 	BatchSlowdown float64
-	// PrefillPerSecond is the rate at which prompt tokens that are not cached are read.
+	// PrefillPerSecond is the prefill rate of uncached prompts, in tokens per second.
 	PrefillPerSecond float64
-	// CachedPrefixes is how many prompt prefixes fit in the cache.
+	// CachedPrefixes is the capacity of the prefix cache, in prompts.
 	CachedPrefixes int
-	// ChunkTokens is how many tokens a chunk carries; the last one may carry fewer.
+	// ChunkTokens is the number of tokens per chunk; the last chunk of a stream may hold fewer.
 	ChunkTokens int
-	// ReportLag is the age of the load that the engine reports.
+	// ReportLag is the age of the load figures and cache events that the engine reports.
 	ReportLag time.Duration
-	// StageTime is how long weights take to load once the weight store gives them.
+	// StageTime is the time that loading weights takes after their transfer from the weight store.
 	StageTime time.Duration
-	// RoundTime is the time of one round of the batch; zero is 5 ms.
+	// RoundTime is the interval between two scheduling rounds of the batch; zero selects 5 ms.
 	RoundTime time.Duration
 	// Lengths is the distribution of completion lengths.
 	Lengths Lengths
 }
 
-// EngineFaults are the faults of an engine. The zero value is none.
+// EngineFaults are the faults injected into an engine. The zero value injects none.
 type EngineFaults struct {
-	// KeepVersion makes the engine acknowledge an activation and stay on its version.
+	// KeepVersion makes the engine acknowledge activations without changing its active version.
 	KeepVersion bool
 	// RefuseOrders makes every order fail.
 	RefuseOrders bool
-	// Frozen stops all work and answers without closing connections.
+	// Frozen suspends token generation and new calls but keeps connections open.
 	Frozen bool
-	// CutAfterChunks cuts the next stream after so many chunks; zero never.
+	// CutAfterChunks breaks one stream after this many chunks, then resets to zero; zero breaks none.
 	CutAfterChunks int
-	// RefuseNew refuses new requests, saying so.
+	// RefuseNew makes the engine reject new requests with the reason "leaving".
 	RefuseNew bool
 }
 
@@ -54,26 +54,26 @@
 	staging uint64
 }
 
-// Engine is one model engine. It is safe for concurrent use.
+// Engine simulates one model engine. It is safe for concurrent use.
 type Engine struct {
-	settings EngineSettings
-	truth    *Truth
-	weights  func(ctx context.Context, policy string, version uint64) error
-
-	mu       sync.Mutex
-	policies map[string]*policyWeights
-	fence    engine.Fence
-	role     string
-	leaving  bool
-	faults   EngineFaults
-	running  []*stream
-	waiting  []*stream
-	cache    *prefixCache
-	reports  []timedReport
-	looping  bool
-	closed   bool
-	tokens   int64
-	busy     time.Duration
+	settings     EngineSettings
+	truth        *Truth
+	fetchWeights func(ctx context.Context, policy string, version uint64) error
+
+	mu          sync.Mutex
+	policies    map[string]*policyWeights
+	fence       engine.Fence // greatest fence accepted
+	role        string
+	leaving     bool
+	faults      EngineFaults
+	running     []*stream
+	waiting     []*stream
+	cache       *prefixCache
+	reports     []timedReport // oldest first
+	loopRunning bool          // true while a goroutine runs the batch
+	closed      bool
+	tokens      int64
+	busy        time.Duration
 
 	ctx  context.Context
 	stop context.CancelFunc
@@ -85,17 +85,17 @@
 	report engine.Report
 }
 
-// NewEngine returns an engine without weights. weights fetches from the weight store.
-func NewEngine(settings EngineSettings, truth *Truth, weights func(ctx context.Context, policy string, version uint64) error) *Engine {
+// NewEngine returns an engine that has no weights loaded. fetchWeights transfers a version from the weight store.
+func NewEngine(settings EngineSettings, truth *Truth, fetchWeights func(ctx context.Context, policy string, version uint64) error) *Engine {
 	ctx, stop := context.WithCancel(context.Background())
 	if settings.RoundTime == 0 {
 		settings.RoundTime = defaultRoundTime
 	}
-	return &Engine{settings: settings, truth: truth, weights: weights, policies: make(map[string]*policyWeights),
+	return &Engine{settings: settings, truth: truth, fetchWeights: fetchWeights, policies: make(map[string]*policyWeights),
 		cache: newPrefixCache(settings.CachedPrefixes), ctx: ctx, stop: stop}
 }
 
-// Close ends the engine as a crash does: every stream breaks.
+// Close stops the engine like a crash: every stream breaks.
 func (model *Engine) Close() {
 	model.mu.Lock()
 	model.closed = true
@@ -108,21 +108,21 @@
 	model.done.Wait()
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (model *Engine) SetFaults(faults EngineFaults) {
 	model.mu.Lock()
 	defer model.mu.Unlock()
 	model.faults = faults
 }
 
-// Leave makes the engine report that it leaves.
+// Leave makes the engine report that it is leaving and reject new requests.
 func (model *Engine) Leave() {
 	model.mu.Lock()
 	defer model.mu.Unlock()
 	model.leaving = true
 }
 
-// Active returns the version that the engine truly runs of a policy.
+// Active returns the version of a policy that the engine really runs, or zero.
 func (model *Engine) Active(policy string) uint64 {
 	model.mu.Lock()
 	defer model.mu.Unlock()
@@ -132,37 +132,37 @@
 	return 0
 }
 
-// Preload makes the engine run a version without an order, as one that was running before.
+// Preload activates a version without an order, as if the engine had been serving it before.
 func (model *Engine) Preload(policy string, version uint64) {
 	model.mu.Lock()
 	defer model.mu.Unlock()
 	model.policies[policy] = &policyWeights{active: version, staged: version}
 }
 
-// Totals returns the tokens produced and the time that at least one stream ran.
+// Totals returns the number of tokens produced and the time during which at least one stream was running.
 func (model *Engine) Totals() (tokens int64, busy time.Duration) {
 	model.mu.Lock()
 	defer model.mu.Unlock()
 	return model.tokens, model.busy
 }
 
-// Handler serves the protocol.
+// Handler serves the engine protocol.
 func (model *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/completions", model.thawed(model.completions))
-	mux.HandleFunc("POST /v1/cancel", model.thawed(model.cancel))
-	mux.HandleFunc("POST /v1/orders", model.thawed(model.orders))
-	mux.HandleFunc("GET /v1/load", model.thawed(model.load))
-	mux.HandleFunc("GET /v1/cache/events", model.thawed(model.cacheEvents))
-	mux.HandleFunc("POST /v1/cache/export", model.thawed(model.cacheExport))
-	mux.HandleFunc("POST /v1/cache/import", model.thawed(model.cacheImport))
+	mux.HandleFunc("POST /v1/completions", model.waitWhileFrozen(model.completions))
+	mux.HandleFunc("POST /v1/cancel", model.waitWhileFrozen(model.cancel))
+	mux.HandleFunc("POST /v1/orders", model.waitWhileFrozen(model.orders))
+	mux.HandleFunc("GET /v1/load", model.waitWhileFrozen(model.load))
+	mux.HandleFunc("GET /v1/cache/events", model.waitWhileFrozen(model.cacheEvents))
+	mux.HandleFunc("POST /v1/cache/export", model.waitWhileFrozen(model.cacheExport))
+	mux.HandleFunc("POST /v1/cache/import", model.waitWhileFrozen(model.cacheImport))
 	return mux
 }
 
-const frozenPoll = 20 * time.Millisecond
+const frozenPollInterval = 20 * time.Millisecond
 
-// thawed holds calls back while the engine is frozen.
-func (model *Engine) thawed(next http.HandlerFunc) http.HandlerFunc {
+// waitWhileFrozen wraps a handler so that calls wait while the engine is frozen.
+func (model *Engine) waitWhileFrozen(next http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		for {
 			model.mu.Lock()
@@ -174,14 +174,14 @@
 			select {
 			case <-request.Context().Done():
 				return
-			case <-time.After(frozenPoll):
+			case <-time.After(frozenPollInterval):
 			}
 		}
 		next(writer, request)
 	}
 }
 
-// Staged returns the version that the engine holds ready beside the active one.
+// Staged returns the version of a policy that the engine staged last, or zero.
 func (model *Engine) Staged(policy string) uint64 {
 	model.mu.Lock()
 	defer model.mu.Unlock()
@@ -191,14 +191,14 @@
 	return 0
 }
 
-// Occupancy returns how many requests run or wait.
+// Occupancy returns the number of running and queued requests.
 func (model *Engine) Occupancy() int {
 	model.mu.Lock()
 	defer model.mu.Unlock()
 	return len(model.running) + len(model.waiting)
 }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of queued requests.
 func (model *Engine) Waiting() int {
 	model.mu.Lock()
 	defer model.mu.Unlock()
--- a/internal/lab/platform/keyvalue.go
+++ b/internal/lab/platform/keyvalue.go
@@ -15,58 +15,58 @@
 	"github.com/thistlewalk/thistlewalk/internal/keyvalue"
 )
 
-// KeyValueFaults are the faults of the key-value service. The zero value is none.
+// KeyValueFaults are the faults injected into the key-value service. The zero value injects none.
 type KeyValueFaults struct {
-	// Down refuses every call.
+	// Down rejects every call.
 	Down bool
-	// Delay slows every call.
+	// Delay is added to every call.
 	Delay time.Duration
-	// LoseAnswers drops the answers of the next so many writes after they took effect.
+	// LoseAnswers is the number of writes that take effect although their response is dropped.
 	LoseAnswers int
 }
 
-// KeyValue is the key-value service. It is safe for concurrent use.
+// KeyValue is an in-memory key-value service with leases and watches. It is safe for concurrent use.
 type KeyValue struct {
-	mu       sync.Mutex
-	revision uint64
-	items    map[string]keyvalue.Item
-	leases   map[keyvalue.LeaseID]*lease
-	attached map[string]keyvalue.LeaseID // by key
-	granted  uint64
-	changed  chan struct{}
-	faults   KeyValueFaults
-	limiter  *rate.Limiter
-	calls    uint64
-	refused  uint64
-	history  []keyvalue.Item
+	mu        sync.Mutex
+	revision  uint64
+	items     map[string]keyvalue.Item
+	leases    map[keyvalue.LeaseID]*lease
+	attached  map[string]keyvalue.LeaseID // by key
+	lastLease uint64                      // number of the last lease granted
+	changed   chan struct{}               // closed and replaced at each change
+	faults    KeyValueFaults
+	limiter   *rate.Limiter
+	calls     uint64
+	refused   uint64
+	history   []keyvalue.Item // every write
 }
 
 type lease struct {
-	life    time.Duration
+	ttl     time.Duration
 	expires time.Time
 }
 
-// NewKeyValue returns an empty service that takes perSecond calls with bursts of as many.
+// NewKeyValue returns an empty service that accepts perSecond calls per second, with bursts of the same size.
 func NewKeyValue(perSecond float64) *KeyValue {
 	return &KeyValue{items: make(map[string]keyvalue.Item), leases: make(map[keyvalue.LeaseID]*lease), attached: make(map[string]keyvalue.LeaseID),
 		changed: make(chan struct{}), limiter: rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (service *KeyValue) SetFaults(faults KeyValueFaults) {
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	service.faults = faults
 }
 
-// Calls returns how many calls were taken and how many the rate limit refused.
-func (service *KeyValue) Calls() (taken, refused uint64) {
+// Calls returns the number of calls received and the number of those that the rate limit rejected.
+func (service *KeyValue) Calls() (received, refused uint64) {
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	return service.calls, service.refused
 }
 
-// Item returns a stored key.
+// Item returns the stored value of a key.
 func (service *KeyValue) Item(key string) (keyvalue.Item, bool) {
 	service.mu.Lock()
 	defer service.mu.Unlock()
@@ -74,24 +74,24 @@
 	return item, ok
 }
 
-// History returns every value that was ever stored, in order.
+// History returns every value ever written, in order.
 func (service *KeyValue) History() []keyvalue.Item {
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	return slices.Clone(service.history)
 }
 
-// Restore replaces a key's value by an older one without a trace, as a restored backup would.
+// Restore writes an old value under a new revision and leaves it out of the history, like a restored backup.
 func (service *KeyValue) Restore(item keyvalue.Item) {
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	service.revision++
 	item.Revision = service.revision
 	service.items[item.Key] = item
-	service.announce()
+	service.wakeWatches()
 }
 
-// Handler serves the protocol.
+// Handler serves the protocol of the key-value service.
 func (service *KeyValue) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/kv", service.guard(service.list))
@@ -103,7 +103,7 @@
 	return mux
 }
 
-// guard applies the faults and the rate limit.
+// guard applies the rate limit and the injected faults to a call.
 func (service *KeyValue) guard(next http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		service.mu.Lock()
@@ -123,13 +123,13 @@
 		}
 		time.Sleep(faults.Delay)
 		next(writer, request)
-		if request.Method != http.MethodGet && service.loseAnswer() {
+		if request.Method != http.MethodGet && service.dropResponse() {
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-func (service *KeyValue) loseAnswer() bool {
+func (service *KeyValue) dropResponse() bool {
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	if service.faults.LoseAnswers == 0 {
@@ -152,7 +152,7 @@
 	writeJSON(writer, http.StatusOK, listing)
 }
 
-// listing returns the keys under a prefix; must hold mu.
+// listing returns the items under a prefix, sorted by key. The caller must hold mu.
 func (service *KeyValue) listing(prefix string) keyvalue.Listing {
 	service.expire()
 	listing := keyvalue.Listing{Revision: service.revision}
@@ -165,7 +165,7 @@
 	return listing
 }
 
-// expire ends leases and deletes their keys; must hold mu.
+// expire ends the leases whose TTL has passed. The caller must hold mu.
 func (service *KeyValue) expire() {
 	now := time.Now()
 	for id, lease := range service.leases {
@@ -175,7 +175,7 @@
 	}
 }
 
-// endLease must hold mu.
+// endLease removes a lease and deletes the keys attached to it. The caller must hold mu.
 func (service *KeyValue) endLease(id keyvalue.LeaseID) {
 	delete(service.leases, id)
 	for key, attached := range service.attached {
@@ -183,19 +183,19 @@
 			delete(service.attached, key)
 			delete(service.items, key)
 			service.revision++
-			service.announce()
+			service.wakeWatches()
 		}
 	}
 }
 
-// announce wakes watches; must hold mu.
-func (service *KeyValue) announce() {
+// wakeWatches wakes all watches. The caller must hold mu.
+func (service *KeyValue) wakeWatches() {
 	close(service.changed)
 	service.changed = make(chan struct{})
 }
 
-// watchStep bounds how long a watch does not look for expired leases.
-const watchStep = 250 * time.Millisecond
+// expiryCheckInterval is the interval at which a waiting watch checks for expired leases.
+const expiryCheckInterval = 250 * time.Millisecond
 
 func (service *KeyValue) watch(writer http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
@@ -218,7 +218,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(min(watchStep, time.Until(deadline))):
+		case <-time.After(min(expiryCheckInterval, time.Until(deadline))):
 		case <-request.Context().Done():
 			return
 		}
@@ -234,9 +234,9 @@
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	service.expire()
-	present := service.items[swap.Key]
-	if present.Revision != swap.Expected {
-		writeJSON(writer, http.StatusConflict, present)
+	current := service.items[swap.Key]
+	if current.Revision != swap.Expected {
+		writeJSON(writer, http.StatusConflict, current)
 		return
 	}
 	if swap.Lease != "" {
@@ -250,7 +250,7 @@
 	item := keyvalue.Item{Key: swap.Key, Value: swap.Value, Revision: service.revision}
 	service.items[swap.Key] = item
 	service.history = append(service.history, item)
-	service.announce()
+	service.wakeWatches()
 	writeJSON(writer, http.StatusOK, keyvalue.Item{Key: swap.Key, Revision: item.Revision})
 }
 
@@ -267,10 +267,10 @@
 	}
 	service.mu.Lock()
 	defer service.mu.Unlock()
-	service.granted++
-	message.ID = keyvalue.LeaseID(fmt.Sprintf("lease-%d", service.granted))
-	life := time.Duration(message.Milliseconds) * time.Millisecond
-	service.leases[message.ID] = &lease{life: life, expires: time.Now().Add(life)}
+	service.lastLease++
+	message.ID = keyvalue.LeaseID(fmt.Sprintf("lease-%d", service.lastLease))
+	ttl := time.Duration(message.Milliseconds) * time.Millisecond
+	service.leases[message.ID] = &lease{ttl: ttl, expires: time.Now().Add(ttl)}
 	writeJSON(writer, http.StatusOK, message)
 }
 
@@ -283,7 +283,7 @@
 		http.Error(writer, "no such lease", http.StatusNotFound)
 		return
 	}
-	found.expires = time.Now().Add(found.life)
+	found.expires = time.Now().Add(found.ttl)
 	writeJSON(writer, http.StatusOK, struct{}{})
 }
 
--- a/internal/lab/platform/machines.go
+++ b/internal/lab/platform/machines.go
@@ -11,32 +11,32 @@
 	"github.com/thistlewalk/thistlewalk/internal/machines"
 )
 
-// MachineList is the lagging machine list: a change is seen only after the lag. It is safe for concurrent use.
+// MachineList is a machine list that shows each change only after a fixed lag. It is safe for concurrent use.
 type MachineList struct {
 	mu       sync.Mutex
 	lag      time.Duration
 	revision uint64
-	present  map[string]machines.Machine
-	changes  []machineChange
+	current  map[string]machines.Machine
+	changes  []machineChange // not yet visible, oldest first
 }
 
 type machineChange struct {
-	visible time.Time
-	machine machines.Machine
-	removed bool
+	visibleAt time.Time
+	machine   machines.Machine
+	removed   bool
 }
 
-// NewMachineList returns an empty list.
+// NewMachineList returns an empty list whose changes become visible after lag.
 func NewMachineList(lag time.Duration) *MachineList {
-	return &MachineList{lag: lag, present: make(map[string]machines.Machine)}
+	return &MachineList{lag: lag, current: make(map[string]machines.Machine)}
 }
 
-// Put adds or changes a machine.
+// Put adds or replaces a machine.
 func (list *MachineList) Put(machine machines.Machine) {
 	list.change(machineChange{machine: machine})
 }
 
-// Remove takes a machine off the list.
+// Remove deletes a machine from the list.
 func (list *MachineList) Remove(id string) {
 	list.change(machineChange{machine: machines.Machine{ID: id}, removed: true})
 }
@@ -44,22 +44,22 @@
 func (list *MachineList) change(change machineChange) {
 	list.mu.Lock()
 	defer list.mu.Unlock()
-	change.visible = time.Now().Add(list.lag)
+	change.visibleAt = time.Now().Add(list.lag)
 	list.changes = append(list.changes, change)
 }
 
-// settle makes due changes visible; must hold mu.
-func (list *MachineList) settle() {
+// applyDue applies the changes whose lag has passed. The caller must hold mu.
+func (list *MachineList) applyDue() {
 	now := time.Now()
-	for len(list.changes) > 0 && !list.changes[0].visible.After(now) {
+	for len(list.changes) > 0 && !list.changes[0].visibleAt.After(now) {
 		change := list.changes[0]
 		list.changes = list.changes[1:]
 		list.revision++
 		if change.removed {
-			delete(list.present, change.machine.ID)
+			delete(list.current, change.machine.ID)
 			continue
 		}
-		list.present[change.machine.ID] = change.machine
+		list.current[change.machine.ID] = change.machine
 	}
 }
 
@@ -70,17 +70,17 @@
 		after, _ := strconv.ParseUint(request.URL.Query().Get("after"), 10, 64)
 		list.mu.Lock()
 		defer list.mu.Unlock()
-		list.settle()
+		list.applyDue()
 		if list.revision <= after {
 			writer.WriteHeader(http.StatusNotModified)
 			return
 		}
-		answer := machines.List{Revision: list.revision}
-		for _, machine := range list.present {
-			answer.Machines = append(answer.Machines, machine)
+		response := machines.List{Revision: list.revision}
+		for _, machine := range list.current {
+			response.Machines = append(response.Machines, machine)
 		}
-		slices.SortFunc(answer.Machines, func(a, b machines.Machine) int { return strings.Compare(a.ID, b.ID) })
-		writeJSON(writer, http.StatusOK, answer)
+		slices.SortFunc(response.Machines, func(a, b machines.Machine) int { return strings.Compare(a.ID, b.ID) })
+		writeJSON(writer, http.StatusOK, response)
 	})
 	return mux
 }
--- a/internal/lab/platform/orders.go
+++ b/internal/lab/platform/orders.go
@@ -8,6 +8,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/engine"
 )
 
+// orders serves POST /v1/orders: it rejects stale fences and applies the order.
 func (model *Engine) orders(writer http.ResponseWriter, request *http.Request) {
 	var order engine.Order
 	if err := json.NewDecoder(request.Body).Decode(&order); err != nil {
@@ -20,28 +21,28 @@
 		http.Error(writer, "out of memory", http.StatusInternalServerError)
 		return
 	}
-	if !follows(order.Fence, model.fence) {
+	if !fenceAllowed(order.Fence, model.fence) {
 		writeJSON(writer, http.StatusConflict, model.fence)
 		return
 	}
 	model.fence = order.Fence
-	if !model.obey(order) {
+	if !model.apply(order) {
 		http.Error(writer, "version not staged", http.StatusPreconditionFailed)
 		return
 	}
 	writeJSON(writer, http.StatusOK, struct{}{})
 }
 
-// follows reports whether an order's fence is not behind the greatest taken.
-func follows(next, present engine.Fence) bool {
+// fenceAllowed reports whether an order with the fence next may be accepted after present, the greatest fence accepted so far.
+func fenceAllowed(next, present engine.Fence) bool {
 	if next.Term != present.Term {
 		return next.Term > present.Term
 	}
 	return next.Holder == present.Holder && next.Revision >= present.Revision
 }
 
-// obey does what an order asks; must hold mu.
-func (model *Engine) obey(order engine.Order) bool {
+// apply applies an order and returns false if the order activates a version that is not staged. The caller must hold mu.
+func (model *Engine) apply(order engine.Order) bool {
 	weights, held := model.policies[order.Policy]
 	switch order.Action {
 	case engine.ActionStage:
@@ -72,9 +73,9 @@
 
 const stageRetry = 100 * time.Millisecond
 
-// stage fetches weights, again while the weight store limits the rate, and loads them.
+// stage transfers weights from the weight store, retrying on every error, and loads them.
 func (model *Engine) stage(policy string, version uint64) {
-	for model.weights(model.ctx, policy, version) != nil {
+	for model.fetchWeights(model.ctx, policy, version) != nil {
 		select {
 		case <-model.ctx.Done():
 			return
@@ -93,13 +94,14 @@
 	}
 }
 
-// load reports the engine's state of a moment ago; what it holds is reported as it is.
+// load serves GET /v1/load. The load figures are at least ReportLag old once the engine has that much history; all other
+// fields are current.
 func (model *Engine) load(writer http.ResponseWriter, _ *http.Request) {
 	model.mu.Lock()
 	defer model.mu.Unlock()
 	now := time.Now()
-	fresh := engine.Report{Running: len(model.running), Queued: len(model.waiting), Capacity: model.settings.Capacity}
-	model.reports = append(model.reports, timedReport{now, fresh})
+	current := engine.Report{Running: len(model.running), Queued: len(model.waiting), Capacity: model.settings.Capacity}
+	model.reports = append(model.reports, timedReport{now, current})
 	for len(model.reports) > 1 && now.Sub(model.reports[1].at) >= model.settings.ReportLag {
 		model.reports = model.reports[1:]
 	}
--- a/internal/lab/platform/services.go
+++ b/internal/lab/platform/services.go
@@ -12,14 +12,14 @@
 	"github.com/thistlewalk/thistlewalk/internal/scoring"
 )
 
-// WeightStore hands out weights at a limited rate.
+// WeightStore accepts weight transfers at a limited rate.
 type WeightStore struct {
-	limiter *rate.Limiter
-	taken   atomic.Int64
-	refused atomic.Int64
+	limiter  *rate.Limiter
+	accepted atomic.Int64
+	rejected atomic.Int64
 }
 
-// NewWeightStore returns a store that starts perSecond transfers a second.
+// NewWeightStore returns a store that accepts perSecond transfers per second, with bursts of the same size.
 func NewWeightStore(perSecond float64) *WeightStore {
 	return &WeightStore{limiter: rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))}
 }
@@ -29,34 +29,34 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/weights/{policy}/{version}", func(writer http.ResponseWriter, _ *http.Request) {
 		if !store.limiter.Allow() {
-			store.refused.Add(1)
+			store.rejected.Add(1)
 			http.Error(writer, "rate limit", http.StatusTooManyRequests)
 			return
 		}
-		store.taken.Add(1)
+		store.accepted.Add(1)
 		writeJSON(writer, http.StatusOK, struct{}{})
 	})
 	return mux
 }
 
-// Transfers returns how many transfers were started and refused.
-func (store *WeightStore) Transfers() (taken, refused int64) {
-	return store.taken.Load(), store.refused.Load()
+// Transfers returns the number of accepted and the number of rejected transfers.
+func (store *WeightStore) Transfers() (accepted, rejected int64) {
+	return store.accepted.Load(), store.rejected.Load()
 }
 
-// Scorer is the scoring service: a score is a hash of what is scored.
+// Scorer is a scoring service that derives each score from a hash of policy, prompt and completion.
 type Scorer struct {
 	delay time.Duration
 	down  atomic.Bool
 }
 
-// NewScorer returns a scorer that takes the time given for each score.
+// NewScorer returns a scorer that responds after delay.
 func NewScorer(delay time.Duration) *Scorer { return &Scorer{delay: delay} }
 
-// SetDown makes the scorer refuse.
+// SetDown makes the scorer reject calls while down is true.
 func (scorer *Scorer) SetDown(down bool) { scorer.down.Store(down) }
 
-// ScoreOf returns the score that the service gives, from 0 to 1.
+// ScoreOf returns the score that the service assigns to a completion, in [0, 1).
 func ScoreOf(policy, prompt, completion string) float64 {
 	const scale = 1 << 20
 	return float64(xxhash.Sum64String(policy+"\x00"+prompt+"\x00"+completion)%scale) / scale
--- a/internal/lab/platform/streams.go
+++ b/internal/lab/platform/streams.go
@@ -22,21 +22,21 @@
 	errCut       = errors.New("stream cut")
 )
 
-// streamBuffer is how many chunks a slow reader may be behind before its stream waits.
+// streamBuffer is the number of unread chunks at which a stream pauses for a slow reader.
 const streamBuffer = 64
 
-// stream is one request in an engine. Its fields are guarded by the engine's mu, but for chunks.
+// stream is one request in an engine. The engine's mu guards all fields except chunks.
 type stream struct {
-	request  engine.Request
-	length   int // tokens of the whole completion
-	produced int
-	readyAt  time.Time // when its prompt has been read
-	credit   float64   // tokens earned and not yet produced
-	arrived  time.Time
-	sent     int
-	chunks   chan wireChunk
-	failure  error
-	ended    bool
+	request    engine.Request
+	length     int // tokens of the whole completion
+	produced   int
+	readyAt    time.Time // end of prefill
+	credit     float64   // tokens that the elapsed time allows but that are not yet produced
+	arrived    time.Time
+	sentChunks int
+	chunks     chan wireChunk
+	failure    error
+	ended      bool
 }
 
 type wireChunk struct {
@@ -50,7 +50,7 @@
 	FinishReason string    `json:"finish_reason,omitempty"`
 }
 
-// end closes the stream; must hold the engine's mu.
+// end closes the stream unless it has already ended. The caller must hold the engine's mu.
 func (stream *stream) end(failure error) {
 	if !stream.ended {
 		stream.ended = true
@@ -59,20 +59,21 @@
 	}
 }
 
-type refusal struct {
+type rejection struct {
 	Accepted bool   `json:"accepted"`
 	Reason   string `json:"reason"`
 }
 
+// completions serves POST /v1/completions as a stream of server-sent events.
 func (model *Engine) completions(writer http.ResponseWriter, request *http.Request) {
 	var body engine.Request
 	if err := json.NewDecoder(request.Body).Decode(&body); err != nil {
-		writeJSON(writer, http.StatusBadRequest, refusal{Reason: "bad body"})
+		writeJSON(writer, http.StatusBadRequest, rejection{Reason: "bad body"})
 		return
 	}
 	accepted, reason := model.accept(body)
 	if accepted == nil {
-		writeJSON(writer, http.StatusServiceUnavailable, refusal{Reason: reason})
+		writeJSON(writer, http.StatusServiceUnavailable, rejection{Reason: reason})
 		return
 	}
 	writer.Header().Set("Content-Type", "text/event-stream")
@@ -97,7 +98,7 @@
 	}
 }
 
-// finishStream ends the answer, or breaks the connection when the stream failed.
+// finishStream completes the response, or breaks the connection if the stream failed.
 func (model *Engine) finishStream(writer http.ResponseWriter, ended *stream) {
 	model.mu.Lock()
 	failure := ended.failure
@@ -108,6 +109,7 @@
 	_, _ = fmt.Fprint(writer, "data: [DONE]\n\n")
 }
 
+// abandon ends a stream whose client has disconnected.
 func (model *Engine) abandon(stream *stream) {
 	model.mu.Lock()
 	defer model.mu.Unlock()
@@ -115,14 +117,14 @@
 	model.remove(stream)
 }
 
-// remove takes a stream off both lists; must hold mu.
-func (model *Engine) remove(gone *stream) {
-	isGone := func(candidate *stream) bool { return candidate == gone }
-	model.running = slices.DeleteFunc(model.running, isGone)
-	model.waiting = slices.DeleteFunc(model.waiting, isGone)
+// remove deletes a stream from the batch and the queue. The caller must hold mu.
+func (model *Engine) remove(target *stream) {
+	isTarget := func(candidate *stream) bool { return candidate == target }
+	model.running = slices.DeleteFunc(model.running, isTarget)
+	model.waiting = slices.DeleteFunc(model.waiting, isTarget)
 }
 
-// accept takes a request into the queue, or says why not.
+// accept queues a request. If it rejects the request, it returns nil and the reason.
 func (model *Engine) accept(request engine.Request) (*stream, string) {
 	model.mu.Lock()
 	defer model.mu.Unlock()
@@ -139,21 +141,21 @@
 	}
 	accepted := &stream{request: request, arrived: time.Now(), chunks: make(chan wireChunk, streamBuffer),
 		length: model.settings.Lengths.Of(request.RequestID, request.MaxTokens), produced: len(request.ResumeTokens)}
-	model.truth.begin(Begun{Engine: model.settings.ID, RequestID: request.RequestID, Attempt: request.Attempt, At: time.Now()})
+	model.truth.recordAttempt(Begun{Engine: model.settings.ID, RequestID: request.RequestID, Attempt: request.Attempt, At: time.Now()})
 	model.waiting = append(model.waiting, accepted)
-	if !model.looping {
-		model.looping = true
+	if !model.loopRunning {
+		model.loopRunning = true
 		model.done.Go(model.loop)
 	}
 	return accepted, ""
 }
 
-// queuePerSlot bounds the queue as a multiple of the capacity.
+// queuePerSlot is the maximum queue length as a multiple of the capacity.
 const queuePerSlot = 8
 
 const defaultRoundTime = 5 * time.Millisecond
 
-// loop runs the batch until nothing is left.
+// loop runs the batch until the engine is idle or closed.
 func (model *Engine) loop() {
 	last := time.Now()
 	for {
@@ -170,7 +172,7 @@
 	}
 }
 
-// round admits waiting streams and lets every running one earn tokens; it returns false when the engine is idle.
+// round admits queued streams and advances every running stream by the time passed. It returns false if the engine is idle.
 func (model *Engine) round(now time.Time, passed time.Duration) bool {
 	model.mu.Lock()
 	defer model.mu.Unlock()
@@ -179,7 +181,7 @@
 	}
 	model.admit(now)
 	if len(model.running) == 0 {
-		model.looping = false
+		model.loopRunning = false
 		return false
 	}
 	model.busy += passed
@@ -197,7 +199,7 @@
 	return true
 }
 
-// admit fills the batch, the greatest priority first; must hold mu.
+// admit moves queued streams into the batch by descending priority, then by arrival. The caller must hold mu.
 func (model *Engine) admit(now time.Time) {
 	slices.SortStableFunc(model.waiting, func(a, b *stream) int {
 		return cmp.Or(cmp.Compare(b.request.Priority, a.request.Priority), a.arrived.Compare(b.arrived))
@@ -205,8 +207,8 @@
 	for len(model.running) < model.settings.Capacity && len(model.waiting) > 0 {
 		next := model.waiting[0]
 		model.waiting = model.waiting[1:]
-		unread := model.cache.read(next.request.Policy + "\x00" + next.request.Prompt)
-		if unread {
+		cacheMiss := model.cache.insertPrompt(next.request.Policy + "\x00" + next.request.Prompt)
+		if cacheMiss {
 			seconds := float64(len(next.request.Prompt)/bytesPerToken) / model.settings.PrefillPerSecond
 			next.readyAt = now.Add(time.Duration(seconds * float64(time.Second)))
 		}
@@ -216,11 +218,11 @@
 
 const bytesPerToken = 4
 
-// produce emits the tokens that a stream has earned under the version active now; must hold mu.
+// produce emits at most one chunk of a stream, generated by the active version. The caller must hold mu.
 func (model *Engine) produce(stream *stream) {
 	count := max(0, min(model.settings.ChunkTokens, stream.length-stream.produced))
 	if stream.credit < float64(count) {
-		return // a chunk is sent when it is full, or the last
+		return // only full chunks are sent, except the last
 	}
 	if len(stream.chunks) == cap(stream.chunks) {
 		return // the reader is behind
@@ -242,11 +244,11 @@
 	if stream.produced >= stream.length {
 		chunk.FinishReason = "stop"
 	}
-	model.truth.produce(Produced{Engine: model.settings.ID, RequestID: chunk.RequestID, Attempt: chunk.Attempt, Position: chunk.Position,
+	model.truth.recordChunk(Produced{Engine: model.settings.ID, RequestID: chunk.RequestID, Attempt: chunk.Attempt, Position: chunk.Position,
 		TokenIDs: chunk.TokenIDs, Text: chunk.Text, Version: version})
 	stream.chunks <- chunk
-	stream.sent++
-	if cut := model.faults.CutAfterChunks; cut > 0 && stream.sent >= cut {
+	stream.sentChunks++
+	if cut := model.faults.CutAfterChunks; cut > 0 && stream.sentChunks >= cut {
 		model.faults.CutAfterChunks = 0
 		stream.end(errCut)
 	}
@@ -255,13 +257,13 @@
 	}
 }
 
-// vocabulary is the number of tokens that engines know.
-const vocabulary = 50000
+const vocabularySize = 50000
 
-// tokenAt is the token that a version produces at a position: another version produces another one.
+// tokenAt returns the token that a version generates at a position. The version is part of the hash, so that chunks of
+// different versions can be told apart.
 func tokenAt(request engine.Request, version uint64, position int) uint32 {
 	seed := request.Policy + "\x00" + strconv.FormatUint(version, 10) + "\x00" + strconv.Itoa(position) + "\x00" + request.RequestID + "\x00" + request.Prompt
-	return uint32(xxhash.Sum64String(seed) % vocabulary)
+	return uint32(xxhash.Sum64String(seed) % vocabularySize)
 }
 
 type cancelBody struct {
--- a/internal/lab/platform/truth.go
+++ b/internal/lab/platform/truth.go
@@ -1,5 +1,5 @@
-// Package platform holds small stand-ins of the platform that thistlewalk runs on, each an HTTP handler with faults to
-// inject: engines, weight store, key-value service, machine list and scorer. docs/PLATFORM.md has their protocols.
+// Package platform simulates the platform services that thistlewalk depends on: engines, weight store, key-value service,
+// machine list and scorer. Each is an HTTP handler; most accept injected faults. docs/PLATFORM.md describes their protocols.
 package platform
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Produced is what an engine truly produced in one chunk.
+// Produced is one chunk as the engine generated it.
 type Produced struct {
 	Engine    string   `json:"engine"`
 	RequestID string   `json:"request"`
@@ -18,7 +18,7 @@
 	Version   uint64   `json:"version"`
 }
 
-// Begun is a request that an engine began.
+// Begun is one attempt of a request that an engine accepted.
 type Begun struct {
 	Engine    string    `json:"engine"`
 	RequestID string    `json:"request"`
@@ -26,7 +26,8 @@
 	At        time.Time `json:"at"`
 }
 
-// Truth is the engines' own log, which outlives their crashes. It is safe for concurrent use.
+// Truth is the log of what the engines accepted and generated. It survives their crashes, and checks compare it with what
+// callers received. It is safe for concurrent use.
 type Truth struct {
 	mu       sync.Mutex
 	begun    []Begun
@@ -36,26 +37,26 @@
 // NewTruth returns an empty log.
 func NewTruth() *Truth { return &Truth{} }
 
-func (truth *Truth) begin(begun Begun) {
+func (truth *Truth) recordAttempt(begun Begun) {
 	truth.mu.Lock()
 	defer truth.mu.Unlock()
 	truth.begun = append(truth.begun, begun)
 }
 
-func (truth *Truth) produce(produced Produced) {
+func (truth *Truth) recordChunk(produced Produced) {
 	truth.mu.Lock()
 	defer truth.mu.Unlock()
 	truth.produced = append(truth.produced, produced)
 }
 
-// Begun returns every request that an engine began.
+// Begun returns every accepted attempt, in order.
 func (truth *Truth) Begun() []Begun {
 	truth.mu.Lock()
 	defer truth.mu.Unlock()
 	return append([]Begun(nil), truth.begun...)
 }
 
-// Produced returns every chunk produced.
+// Produced returns every generated chunk, in order.
 func (truth *Truth) Produced() []Produced {
 	truth.mu.Lock()
 	defer truth.mu.Unlock()
