--- a/internal/lab/platform/site/cloud.go
+++ b/internal/lab/platform/site/cloud.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// UsageReport is one report of usage that the platform received.
+// UsageReport is a usage report that the platform accepted.
 type UsageReport struct {
 	Holder string
 	Fence  int64
@@ -17,34 +17,34 @@
 	At     time.Time
 }
 
-// CloudFaults are the faults in force. The zero value is none.
+// CloudFaults are the injected faults. The zero value injects none.
 type CloudFaults struct {
-	// Down has calls refused without effect; Lost has them taken and the connection closed.
+	// Down rejects reports without recording them. Lost records reports and closes the connection without a response.
 	Down, Lost bool
 }
 
-// Cloud is the platform as it takes reports of usage. It is safe for concurrent use.
+// Cloud is the platform's endpoint for usage reports. It is safe for concurrent use.
 type Cloud struct {
 	mu      sync.Mutex
 	faults  CloudFaults
 	reports []UsageReport
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (cloud *Cloud) SetFaults(faults CloudFaults) {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
 	cloud.faults = faults
 }
 
-// Reports returns the reports in the sequence in which they were taken.
+// Reports returns the accepted reports, oldest first.
 func (cloud *Cloud) Reports() []UsageReport {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
 	return append([]UsageReport(nil), cloud.reports...)
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP serves the endpoint /usage.
 func (cloud *Cloud) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	report := struct {
 		Window int64            `json:"window-id"`
--- a/internal/lab/platform/site/executions.go
+++ b/internal/lab/platform/site/executions.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// Execution is one run of a request at a replica, as the replica saw it.
+// Execution is one execution of a request on a replica, as recorded by the replica.
 type Execution struct {
 	Request, Replica string
 	Started          time.Time
 	Caller           Caller
-	// Resumed is the event after which the run went on; zero for a run from the start.
+	// Resumed is the ID of the last event before this execution; zero if it started from the beginning.
 	Resumed int64
-	// Events are the versions under which the run made its events, and when, by event.
-	Events map[int64]EventMade
+	// Events holds the events that this execution generated, by event ID.
+	Events map[int64]EventRecord
 }
 
-// EventMade says how one event was made.
-type EventMade struct {
+// EventRecord records the version of the weights that generated an event, and the time.
+type EventRecord struct {
 	Version int64
 	At      time.Time
 }
 
-// OrderTaken is an order that a replica took.
+// OrderTaken is an order that a replica accepted.
 type OrderTaken struct {
 	Replica, Holder string
 	Fence           int64
 	At              time.Time
 }
 
-// Executions is what all replicas of a site did. It is safe for concurrent use; a nil log takes nothing.
+// Executions is a log of the executions and orders of all replicas of a site. It is safe for concurrent use. Recording into
+// a nil log does nothing.
 type Executions struct {
 	mu     sync.Mutex
 	byID   map[string][]*Execution
@@ -39,30 +40,30 @@
 // NewExecutions returns an empty log.
 func NewExecutions() *Executions { return &Executions{byID: make(map[string][]*Execution)} }
 
-// begin notes that a replica has begun work on a request.
-func (log *Executions) begin(request, replica string, caller Caller, resumed int64) *Execution {
+// recordStart records that a replica has started to execute a request.
+func (log *Executions) recordStart(request, replica string, caller Caller, resumed int64) *Execution {
 	if log == nil {
 		return nil
 	}
-	execution := &Execution{Request: request, Replica: replica, Caller: caller, Started: time.Now(), Resumed: resumed, Events: make(map[int64]EventMade)}
+	execution := &Execution{Request: request, Replica: replica, Caller: caller, Started: time.Now(), Resumed: resumed, Events: make(map[int64]EventRecord)}
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	log.byID[request] = append(log.byID[request], execution)
 	return execution
 }
 
-// made notes an event of a run.
-func (log *Executions) made(execution *Execution, event, version int64) {
+// recordEvent records an event of an execution.
+func (log *Executions) recordEvent(execution *Execution, event, version int64) {
 	if log == nil {
 		return
 	}
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	execution.Events[event] = EventMade{Version: version, At: time.Now()}
+	execution.Events[event] = EventRecord{Version: version, At: time.Now()}
 }
 
-// ordered notes an order that was taken.
-func (log *Executions) ordered(order OrderTaken) {
+// recordOrder records an accepted order.
+func (log *Executions) recordOrder(order OrderTaken) {
 	if log == nil {
 		return
 	}
@@ -72,23 +73,23 @@
 	log.orders = append(log.orders, order)
 }
 
-// Of returns copies of the runs of a request.
+// Of returns copies of the executions of a request.
 func (log *Executions) Of(request string) []Execution {
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	var list []Execution
 	for _, execution := range log.byID[request] {
 		copied := *execution
-		copied.Events = make(map[int64]EventMade, len(execution.Events))
-		for event, made := range execution.Events {
-			copied.Events[event] = made
+		copied.Events = make(map[int64]EventRecord, len(execution.Events))
+		for event, record := range execution.Events {
+			copied.Events[event] = record
 		}
 		list = append(list, copied)
 	}
 	return list
 }
 
-// All returns copies of all runs, without their events.
+// All returns copies of all executions, without their events.
 func (log *Executions) All() []Execution {
 	log.mu.Lock()
 	defer log.mu.Unlock()
@@ -103,7 +104,7 @@
 	return list
 }
 
-// Orders returns the orders in the sequence in which they were taken.
+// Orders returns the accepted orders, oldest first.
 func (log *Executions) Orders() []OrderTaken {
 	log.mu.Lock()
 	defer log.mu.Unlock()
--- a/internal/lab/platform/site/replica.go
+++ b/internal/lab/platform/site/replica.go
@@ -11,63 +11,63 @@
 	"time"
 )
 
-// Replica is one replica of a service, with an engine if it has a model.
+// Replica is one replica of a service: a model engine if Model is set, otherwise an application.
 type Replica struct {
 	ID string
-	// Born is when the process started, in Unix milliseconds; zero for one that does not say so.
+	// Born is the start time of the process in Unix milliseconds; zero leaves it out of the replica's entry.
 	Born    int64
 	Service string
 	Zone    string
 	Slots   int
-	// Model is empty for an application.
-	Model string
-	// EventTime is the time between two events of a stream, LoadTime that of a change of version, WorkTime what a request
-	// takes before its answer begins.
+	Model   string
+	// EventTime is the interval between two events of a stream. LoadTime is the duration of a version change. WorkTime is the
+	// time from the request to the start of the response.
 	EventTime, LoadTime, WorkTime time.Duration
 
-	mu      sync.Mutex
-	version int64
-	orders  int64
-	loading bool
-	faults  ReplicaFaults
-	ran     map[string]int
-	bodies  map[string]string
-	callers map[string]Caller
-	refused int
-	holders []string
-	// OnChange is called after the replica's registered state changed.
+	mu         sync.Mutex
+	version    int64
+	orderCount int64
+	loading    bool
+	faults     ReplicaFaults
+	runCounts  map[string]int
+	requests   map[string]string
+	callers    map[string]Caller
+	refused    int
+	holders    []string
+	// OnChange is called after a change of the state that Entry returns.
 	OnChange func()
-	// EndsUnder is what the body of a request contains under which the replica ends, EndTime after it began to run it; empty for none.
+	// EndsUnder marks the requests that crash the replica: it crashes EndTime after it starts a request whose body contains
+	// this text. The empty string disables crashes.
 	EndsUnder string
 	EndTime   time.Duration
-	// OnEnd is called when the replica ends so; it has to break all of its connections off.
+	// OnEnd is called when the replica crashes. It must close all connections of the replica.
 	OnEnd func(request string)
-	// Log takes what the replica does; nil for none.
+	// Log records executions and orders; nil disables it.
 	Log      *Executions
 	draining bool
 }
 
-// ReplicaFaults are the faults in force. The zero value is none.
+// ReplicaFaults are the injected faults. The zero value injects none.
 type ReplicaFaults struct {
-	// CutAfter breaks a stream off inside the event after so many; zero never.
+	// CutAfter is the ID of the last event that a stream sends whole; the stream breaks inside the next one. Zero disables it.
 	CutAfter int64
-	// OtherAnswer has answers carry another request's identifier.
+	// OtherAnswer makes responses carry the ID of another request.
 	OtherAnswer bool
-	// CloseSilently closes connections without an answer after the request has run.
+	// CloseSilently closes the connection without a response after the request has been executed.
 	CloseSilently bool
-	// Full has requests refused.
+	// Full makes the replica reject requests.
 	Full bool
 }
 
-// NewReplica returns a replica at version 1.
+// NewReplica returns a replica that serves version 1 of its weights.
 func NewReplica(id, service, model string) *Replica {
 	return &Replica{
 		ID: id, Service: service, Model: model, Slots: 8, EventTime: 5 * time.Millisecond, LoadTime: 50 * time.Millisecond,
-		version: 1, ran: make(map[string]int), bodies: make(map[string]string), callers: make(map[string]Caller), OnChange: func() {}, OnEnd: func(string) {},
+		version: 1, runCounts: make(map[string]int), requests: make(map[string]string), callers: make(map[string]Caller), OnChange: func() {}, OnEnd: func(string) {},
 	}
 }
 
-// Restart returns a new incarnation of the replica, with the version that it had.
+// Restart returns a new incarnation of the replica under the given ID. It keeps the version of the weights.
 func (replica *Replica) Restart(id string) *Replica {
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
@@ -79,15 +79,14 @@
 	return next
 }
 
-// StartAgain returns a new life of the replica under the identifier that it has: it holds and knows nothing of the one before, and its orders are
-// counted anew.
+// StartAgain returns a new incarnation of the replica under the same ID. It serves version 1 and counts orders from zero.
 func (replica *Replica) StartAgain(born int64) *Replica {
 	next := replica.Restart(replica.ID)
 	next.Born, next.version = born, 1
 	return next
 }
 
-// Drain has the replica say that it is leaving.
+// Drain changes the replica's registered state to draining.
 func (replica *Replica) Drain() {
 	replica.mu.Lock()
 	replica.draining = true
@@ -95,18 +94,18 @@
 	replica.OnChange()
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (replica *Replica) SetFaults(faults ReplicaFaults) {
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
 	replica.faults = faults
 }
 
-// Ran returns how often a request ran here.
+// Ran returns how often this replica has started to execute a request.
 func (replica *Replica) Ran(id string) int {
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
-	return replica.ran[id]
+	return replica.runCounts[id]
 }
 
 // Version returns the version of the weights.
@@ -116,14 +115,14 @@
 	return replica.version
 }
 
-// Holders returns the holder of each order that was taken, with its fence.
+// Holders returns the holder and the fence of each accepted order, as "holder fence".
 func (replica *Replica) Holders() []string {
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
 	return append([]string(nil), replica.holders...)
 }
 
-// Entry returns what the replica registers of itself.
+// Entry returns the JSON document with which the replica registers itself.
 func (replica *Replica) Entry(address string) []byte {
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
@@ -145,13 +144,13 @@
 	return encoded
 }
 
-// EventsOf returns how many events the stream of an item has, and EventData what one carries.
+// EventsOf returns the number of events in the stream of an item.
 func EventsOf(id string) int64 { return int64(len(id))%4 + 3 }
 
 // EventData returns the data of an event of an item.
 func EventData(id string, event int64) string { return fmt.Sprintf("%s/%d", id, event) }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP serves orders, reports and the requests of callers. It rejects a call that expects another instance.
 func (replica *Replica) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if expected := request.Header.Get("Expect-Instance"); expected != "" && expected != replica.ID {
 		writer.Header().Set("Instance-Id", replica.ID)
@@ -183,8 +182,8 @@
 	if refuse {
 		replica.refused++
 	} else {
-		replica.ran[id]++
-		replica.bodies[id] = request.Method + " " + request.RequestURI + " " + string(body)
+		replica.runCounts[id]++
+		replica.requests[id] = request.Method + " " + request.RequestURI + " " + string(body)
 		replica.callers[id] = caller
 	}
 	replica.mu.Unlock()
@@ -194,7 +193,7 @@
 		return
 	}
 	after, _ := strconv.ParseInt(request.Header.Get("Last-Event-Id"), 10, 64)
-	execution := replica.Log.begin(id, replica.ID, caller, after)
+	execution := replica.Log.recordStart(id, replica.ID, caller, after)
 	if replica.EndsUnder != "" && strings.Contains(string(body), replica.EndsUnder) {
 		time.Sleep(replica.EndTime)
 		replica.OnEnd(id)
@@ -216,32 +215,32 @@
 	replica.stream(writer, request, execution, id, faults)
 }
 
-// workTime is what a request takes: as long as its query asks for, or the replica's usual time.
+// workTime returns the duration in the request's work-ms parameter, or WorkTime if there is none.
 func (replica *Replica) workTime(request *http.Request) time.Duration {
-	if asked, err := strconv.Atoi(request.URL.Query().Get("work-ms")); err == nil {
-		return time.Duration(asked) * time.Millisecond
+	if milliseconds, err := strconv.Atoi(request.URL.Query().Get("work-ms")); err == nil {
+		return time.Duration(milliseconds) * time.Millisecond
 	}
 	return replica.WorkTime
 }
 
-// Received returns method, target and body of a request that ran here.
+// Received returns the method, target and body of a request that this replica has executed.
 func (replica *Replica) Received(id string) string {
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
-	return replica.bodies[id]
+	return replica.requests[id]
 }
 
-// Caller is what a replica was told of who makes a request.
+// Caller identifies the caller of a request by the headers that the replica received.
 type Caller struct{ Tenant, Authorization string }
 
-// CallerOf returns what this replica was told of the caller of a request that ran here.
+// CallerOf returns the caller of a request that this replica has executed.
 func (replica *Replica) CallerOf(id string) Caller {
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
 	return replica.callers[id]
 }
 
-// stream writes the events of an item from where the caller asks.
+// stream writes the events of an item that follow the request's Last-Event-Id.
 func (replica *Replica) stream(writer http.ResponseWriter, request *http.Request, execution *Execution, id string, faults ReplicaFaults) {
 	after, _ := strconv.ParseInt(request.Header.Get("Last-Event-Id"), 10, 64)
 	version := replica.Version()
@@ -262,12 +261,14 @@
 			version = now
 			_, _ = fmt.Fprintf(writer, "weight-versions: %d\n", version)
 		}
-		replica.Log.made(execution, event, version)
+		replica.Log.recordEvent(execution, event, version)
 		_, _ = fmt.Fprintf(writer, "id: %d\ndata: %s\n\n", event, EventData(id, event))
 		flusher.Flush()
 	}
 }
 
+// order serves version changes. It responds with 409 while another version is loading and if expected-rev differs from the
+// number of accepted orders.
 func (replica *Replica) order(writer http.ResponseWriter, request *http.Request) {
 	order := struct {
 		Op       string `json:"op"`
@@ -287,19 +288,19 @@
 	switch {
 	case replica.version == order.Version:
 		writer.WriteHeader(http.StatusOK)
-	case replica.loading || (order.Expected != nil && *order.Expected != replica.orders):
+	case replica.loading || (order.Expected != nil && *order.Expected != replica.orderCount):
 		writer.WriteHeader(http.StatusConflict)
 	default:
-		replica.orders++
+		replica.orderCount++
 		replica.loading = true
 		replica.holders = append(replica.holders, fmt.Sprint(order.Holder, " ", order.Fence))
-		replica.Log.ordered(OrderTaken{Replica: replica.ID, Holder: order.Holder, Fence: order.Fence})
-		time.AfterFunc(replica.LoadTime, func() { replica.loaded(order.Version) })
+		replica.Log.recordOrder(OrderTaken{Replica: replica.ID, Holder: order.Holder, Fence: order.Fence})
+		time.AfterFunc(replica.LoadTime, func() { replica.finishLoad(order.Version) })
 		writer.WriteHeader(http.StatusAccepted)
 	}
 }
 
-func (replica *Replica) loaded(version int64) {
+func (replica *Replica) finishLoad(version int64) {
 	replica.mu.Lock()
 	replica.version, replica.loading = version, false
 	replica.mu.Unlock()
@@ -309,8 +310,8 @@
 func (replica *Replica) report(writer http.ResponseWriter) {
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
-	_ = json.NewEncoder(writer).Encode(map[string]any{ // the caller may have left
-		"born": replica.Born, "stage": "both", "busy": replica.loading, "seq-no": replica.orders, "num-waiting": 0, "num-running": 0,
+	_ = json.NewEncoder(writer).Encode(map[string]any{ // fails if the caller has disconnected
+		"born": replica.Born, "stage": "both", "busy": replica.loading, "seq-no": replica.orderCount, "num-waiting": 0, "num-running": 0,
 		"models": []map[string]any{{"name": replica.Model, "version": replica.version, "adapters": []string{}}},
 	})
 }
--- a/internal/lab/platform/site/store.go
+++ b/internal/lab/platform/site/store.go
@@ -1,5 +1,6 @@
-// Package site has stand-ins of the users' platform for tests and the lab: its metadata store, replicas with engines, and
-// application replicas, as HTTP servers. It is written from the published protocol and shares no code with the adapter.
+// Package site simulates the users' platform for tests and the lab: its metadata store, its replicas with and without
+// engines, and its endpoint for usage reports. All are HTTP handlers. They implement the published protocol without code of
+// the adapter, so that an error in the adapter is not repeated here.
 package site
 
 import (
@@ -15,7 +16,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata/memstore"
 )
 
-// StoreServer serves a store in memory by the platform's protocol.
+// StoreServer serves an in-memory store through the protocol of the platform's metadata store.
 type StoreServer struct{ Store *memstore.Store }
 
 type wireItem struct {
@@ -30,7 +31,7 @@
 	return wireItem{Key: item.Key, Value: item.Value, Rev: int64(item.Revision)}
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP serves the calls of the metadata store protocol.
 func (server *StoreServer) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
 	switch call := strings.TrimPrefix(request.URL.Path, "/thistlewalk/"); {
@@ -51,34 +52,35 @@
 		body := struct {
 			TTL int64 `json:"ttl_ms"`
 		}{}
-		if !readWhole(request, &body) {
+		if !decodeBody(request, &body) {
 			writer.WriteHeader(http.StatusBadRequest)
 			return
 		}
 		lease, err := server.Store.GrantLease(request.Context(), time.Duration(body.TTL)*time.Millisecond)
 		reply(writer, map[string]int64{"lease": int64(lease), "ttl_ms": body.TTL}, err)
 	case strings.HasPrefix(call, "kv-keep/"):
-		reply(writer, struct{}{}, server.Store.RenewLease(request.Context(), leaseOf(call)))
+		reply(writer, struct{}{}, server.Store.RenewLease(request.Context(), leaseID(call)))
 	case strings.HasPrefix(call, "kv-lease-end/"):
-		reply(writer, struct{}{}, server.Store.RevokeLease(request.Context(), leaseOf(call)))
+		reply(writer, struct{}{}, server.Store.RevokeLease(request.Context(), leaseID(call)))
 	default:
 		writer.WriteHeader(http.StatusBadRequest)
 	}
 }
 
-// readWhole decodes a body and reports whether it could. It is read to its end: the server sees a caller leave only then.
-func readWhole(request *http.Request, body any) bool {
+// decodeBody decodes a request body and reports whether it succeeded. It reads the body to its end because net/http detects
+// a disconnected client only after that.
+func decodeBody(request *http.Request, body any) bool {
 	content, err := io.ReadAll(request.Body)
 	return err == nil && json.Unmarshal(content, body) == nil
 }
 
-func leaseOf(call string) metadata.LeaseID {
+func leaseID(call string) metadata.LeaseID {
 	_, id, _ := strings.Cut(call, "/")
 	number, _ := strconv.ParseInt(id, 10, 64)
 	return metadata.LeaseID(number)
 }
 
-// pageSize is small, so that tests meet pages.
+// pageSize is small enough that lists in tests span several pages.
 const pageSize = 3
 
 func (server *StoreServer) list(writer http.ResponseWriter, request *http.Request) {
@@ -88,6 +90,7 @@
 		More  bool       `json:"more"`
 		At    int64      `json:"at"`
 	}{Items: []wireItem{}, At: int64(listing.Revision)}
+	// In kv-range, after-rev is the last key of the previous page, not a revision.
 	after := request.URL.Query().Get("after-rev")
 	for _, item := range listing.Items {
 		if item.Key <= after {
@@ -106,16 +109,16 @@
 	after, _ := strconv.ParseInt(query.Get("after-rev"), 10, 64)
 	wait, _ := strconv.ParseInt(query.Get("wait-ms"), 10, 64)
 	changes, err := server.Store.Watch(request.Context(), query.Get("path-prefix"), metadata.Revision(after), time.Duration(wait)*time.Millisecond)
-	answer := struct {
+	response := struct {
 		Events []wireItem `json:"events"`
 		At     int64      `json:"at"`
 	}{Events: []wireItem{}, At: int64(changes.Revision)}
 	for _, event := range changes.Events {
 		item := toWire(event.Item)
 		item.Gone = event.Deleted
-		answer.Events = append(answer.Events, item)
+		response.Events = append(response.Events, item)
 	}
-	reply(writer, answer, err)
+	reply(writer, response, err)
 }
 
 func (server *StoreServer) commit(writer http.ResponseWriter, request *http.Request) {
@@ -128,7 +131,7 @@
 		} `json:"put"`
 		Remove []string `json:"remove"`
 	}{}
-	if !readWhole(request, &body) {
+	if !decodeBody(request, &body) {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -157,12 +160,13 @@
 	reply(writer, map[string]int64{"rev": int64(revision)}, err)
 }
 
-// reply answers 200 with a body, or the status of an error. A lost answer breaks the connection.
+// reply sends a body with status 200, or the status of an error. For any other error, such as metadata.ErrUncertain, it
+// breaks the connection.
 func reply(writer http.ResponseWriter, body any, err error) {
 	switch {
 	case err == nil:
 		writer.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(writer).Encode(body) // the caller may have left
+		_ = json.NewEncoder(writer).Encode(body) // fails if the caller has disconnected
 	case errors.Is(err, metadata.ErrCompacted):
 		writer.WriteHeader(http.StatusGone)
 	case errors.Is(err, metadata.ErrLimited):
--- a/internal/lab/platform/site/store_test.go
+++ b/internal/lab/platform/site/store_test.go
@@ -13,11 +13,12 @@
 	"github.com/thistlewalk/thistlewalk/internal/metadata/memstore"
 )
 
-// A call whose connection breaks off inside its body leaves nothing behind: the server of a store that is silent can be closed.
+// Guards against calls that keep running after their connection has broken inside the body: if the store does not respond,
+// such calls block the shutdown of the server.
 func TestCallsThatBreakOffEnd(t *testing.T) {
 	for _, call := range []struct{ path, body string }{
-		{"kv-lease", "{"}, {"kv-txn", "{"}, // inside of what is asked
-		{"kv-lease", `{"ttl_ms":1000}`}, {"kv-txn", "{}"}, // behind it
+		{"kv-lease", "{"}, {"kv-txn", "{"}, // cut inside the JSON value
+		{"kv-lease", `{"ttl_ms":1000}`}, {"kv-txn", "{}"}, // cut after the JSON value
 	} {
 		store := memstore.New()
 		store.SetFaults(memstore.Faults{Silent: true})
@@ -37,7 +38,7 @@
 		select {
 		case <-closed:
 		case <-time.After(4 * time.Second):
-			t.Fatal("a call lasts on: ", call)
+			t.Fatal("the server did not shut down within 4 s after a broken call: ", call)
 		}
 	}
 }
