--- a/internal/lab/hollow/day.go
+++ b/internal/lab/hollow/day.go
@@ -17,114 +17,114 @@
 	"github.com/thistlewalk/thistlewalk/internal/lab/bench"
 )
 
-// Day is the failures of an ordinary day, compressed.
+// Day describes the failures of an ordinary day, run in quick succession.
 type Day struct {
-	Failures int // nodes that die; a new one takes the place of each
-	Restarts int // nodes that are stopped as planned and started again
-	// Cut is how long a zone, and then a region, is cut from the rest.
+	Failures int // nodes that crash; each is replaced by a new node
+	Restarts int // nodes that are shut down gracefully and started again
+	// Cut is the duration of the network partition that isolates a zone, and of the one that isolates a region.
 	Cut time.Duration
 }
 
-// DayOutcome is what a day showed.
+// DayOutcome is the result of RunDay.
 type DayOutcome struct {
 	Verdict bench.Verdict
-	Steps   int
-	// Recovered is how long after the last failure all nodes saw each other and all partitions were owned.
-	Recovered time.Duration
-	// WentBack counts nodes that went back to an older configuration within a life.
-	WentBack int
-	Changes  int
-	// RefusedChanges are commands that were not done while regions were cut.
-	RefusedChanges int
+	Steps   int // steps completed by the trainer
+	// RecoveryTime is the time from the end of the last network partition until the fleet was settled.
+	RecoveryTime time.Duration
+	// Rollbacks counts how often a running node's configuration revision decreased.
+	Rollbacks int
+	// Changes and FailedChanges count the configuration commands that succeeded and failed while a region was isolated.
+	Changes       int
+	FailedChanges int
 }
 
 const (
-	daySlots     = 64
-	dayPause     = 300 * time.Millisecond
-	recoverLimit = 90 * time.Second
-	stopLimit    = 20 * time.Second
-	atOnce       = 4
+	groupSize          = 64
+	dayInterval        = 300 * time.Millisecond
+	recoveryTimeout    = 90 * time.Second
+	stopTimeout        = 20 * time.Second
+	concurrentRestarts = 4
 )
 
-// RunDay runs the day on a settled fleet while a trainer asks for one step after the other.
+// RunDay injects the failures of a day into a settled fleet while a trainer requests one step after another.
 func (fleet *Fleet) RunDay(ctx context.Context, day Day, seed uint64, output io.Writer) (DayOutcome, error) {
 	if fleet.options.Loopback {
-		return DayOutcome{}, errors.New("a day needs the network in memory, which can be cut")
+		return DayOutcome{}, errors.New("simulating a day of failures requires the in-memory network: loopback TCP cannot be partitioned")
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	outcome := DayOutcome{}
 	random := rand.New(rand.NewPCG(seed, 2))
-	trainer := bench.NewTrainer(fleet.client, fleet.apis, nil)
-	var beside sync.WaitGroup
-	endSteps := make(chan struct{})
-	var stepError error
-	beside.Go(func() { outcome.Steps, stepError = fleet.train(ctx, trainer, endSteps) })
-	endWatch := make(chan struct{})
-	beside.Go(func() { outcome.WentBack = fleet.watchRevisions(endWatch) })
-
-	fmt.Fprintf(output, "  %d nodes die\n", day.Failures)
+	trainer := bench.NewTrainer(fleet.client, fleet.apiURLs, nil)
+	var background sync.WaitGroup
+	stopTraining := make(chan struct{})
+	var trainingError error
+	background.Go(func() { outcome.Steps, trainingError = fleet.train(ctx, trainer, stopTraining) })
+	stopWatching := make(chan struct{})
+	background.Go(func() { outcome.Rollbacks = fleet.watchRevisions(stopWatching) })
+
+	fmt.Fprintf(output, "  %d nodes crash and are replaced\n", day.Failures)
 	for range day.Failures {
-		fleet.replaceNode(fleet.pick(random))
-		time.Sleep(dayPause)
+		fleet.replaceNode(fleet.randomNode(random))
+		time.Sleep(dayInterval)
 	}
 	fmt.Fprintf(output, "  %d nodes are restarted\n", day.Restarts)
-	fleet.restartSome(ctx, day.Restarts, random)
-	fmt.Fprintf(output, "  a zone is cut off for %s\n", day.Cut)
-	fleet.cutZones(day.Cut, 1)
-	time.Sleep(dayPause)
-	fmt.Fprintf(output, "  the regions are cut from each other for %s\n", day.Cut)
+	fleet.restartNodes(ctx, day.Restarts, random)
+	fmt.Fprintf(output, "  a zone is isolated for %s\n", day.Cut)
+	fleet.isolateZones(day.Cut, 1)
+	time.Sleep(dayInterval)
+	fmt.Fprintf(output, "  a region is isolated for %s\n", day.Cut)
 	cutEnd := make(chan struct{})
 	go func() {
-		fleet.cutZones(day.Cut, (len(fleet.zones)+fleet.options.Regions-1)/fleet.options.Regions)
+		fleet.isolateZones(day.Cut, (len(fleet.zones)+fleet.options.Regions-1)/fleet.options.Regions)
 		close(cutEnd)
 	}()
-	outcome.Changes, outcome.RefusedChanges = fleet.changeDuring(ctx, cutEnd)
+	outcome.Changes, outcome.FailedChanges = fleet.sendChanges(ctx, cutEnd)
 	healed := time.Now()
-	if !Await(ctx, recoverLimit, fleet.Settled) {
-		return outcome, errors.Newf("the fleet did not recover within %s: %s", recoverLimit, fleet.unsettled())
+	if !Await(ctx, recoveryTimeout, fleet.Settled) {
+		return outcome, errors.Newf("the fleet did not recover within %s: %s", recoveryTimeout, fleet.describeProgress())
 	}
-	outcome.Recovered = time.Since(healed)
-	close(endSteps)
-	close(endWatch)
-	beside.Wait()
+	outcome.RecoveryTime = time.Since(healed)
+	close(stopTraining)
+	close(stopWatching)
+	background.Wait()
 	received, requested := trainer.Received()
 	outcome.Verdict = bench.Judge(bench.Evidence{Begun: fleet.site.Truth.Begun(), Produced: fleet.site.Truth.Produced(),
 		Received: received, Requested: requested, Bound: experiment.Bound{HasVersions: true, Versions: 2}})
-	return outcome, stepError
+	return outcome, trainingError
 }
 
-// Write prints the outcome and returns whether it shows no breach.
+// Write prints the outcome and reports whether samples were delivered without any violation.
 func (outcome DayOutcome) Write(output io.Writer) bool {
 	verdict := outcome.Verdict
-	good := verdict.Breaches() == 0 && outcome.WentBack == 0 && verdict.SamplesDelivered > 0
-	word := "met"
-	if !good {
-		word = "not met"
-	}
-	fmt.Fprintf(output, "  day: %d steps, %d of %d samples, %d breaches, %d nodes went back, recovered after %.1f s; during the region cut %d changes done and %d not: %s\n",
-		outcome.Steps, verdict.SamplesDelivered, verdict.SamplesRequested, verdict.Breaches(), outcome.WentBack, outcome.Recovered.Seconds(),
-		outcome.Changes, outcome.RefusedChanges, word)
+	passed := verdict.Breaches() == 0 && outcome.Rollbacks == 0 && verdict.SamplesDelivered > 0
+	result := "met"
+	if !passed {
+		result = "not met"
+	}
+	fmt.Fprintf(output, "  day: %d steps, %d of %d samples, %d violations, %d configuration rollbacks, recovered after %.1f s; while the region was isolated %d configuration changes succeeded and %d failed: %s\n",
+		outcome.Steps, verdict.SamplesDelivered, verdict.SamplesRequested, verdict.Breaches(), outcome.Rollbacks, outcome.RecoveryTime.Seconds(),
+		outcome.Changes, outcome.FailedChanges, result)
 	for _, example := range verdict.Examples {
 		fmt.Fprintln(output, "    "+example)
 	}
-	return good
+	return passed
 }
 
-// apis returns some base URLs of running nodes, in random order.
-func (fleet *Fleet) apis() []string {
-	const some = 5
+// apiURLs returns the base URLs of up to five running nodes, in random order.
+func (fleet *Fleet) apiURLs() []string {
+	const maxURLs = 5
 	var urls []string
 	for _, running := range fleet.Nodes() {
 		urls = append(urls, running.API())
-		if len(urls) == some {
+		if len(urls) == maxURLs {
 			break
 		}
 	}
 	return urls
 }
 
-// train runs steps until told to end, and returns how many became whole.
+// train runs one step after another until end is closed. It returns the number of completed steps.
 func (fleet *Fleet) train(ctx context.Context, trainer *bench.Trainer, end <-chan struct{}) (int, error) {
 	for number := 0; ; number++ {
 		select {
@@ -132,7 +132,7 @@
 			return number, nil
 		default:
 		}
-		request := gateway.StepRequest{Step: fmt.Sprintf("day-%d", number), Experiment: "main", GroupSize: daySlots, MaxTokens: 64, Prompts: []string{fmt.Sprintf("prompt %d", number)}}
+		request := gateway.StepRequest{Step: fmt.Sprintf("day-%d", number), Experiment: "main", GroupSize: groupSize, MaxTokens: 64, Prompts: []string{fmt.Sprintf("prompt %d", number)}}
 		if err := trainer.Submit(ctx, request); err != nil {
 			return number, err
 		}
@@ -142,27 +142,28 @@
 	}
 }
 
-// watchRevisions counts nodes whose configuration goes back within a life.
+// watchRevisions polls the nodes until end is closed and counts decreases of a running node's configuration revision.
 func (fleet *Fleet) watchRevisions(end <-chan struct{}) int {
-	seen := make(map[*bench.RunningNode]uint64)
-	wentBack := 0
+	lastRevisions := make(map[*bench.RunningNode]uint64)
+	rollbacks := 0
 	for {
 		for _, running := range fleet.Nodes() {
 			revision := running.Revision()
-			if revision < seen[running] {
-				wentBack++
+			if revision < lastRevisions[running] {
+				rollbacks++
 			}
-			seen[running] = revision
+			lastRevisions[running] = revision
 		}
 		select {
 		case <-end:
-			return wentBack
-		case <-time.After(dayPause):
+			return rollbacks
+		case <-time.After(dayInterval):
 		}
 	}
 }
 
-func (fleet *Fleet) pick(random *rand.Rand) string {
+// randomNode returns the ID of a random running node.
+func (fleet *Fleet) randomNode(random *rand.Rand) string {
 	var identifiers []string
 	for id := range fleet.Nodes() {
 		identifiers = append(identifiers, id)
@@ -171,39 +172,41 @@
 	return identifiers[random.IntN(len(identifiers))]
 }
 
-// replaceNode kills a node for good and starts a new one of another name, with an empty disk if the old one had any.
+// replaceNode crashes a node and starts a replacement in the same zone under a new ID. If the old node had a data folder, the
+// replacement has an empty one.
 func (fleet *Fleet) replaceNode(id string) {
 	zone := fleet.ZoneOf(id)
 	fleet.KillNode(id)
-	fleet.ForgetNode(id)
+	fleet.RemoveFromMachineList(id)
 	replacement := id + "r"
 	fleet.mu.Lock()
-	if folder, stored := fleet.folders[id]; stored {
-		fleet.folders[replacement] = folder + "r"
-		delete(fleet.folders, id)
+	if folder, stored := fleet.dataFolders[id]; stored {
+		fleet.dataFolders[replacement] = folder + "r"
+		delete(fleet.dataFolders, id)
 	}
 	fleet.mu.Unlock()
 	if err := fleet.StartNode(replacement, zone); err != nil {
-		fleet.options.Logger.Error("no replacement", "node", replacement, "error", err)
+		fleet.options.Logger.Error("replacement node failed to start", "node", replacement, "error", err)
 	}
 }
 
-// restartSome stops nodes as planned and starts them again, a few at a time.
-func (fleet *Fleet) restartSome(ctx context.Context, count int, random *rand.Rand) {
+// restartNodes restarts randomly chosen nodes, a few at a time.
+func (fleet *Fleet) restartNodes(ctx context.Context, count int, random *rand.Rand) {
 	var chosen []string
 	for range count {
-		chosen = append(chosen, fleet.pick(random))
+		chosen = append(chosen, fleet.randomNode(random))
 	}
-	for group := range slices.Chunk(chosen, atOnce) {
+	for group := range slices.Chunk(chosen, concurrentRestarts) {
 		var pending sync.WaitGroup
 		for _, id := range slices.Compact(slices.Sorted(slices.Values(group))) {
-			pending.Go(func() { fleet.restart(ctx, id) })
+			pending.Go(func() { fleet.restartNode(ctx, id) })
 		}
 		pending.Wait()
 	}
 }
 
-func (fleet *Fleet) restart(ctx context.Context, id string) {
+// restartNode shuts a node down gracefully and starts a new incarnation of it.
+func (fleet *Fleet) restartNode(ctx context.Context, id string) {
 	zone := fleet.ZoneOf(id)
 	fleet.mu.Lock()
 	running := fleet.nodes[id]
@@ -212,37 +215,38 @@
 	if running == nil {
 		return
 	}
-	stopCtx, cancel := context.WithTimeout(ctx, stopLimit)
+	stopCtx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
 	_ = running.Stop(stopCtx)
 	if err := fleet.StartNode(id, zone); err != nil {
-		fleet.options.Logger.Error("no restart", "node", id, "error", err)
+		fleet.options.Logger.Error("stopped node failed to start again", "node", id, "error", err)
 	}
 }
 
-// cutZones cuts the first zones from all others for a while.
-func (fleet *Fleet) cutZones(length time.Duration, zones int) {
-	inside := func(host netip.Addr) bool { return int(host.As4()[1]) < zones }
-	fleet.memory.Sever(func(from, to netip.Addr) bool { return inside(from) != inside(to) })
-	time.Sleep(length)
+// isolateZones disconnects zones 0 to zones-1 from all other zones and from the platform for the given duration.
+func (fleet *Fleet) isolateZones(duration time.Duration, zones int) {
+	isolated := func(host netip.Addr) bool { return int(host.As4()[1]) < zones }
+	fleet.memory.Sever(func(from, to netip.Addr) bool { return isolated(from) != isolated(to) })
+	time.Sleep(duration)
 	fleet.memory.Sever(nil)
 }
 
-// changeDuring makes changes on the side that the platform is on until the channel closes.
-func (fleet *Fleet) changeDuring(ctx context.Context, end <-chan struct{}) (done, refused int) {
+// sendChanges sends configuration commands until end is closed, each to a random node. A command to an isolated node fails
+// because the client is in the platform's zone.
+func (fleet *Fleet) sendChanges(ctx context.Context, end <-chan struct{}) (succeeded, failed int) {
 	for number := 0; ; number++ {
 		select {
 		case <-end:
-			return done, refused
+			return succeeded, failed
 		case <-time.After(time.Second):
 		}
 		callCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
-		_, err := fleet.client.Execute(callCtx, fleet.apis()[0], fmt.Sprintf("alter experiment main age %dm", 100+number))
+		_, err := fleet.client.Execute(callCtx, fleet.apiURLs()[0], fmt.Sprintf("alter experiment main age %dm", 100+number))
 		cancel()
 		if err == nil {
-			done++
+			succeeded++
 		} else {
-			refused++
+			failed++
 		}
 	}
 }
--- a/internal/lab/hollow/fleet.go
+++ b/internal/lab/hollow/fleet.go
@@ -1,5 +1,5 @@
-// Package hollow runs many nodes in one process against engines that do no work, and measures what control costs a node
-// and how fast news reaches all. Nodes run their real code; only callers and tokens are missing.
+// Package hollow runs many nodes in one process against simulated engines. It measures the cost of the control plane per
+// node and how fast changes and failures propagate. The nodes run their production code.
 package hollow
 
 import (
@@ -23,53 +23,54 @@
 	"github.com/thistlewalk/thistlewalk/internal/settings"
 )
 
-// Options of a fleet.
+// Options are the parameters of a fleet.
 type Options struct {
 	Nodes    int
 	Replicas int
 	Zones    int
 	Regions  int
-	// Stores is how many nodes of each zone have a data folder.
+	// Stores is the number of nodes per zone that have a data folder.
 	Stores int
-	// Loopback uses TCP on the loopback address instead of the network in memory.
+	// Loopback selects TCP on the loopback address instead of the in-memory network.
 	Loopback bool
 	Logger   *log.Logger
 }
 
-// Fleet is a running fleet.
+// Fleet is a set of running nodes with the simulated platform that they use.
 type Fleet struct {
-	options Options
-	zones   []bench.Zone
-	memory  *network.Memory
-	tcp     *network.TCP
-	control *network.Traffic
-	data    *network.Traffic
-	site    *bench.Site
-	client  *bench.Client
-	folder  string
+	options        Options
+	zones          []bench.Zone
+	memory         *network.Memory
+	tcp            *network.TCP
+	controlTraffic *network.Traffic
+	dataTraffic    *network.Traffic
+	site           *bench.Site
+	client         *bench.Client
+	folder         string
 
-	mu      sync.Mutex
-	nodes   map[string]*bench.RunningNode
-	ports   map[string]int // next host number by zone
-	lives   uint64
-	folders map[string]string
+	mu          sync.Mutex
+	nodes       map[string]*bench.RunningNode
+	lastHosts   map[string]int    // highest host number assigned, by zone
+	starts      uint64            // number of node starts, which keeps incarnations unique
+	dataFolders map[string]string // data folders by node ID; nodes without one are missing
 }
 
-// Host numbers of the memory network: 10.<zone>.<high>.<low>; zone 255 is the platform and the experimenter.
+// Addresses on the in-memory network are 10.<zone>.<high byte>.<low byte> of the host number. Zone 255 holds the platform and
+// the client of the experiment.
 const (
 	platformZone = 255
 	hostPort     = 7000
 	hostsPerByte = 256
 )
 
-// NewFleet starts the platform and all nodes.
+// NewFleet starts the simulated platform and all nodes.
 func NewFleet(options Options) (*Fleet, error) {
 	folder, err := os.MkdirTemp("", "thistlewalk-hollow-")
 	if err != nil {
-		return nil, errors.Wrap(err, "folder for samples")
+		return nil, errors.Wrap(err, "create folder for node data")
 	}
-	fleet := &Fleet{options: options, memory: network.NewMemory(), tcp: network.NewTCP(time.Second), control: &network.Traffic{}, data: &network.Traffic{},
-		folder: folder, nodes: make(map[string]*bench.RunningNode), ports: make(map[string]int), folders: make(map[string]string)}
+	fleet := &Fleet{options: options, memory: network.NewMemory(), tcp: network.NewTCP(time.Second), controlTraffic: &network.Traffic{}, dataTraffic: &network.Traffic{},
+		folder: folder, nodes: make(map[string]*bench.RunningNode), lastHosts: make(map[string]int), dataFolders: make(map[string]string)}
 	for index := range options.Zones {
 		engines := options.Replicas / options.Zones
 		if index < options.Replicas%options.Zones {
@@ -80,7 +81,7 @@
 	platformNetwork := fleet.networkAt(netip.AddrFrom4([4]byte{10, platformZone, 0, 0}))
 	fleet.client = bench.NewClient(network.NewClient(platformNetwork, time.Minute, network.Connections{PerHost: 2}))
 	fleet.site, err = bench.NewSite(bench.SiteSettings{
-		Zones: fleet.zones, KeyValuePerSecond: keyValueLimit, WeightsPerSecond: weightsLimit, MachineLag: time.Second, ScoreDelay: time.Millisecond,
+		Zones: fleet.zones, KeyValuePerSecond: keyValueRate, WeightsPerSecond: weightsRate, MachineLag: time.Second, ScoreDelay: time.Millisecond,
 		Engine: platform.EngineSettings{Capacity: 64, TokensPerSecond: 50, ReportLag: time.Second, StageTime: time.Second, CachedPrefixes: 1, ChunkTokens: 16,
 			RoundTime: 100 * time.Millisecond, Lengths: platform.Lengths{Median: 20, Sigma: 0.5}, PrefillPerSecond: 10000},
 	}, platformNetwork, fleet.address, options.Logger)
@@ -95,10 +96,10 @@
 	return fleet, nil
 }
 
-// Rate limits of the stand-ins, in calls and transfers a second.
+// Rate limits of the simulated services, in calls and transfers per second.
 const (
-	keyValueLimit = 200
-	weightsLimit  = 300
+	keyValueRate = 200
+	weightsRate  = 300
 )
 
 func (fleet *Fleet) networkAt(host netip.Addr) network.Network {
@@ -108,7 +109,7 @@
 	return fleet.memory.At(host)
 }
 
-// address gives a new address in a zone.
+// address assigns a new address in a zone.
 func (fleet *Fleet) address(zone string) (string, error) {
 	if fleet.options.Loopback {
 		return bench.LoopbackAddresses(zone)
@@ -123,8 +124,8 @@
 		}
 		number = parsed
 	}
-	fleet.ports[zone]++
-	host := fleet.ports[zone]
+	fleet.lastHosts[zone]++
+	host := fleet.lastHosts[zone]
 	address := netip.AddrFrom4([4]byte{10, byte(number), byte(host / hostsPerByte), byte(host % hostsPerByte)})
 	return netip.AddrPortFrom(address, hostPort).String(), nil
 }
@@ -134,7 +135,7 @@
 		zone := fleet.zones[index%len(fleet.zones)]
 		id := fmt.Sprintf("node-%03d", index)
 		if index/len(fleet.zones) < fleet.options.Stores {
-			fleet.folders[id] = filepath.Join(fleet.folder, id)
+			fleet.dataFolders[id] = filepath.Join(fleet.folder, id)
 		}
 		if err := fleet.StartNode(id, zone); err != nil {
 			return err
@@ -143,11 +144,11 @@
 	return nil
 }
 
-// StartNode starts a node, or a stopped one again under a new life.
+// StartNode starts a new incarnation of a node, which may have run before.
 func (fleet *Fleet) StartNode(id string, zone bench.Zone) error {
 	fleet.mu.Lock()
-	fleet.lives++
-	life := uint64(time.Now().UnixMilli()) + fleet.lives
+	fleet.starts++
+	incarnation := uint64(time.Now().UnixMilli()) + fleet.starts
 	fleet.mu.Unlock()
 	controlAddress, err := fleet.address(zone.Name)
 	if err != nil {
@@ -155,10 +156,10 @@
 	}
 	host := netip.MustParseAddrPort(controlAddress).Addr()
 	networks := node.Networks{
-		Control: network.Counted{Network: fleet.networkAt(host), Traffic: fleet.control},
-		Data:    network.Counted{Network: fleet.networkAt(host), Traffic: fleet.data},
+		Control: network.Counted{Network: fleet.networkAt(host), Traffic: fleet.controlTraffic},
+		Data:    network.Counted{Network: fleet.networkAt(host), Traffic: fleet.dataTraffic},
 	}
-	started, err := fleet.site.StartNode(id, zone, fleet.folders[id], networks, fleet.options.Logger, life, func(config *settings.Settings) {
+	started, err := fleet.site.StartNode(id, zone, fleet.dataFolders[id], networks, fleet.options.Logger, incarnation, func(config *settings.Settings) {
 		config.Node.Control = controlAddress
 		if !fleet.options.Loopback {
 			config.Node.API = netip.AddrPortFrom(host, hostPort+1).String()
@@ -173,7 +174,7 @@
 	return nil
 }
 
-// Nodes returns the running nodes by identifier.
+// Nodes returns the running nodes by ID.
 func (fleet *Fleet) Nodes() map[string]*bench.RunningNode {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
@@ -184,7 +185,7 @@
 	return nodes
 }
 
-// KillNode ends a node as a crash does.
+// KillNode stops a node like a crash.
 func (fleet *Fleet) KillNode(id string) {
 	fleet.mu.Lock()
 	running := fleet.nodes[id]
@@ -195,10 +196,10 @@
 	}
 }
 
-// ForgetNode takes a node off the machine list.
-func (fleet *Fleet) ForgetNode(id string) { fleet.site.Machines.Remove(id) }
+// RemoveFromMachineList removes a node from the machine list.
+func (fleet *Fleet) RemoveFromMachineList(id string) { fleet.site.Machines.Remove(id) }
 
-// ZoneOf returns the zone of a node by its settings.
+// ZoneOf returns the zone of a running node, or an empty zone.
 func (fleet *Fleet) ZoneOf(id string) bench.Zone {
 	running := fleet.Nodes()[id]
 	for _, zone := range fleet.zones {
@@ -209,25 +210,25 @@
 	return bench.Zone{}
 }
 
-// Await polls a condition until it holds or the time is over.
-func Await(ctx context.Context, limit time.Duration, holds func() bool) bool {
+// Await polls a condition until it holds, the limit has passed or ctx is done. It reports whether the condition holds.
+func Await(ctx context.Context, limit time.Duration, condition func() bool) bool {
 	deadline := time.Now().Add(limit)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
-		if holds() {
+		if condition() {
 			return true
 		}
-		time.Sleep(awaitPause)
+		time.Sleep(pollInterval)
 	}
-	return holds()
+	return condition()
 }
 
-const awaitPause = 20 * time.Millisecond
+const pollInterval = 20 * time.Millisecond
 
-// Settled reports whether every node sees all nodes and its zone's replicas, and all partitions are owned.
+// Settled reports whether every node knows all nodes and all replicas of its zone, and all partitions are assigned.
 func (fleet *Fleet) Settled() bool {
 	nodes := fleet.Nodes()
 	fleet.mu.Lock()
-	stores := len(fleet.folders)
+	stores := len(fleet.dataFolders)
 	fleet.mu.Unlock()
 	for _, running := range nodes {
 		if running.LiveMembers() != len(nodes) || !running.PartitionsSettled(stores) {
@@ -249,7 +250,7 @@
 	return 0
 }
 
-// Close stops everything and removes the samples.
+// Close crashes all nodes, stops the platform and removes the data folders.
 func (fleet *Fleet) Close() {
 	var pending sync.WaitGroup
 	for _, running := range fleet.Nodes() {
--- a/internal/lab/hollow/limits.go
+++ b/internal/lab/hollow/limits.go
@@ -6,59 +6,61 @@
 	"time"
 )
 
-// Budgets of the target size; docs/CAPACITY.md has their source.
+// Budgets at the target fleet size. docs/CAPACITY.md explains them.
 const (
-	budgetProcessor  = 0.018
+	budgetCPU        = 0.018
 	budgetHeap       = 32 << 20
-	budgetBytes      = 17 << 10
+	budgetTraffic    = 17 << 10
 	budgetChange     = 6 * time.Second
 	budgetActivation = 5 * time.Second
-	// budgetDetection is the bound of "a few seconds" for back ends; nodes get the time to refute a suspicion too.
-	budgetReplica = 6 * time.Second
-	budgetNode    = 12 * time.Second
+	// The detection of a failed node may take longer than that of a replica, because a suspected node has time to refute the
+	// suspicion.
+	budgetReplicaFailure = 6 * time.Second
+	budgetNodeFailure    = 12 * time.Second
 )
 
-// Limit is a figure against its budget.
-type Limit struct {
+// BudgetCheck compares a measured figure with its budget.
+type BudgetCheck struct {
 	Name   string
 	Figure string
 	Budget string
 	Met    bool
 }
 
-// Limits holds the figures against the budgets.
-func (figures Figures) Limits() []Limit {
-	bytes := figures.ControlBytes + figures.PlatformBytes
-	return []Limit{
-		{"processor a node", fmt.Sprintf("%.2f%% of a core", figures.Processor*100), fmt.Sprintf("%.1f%%", budgetProcessor*100), figures.Processor <= budgetProcessor},
-		{"memory a node", fmt.Sprintf("%.1f MB", figures.HeapBytes/(1<<20)), fmt.Sprintf("%d MB", budgetHeap>>20), figures.HeapBytes <= budgetHeap},
-		{"bytes a node and second", fmt.Sprintf("%.1f KB/s", bytes/(1<<10)), fmt.Sprintf("%d KB/s", budgetBytes>>10), bytes <= budgetBytes},
-		{"configuration change in force", figures.Change.String(), budgetChange.String(), within(figures.Change, budgetChange)},
-		{"weights activated", figures.Activation.String(), budgetActivation.String(), within(figures.Activation, budgetActivation)},
-		{"dead replica known", figures.DeadReplica.String(), budgetReplica.String(), within(figures.DeadReplica, budgetReplica)},
-		{"dead node known", figures.DeadNode.String(), budgetNode.String(), within(figures.DeadNode, budgetNode)},
-		{"members falsely declared dead", fmt.Sprint(figures.FalseDeaths), "0", figures.FalseDeaths == 0},
+// CheckBudgets compares the figures with the budgets.
+func (figures Figures) CheckBudgets() []BudgetCheck {
+	traffic := figures.ControlBytes + figures.PlatformBytes
+	return []BudgetCheck{
+		{"CPU per node", fmt.Sprintf("%.2f%% of a core", figures.CPUShare*100), fmt.Sprintf("%.1f%%", budgetCPU*100), figures.CPUShare <= budgetCPU},
+		{"memory per node", fmt.Sprintf("%.1f MB", figures.HeapBytes/(1<<20)), fmt.Sprintf("%d MB", budgetHeap>>20), figures.HeapBytes <= budgetHeap},
+		{"traffic per node", fmt.Sprintf("%.1f KB/s", traffic/(1<<10)), fmt.Sprintf("%d KB/s", budgetTraffic>>10), traffic <= budgetTraffic},
+		{"configuration change applied", figures.ChangeDelays.String(), budgetChange.String(), withinBudget(figures.ChangeDelays, budgetChange)},
+		{"weights activated", figures.ActivationDelays.String(), budgetActivation.String(), withinBudget(figures.ActivationDelays, budgetActivation)},
+		{"replica failure detected", figures.ReplicaFailureDelays.String(), budgetReplicaFailure.String(), withinBudget(figures.ReplicaFailureDelays, budgetReplicaFailure)},
+		{"node failure detected", figures.NodeFailureDelays.String(), budgetNodeFailure.String(), withinBudget(figures.NodeFailureDelays, budgetNodeFailure)},
+		{"members wrongly declared dead", fmt.Sprint(figures.FalseDeaths), "0", figures.FalseDeaths == 0},
 	}
 }
 
-func within(spread Spread, budget time.Duration) bool {
-	return spread.Missed == 0 && spread.Max <= budget
+// withinBudget reports whether every observer was reached within the budget.
+func withinBudget(delays Delays, budget time.Duration) bool {
+	return delays.Missed == 0 && delays.Max <= budget
 }
 
-// Write prints the figures and one line a limit; it returns whether all are met.
+// Write prints the figures and one line per budget. It reports whether all budgets are met.
 func (figures Figures) Write(output io.Writer) bool {
-	fmt.Fprintf(output, "%d nodes, %d replicas: %.1f control calls, %.1f KB between nodes and %.1f KB with engines and platform a node and second\n",
-		figures.Nodes, figures.Replicas, figures.Messages, figures.ControlBytes/(1<<10), figures.PlatformBytes/(1<<10))
-	fmt.Fprintf(output, "  key-value service: %.1f calls a second in all, %d refused by its rate limit; suspicions %d; most partitions on one node %d\n",
-		figures.KeyValuePerSec, figures.KeyValueRefused, figures.FalseSuspicions, figures.MostPartitions)
+	fmt.Fprintf(output, "%d nodes, %d replicas: per node and second %.1f control calls, %.1f KB between nodes, %.1f KB with engines and platform\n",
+		figures.Nodes, figures.Replicas, figures.ControlCalls, figures.ControlBytes/(1<<10), figures.PlatformBytes/(1<<10))
+	fmt.Fprintf(output, "  key-value service: %.1f calls per second in total, %d rejected by its rate limit; suspicions %d; most partitions on one node %d\n",
+		figures.KeyValueCalls, figures.KeyValueRejected, figures.FalseSuspicions, figures.MostPartitions)
 	all := true
-	for _, limit := range figures.Limits() {
+	for _, check := range figures.CheckBudgets() {
 		verdict := "met"
-		if !limit.Met {
+		if !check.Met {
 			verdict = "not met"
 			all = false
 		}
-		fmt.Fprintf(output, "  %-32s %-60s budget %-8s %s\n", limit.Name, limit.Figure, limit.Budget, verdict)
+		fmt.Fprintf(output, "  %-32s %-60s budget %-8s %s\n", check.Name, check.Figure, check.Budget, verdict)
 	}
 	return all
 }
--- a/internal/lab/hollow/measure.go
+++ b/internal/lab/hollow/measure.go
@@ -14,66 +14,67 @@
 	"github.com/thistlewalk/thistlewalk/internal/lab/bench"
 )
 
-// Spread is how long news took to reach each of many.
-type Spread struct {
+// Delays summarizes how long a change or a failure took to reach each observer.
+type Delays struct {
 	P50, P99, Max time.Duration
-	// Missed is how many it did not reach in time.
+	// Missed is the number of observers that it did not reach within the time limit.
 	Missed int
 }
 
-func spreadOf(times []time.Duration, missed int) Spread {
+func summarizeDelays(times []time.Duration, missed int) Delays {
 	if len(times) == 0 {
-		return Spread{Missed: missed}
+		return Delays{Missed: missed}
 	}
 	slices.Sort(times)
 	at := func(share float64) time.Duration { return times[min(len(times)-1, int(share*float64(len(times))))] }
-	return Spread{P50: at(0.5), P99: at(0.99), Max: times[len(times)-1], Missed: missed}
+	return Delays{P50: at(0.5), P99: at(0.99), Max: times[len(times)-1], Missed: missed}
 }
 
-// String returns the spread in one line.
-func (spread Spread) String() string {
-	return fmt.Sprintf("p50 %.2f s, p99 %.2f s, max %.2f s, missed %d", spread.P50.Seconds(), spread.P99.Seconds(), spread.Max.Seconds(), spread.Missed)
+// String implements fmt.Stringer.
+func (delays Delays) String() string {
+	return fmt.Sprintf("p50 %.2f s, p99 %.2f s, max %.2f s, missed %d", delays.P50.Seconds(), delays.P99.Seconds(), delays.Max.Seconds(), delays.Missed)
 }
 
-// Figures are what one fleet cost and how fast its news was.
+// Figures are the measured costs and propagation times of a fleet.
 type Figures struct {
 	Nodes, Replicas int
-	Settle          time.Duration
-	// Costs a node and a second, without callers.
-	Messages         float64 // control calls answered
-	ControlBytes     float64 // to and from other nodes
-	PlatformBytes    float64 // to and from engines and the platform's services
-	Processor        float64 // share of a core, the stand-ins' work included
-	HeapBytes        float64 // heap and stacks in use, the stand-ins' included
-	KeyValuePerSec   float64 // calls a second of the whole fleet
-	KeyValueRefused  uint64
-	Change           Spread
-	Activation       Spread
-	DeadNode         Spread
-	DeadReplica      Spread
-	FalseSuspicions  int
-	FalseDeaths      int
-	MostPartitions   int
-	UnownedPartition bool
+	SettleTime      time.Duration // time until the fleet was settled
+	// Costs of a fleet without requests of callers; ControlCalls to CPUShare are per node and second.
+	ControlCalls         float64 // control calls answered
+	ControlBytes         float64 // to and from other nodes
+	PlatformBytes        float64 // to and from engines and the platform's services
+	CPUShare             float64 // share of a core, including the simulated platform
+	HeapBytes            float64 // heap and stacks in use per node, including the simulated platform
+	KeyValueCalls        float64 // calls per second of the whole fleet
+	KeyValueRejected     uint64
+	ChangeDelays         Delays
+	ActivationDelays     Delays
+	NodeFailureDelays    Delays
+	ReplicaFailureDelays Delays
+	FalseSuspicions      int
+	FalseDeaths          int
+	MostPartitions       int
+	UnownedPartition     bool
 }
 
-// Measure waits until the fleet has settled and measures it.
+// Measure waits until the fleet has settled and measures it. began is the time at which the fleet was started. Costs are
+// averaged over window.
 func (fleet *Fleet) Measure(ctx context.Context, began time.Time, window time.Duration, output io.Writer) (Figures, error) {
 	figures := Figures{Nodes: fleet.options.Nodes, Replicas: fleet.options.Replicas}
-	if !Await(ctx, settleLimit, fleet.Settled) {
-		return figures, errors.Newf("the fleet did not settle within %s: %s", settleLimit, fleet.unsettled())
+	if !Await(ctx, settleTimeout, fleet.Settled) {
+		return figures, errors.Newf("the fleet did not settle within %s: %s", settleTimeout, fleet.describeProgress())
 	}
-	figures.Settle = time.Since(began)
+	figures.SettleTime = time.Since(began)
 	if err := fleet.configure(ctx); err != nil {
 		return figures, err
 	}
-	fmt.Fprintf(output, "  settled after %.1f s\n", figures.Settle.Seconds())
+	fmt.Fprintf(output, "  settled after %.1f s\n", figures.SettleTime.Seconds())
 	fleet.measureCosts(&figures, window)
 	var err error
-	if figures.Change, err = fleet.measureChange(ctx); err != nil {
+	if figures.ChangeDelays, err = fleet.measureChange(ctx); err != nil {
 		return figures, err
 	}
-	if figures.Activation, err = fleet.measureActivation(ctx); err != nil {
+	if figures.ActivationDelays, err = fleet.measureActivation(ctx); err != nil {
 		return figures, err
 	}
 	for _, running := range fleet.Nodes() {
@@ -82,31 +83,32 @@
 		figures.FalseDeaths += deaths
 		figures.MostPartitions = max(figures.MostPartitions, running.OwnedPartitions())
 	}
-	figures.DeadNode = fleet.measureDeadNode(ctx)
-	figures.DeadReplica = fleet.measureDeadReplica(ctx)
+	figures.NodeFailureDelays = fleet.measureNodeFailure(ctx)
+	figures.ReplicaFailureDelays = fleet.measureReplicaFailure(ctx)
 	return figures, nil
 }
 
 const (
-	settleLimit = 40 * time.Second
-	newsLimit   = 15 * time.Second
-	// warmUp lets the news of the start pass before costs are watched.
-	warmUp       = 4 * time.Second
-	changesMade  = 5
-	changesPause = 300 * time.Millisecond
+	settleTimeout      = 40 * time.Second
+	propagationTimeout = 15 * time.Second
+	// warmUp keeps the traffic of the start out of the measured costs.
+	warmUp         = 4 * time.Second
+	changeCount    = 5
+	changeInterval = 300 * time.Millisecond
 )
 
-func (fleet *Fleet) unsettled() string {
+// describeProgress reports the smallest numbers of nodes and replicas that any node knows.
+func (fleet *Fleet) describeProgress() string {
 	nodes := fleet.Nodes()
-	least, replicas := len(nodes), fleet.options.Replicas
+	members, replicas := len(nodes), fleet.options.Replicas
 	for _, running := range nodes {
-		least = min(least, running.LiveMembers())
+		members = min(members, running.LiveMembers())
 		replicas = min(replicas, running.KnownReplicas())
 	}
-	return fmt.Sprintf("some node sees %d of %d nodes, some %d replicas", least, len(nodes), replicas)
+	return fmt.Sprintf("smallest membership known to a node: %d of %d nodes; smallest number of replicas known to a node: %d", members, len(nodes), replicas)
 }
 
-// anyNode returns one running node.
+// anyNode returns a random running node.
 func (fleet *Fleet) anyNode() *bench.RunningNode {
 	for _, running := range fleet.Nodes() {
 		return running
@@ -120,13 +122,13 @@
 	if err != nil {
 		return errors.Wrap(err, "configure")
 	}
-	if !Await(ctx, settleLimit, func() bool { return fleet.activated(1) == fleet.options.Replicas }) {
-		return errors.Newf("%d of %d engines run the first version", fleet.activated(1), fleet.options.Replicas)
+	if !Await(ctx, settleTimeout, func() bool { return fleet.countActive(1) == fleet.options.Replicas }) {
+		return errors.Newf("%d of %d engines run the first version", fleet.countActive(1), fleet.options.Replicas)
 	}
 	return nil
 }
 
-func (fleet *Fleet) activated(version uint64) int {
+func (fleet *Fleet) countActive(version uint64) int {
 	count := 0
 	for _, engine := range fleet.site.Engines() {
 		if engine.Model.Active("main") == version {
@@ -136,8 +138,8 @@
 	return count
 }
 
-// processorTime returns the process's user and system time.
-func processorTime() time.Duration {
+// cpuTime returns the user and system CPU time of this process.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
@@ -145,26 +147,26 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// measureCosts watches the fleet for a while without any change.
+// measureCosts measures an idle fleet for the length of window.
 func (fleet *Fleet) measureCosts(figures *Figures, window time.Duration) {
 	time.Sleep(warmUp)
 	calls := fleet.controlCalls()
-	sent, received := fleet.control.Sent.Load(), fleet.control.Received.Load()
-	dataSent, dataReceived := fleet.data.Sent.Load(), fleet.data.Received.Load()
+	sent, received := fleet.controlTraffic.Sent.Load(), fleet.controlTraffic.Received.Load()
+	dataSent, dataReceived := fleet.dataTraffic.Sent.Load(), fleet.dataTraffic.Received.Load()
 	serviceCalls, _ := fleet.site.KeyValue.Calls()
-	processor := processorTime()
+	cpu := cpuTime()
 	began := time.Now()
 	time.Sleep(window)
 	passed := time.Since(began).Seconds()
-	processor = processorTime() - processor
+	cpu = cpuTime() - cpu
 	perNode := 1 / (passed * float64(figures.Nodes))
-	figures.Messages = float64(fleet.controlCalls()-calls) * perNode
-	figures.ControlBytes = float64(fleet.control.Sent.Load()-sent+fleet.control.Received.Load()-received) * perNode
-	figures.PlatformBytes = float64(fleet.data.Sent.Load()-dataSent+fleet.data.Received.Load()-dataReceived) * perNode
-	figures.Processor = processor.Seconds() * perNode
+	figures.ControlCalls = float64(fleet.controlCalls()-calls) * perNode
+	figures.ControlBytes = float64(fleet.controlTraffic.Sent.Load()-sent+fleet.controlTraffic.Received.Load()-received) * perNode
+	figures.PlatformBytes = float64(fleet.dataTraffic.Sent.Load()-dataSent+fleet.dataTraffic.Received.Load()-dataReceived) * perNode
+	figures.CPUShare = cpu.Seconds() * perNode
 	after, refused := fleet.site.KeyValue.Calls()
-	figures.KeyValuePerSec = float64(after-serviceCalls) / passed
-	figures.KeyValueRefused = refused
+	figures.KeyValueCalls = float64(after-serviceCalls) / passed
+	figures.KeyValueRejected = refused
 	runtime.GC()
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -179,49 +181,51 @@
 	return total
 }
 
-// measureChange makes some changes, one after the other, and times each from the command to each node.
-func (fleet *Fleet) measureChange(ctx context.Context) (Spread, error) {
+// measureChange makes several configuration changes and measures how long each takes to reach each node.
+func (fleet *Fleet) measureChange(ctx context.Context) (Delays, error) {
 	var times []time.Duration
 	missed := 0
-	for index := range changesMade {
+	for index := range changeCount {
 		before := fleet.anyNode().Revision()
 		began := time.Now()
 		command := fmt.Sprintf("alter experiment main staleness %d versions", 3+index)
 		if _, err := fleet.client.Execute(ctx, fleet.anyNode().API(), command); err != nil {
-			return Spread{}, errors.Wrap(err, "change")
+			return Delays{}, errors.Wrap(err, "change")
 		}
-		reached, late := reach(fleet.Nodes(), began, func(running *bench.RunningNode) bool { return running.Revision() > before })
-		times = append(times, reached...)
-		missed += late
-		time.Sleep(changesPause)
+		delays, unreached := measureDelays(fleet.Nodes(), began, func(running *bench.RunningNode) bool { return running.Revision() > before })
+		times = append(times, delays...)
+		missed += unreached
+		time.Sleep(changeInterval)
 	}
-	return spreadOf(times, missed), nil
+	return summarizeDelays(times, missed), nil
 }
 
-// reach times when each item meets a condition.
-func reach[Item any](items map[string]Item, began time.Time, holds func(Item) bool) ([]time.Duration, int) {
+// measureDelays measures how long after began each item first meets a condition. It returns these delays and the number of
+// items that did not meet the condition within propagationTimeout.
+func measureDelays[Item any](items map[string]Item, began time.Time, condition func(Item) bool) ([]time.Duration, int) {
 	waiting := make(map[string]Item, len(items))
 	for id, item := range items {
 		waiting[id] = item
 	}
 	var times []time.Duration
-	for len(waiting) > 0 && time.Since(began) < newsLimit {
+	for len(waiting) > 0 && time.Since(began) < propagationTimeout {
 		for id, item := range waiting {
-			if holds(item) {
+			if condition(item) {
 				times = append(times, time.Since(began))
 				delete(waiting, id)
 			}
 		}
-		time.Sleep(awaitPause)
+		time.Sleep(pollInterval)
 	}
 	return times, len(waiting)
 }
 
-// measureActivation publishes a version, waits until it is staged, and times the swap to each engine.
-func (fleet *Fleet) measureActivation(ctx context.Context) (Spread, error) {
+// measureActivation publishes a version, waits until every engine has staged it, and measures how long after the swap command
+// each engine activates it.
+func (fleet *Fleet) measureActivation(ctx context.Context) (Delays, error) {
 	api := fleet.anyNode().API()
 	if _, err := fleet.client.Execute(ctx, api, "publish policy main version 2"); err != nil {
-		return Spread{}, errors.Wrap(err, "publish")
+		return Delays{}, errors.Wrap(err, "publish")
 	}
 	staged := func() bool {
 		for _, engine := range fleet.site.Engines() {
@@ -231,41 +235,41 @@
 		}
 		return true
 	}
-	if !Await(ctx, settleLimit, staged) {
-		return Spread{}, errors.New("the version was not staged everywhere")
+	if !Await(ctx, settleTimeout, staged) {
+		return Delays{}, errors.New("the version was not staged everywhere")
 	}
 	began := time.Now()
 	if _, err := fleet.client.Execute(ctx, api, "swap policy main to 2"); err != nil {
-		return Spread{}, errors.Wrap(err, "swap")
+		return Delays{}, errors.Wrap(err, "swap")
 	}
 	engines := make(map[string]*bench.RunningEngine)
 	for _, engine := range fleet.site.Engines() {
 		engines[engine.ID] = engine
 	}
-	times, missed := reach(engines, began, func(engine *bench.RunningEngine) bool { return engine.Model.Active("main") == 2 })
-	return spreadOf(times, missed), nil
+	times, missed := measureDelays(engines, began, func(engine *bench.RunningEngine) bool { return engine.Model.Active("main") == 2 })
+	return summarizeDelays(times, missed), nil
 }
 
-// measureDeadNode kills a node and times when each other one knows.
-func (fleet *Fleet) measureDeadNode(ctx context.Context) Spread {
+// measureNodeFailure crashes a node and measures how long each other node takes to declare it dead.
+func (fleet *Fleet) measureNodeFailure(ctx context.Context) Delays {
 	victim := fleet.anyNode().Settings.Node.ID
 	began := time.Now()
 	fleet.KillNode(victim)
-	times, missed := reach(fleet.Nodes(), began, func(running *bench.RunningNode) bool { return !running.Sees(victim) })
-	return spreadOf(times, missed)
+	times, missed := measureDelays(fleet.Nodes(), began, func(running *bench.RunningNode) bool { return !running.Sees(victim) })
+	return summarizeDelays(times, missed)
 }
 
-// measureDeadReplica kills an engine and times when each node that knows its load gives it no more work.
-func (fleet *Fleet) measureDeadReplica(ctx context.Context) Spread {
+// measureReplicaFailure crashes an engine and measures how long each node that dispatches to it takes to stop doing so.
+func (fleet *Fleet) measureReplicaFailure(ctx context.Context) Delays {
 	victim := fleet.site.Engines()[0]
-	concerned := make(map[string]*bench.RunningNode)
+	observers := make(map[string]*bench.RunningNode)
 	for id, running := range fleet.Nodes() {
 		if running.Serves(victim.ID) {
-			concerned[id] = running
+			observers[id] = running
 		}
 	}
 	began := time.Now()
 	victim.Crash()
-	times, missed := reach(concerned, began, func(running *bench.RunningNode) bool { return !running.Serves(victim.ID) })
-	return spreadOf(times, missed)
+	times, missed := measureDelays(observers, began, func(running *bench.RunningNode) bool { return !running.Serves(victim.ID) })
+	return summarizeDelays(times, missed)
 }
