--- a/internal/lab/platform/orders.go
+++ b/internal/lab/platform/orders.go
@@ -33,7 +33,8 @@
 	writeJSON(writer, http.StatusOK, struct{}{})
 }
 
-// fenceAllowed reports whether an order with the fence next may be accepted after present, the greatest fence accepted so far.
+// fenceAllowed reports whether an order with fence next may be accepted. present is the greatest fence accepted so far. Within
+// a term, only the same holder may continue.
 func fenceAllowed(next, present engine.Fence) bool {
 	if next.Term != present.Term {
 		return next.Term > present.Term
--- a/internal/lab/platform/streams.go
+++ b/internal/lab/platform/streams.go
@@ -259,8 +259,8 @@
 
 const vocabularySize = 50000
 
-// tokenAt returns the token that a version generates at a position. The version is part of the hash, so that chunks of
-// different versions can be told apart.
+// tokenAt returns the token that a version generates at a position. The version is part of the hash, so that tokens reveal
+// which version generated them.
 func tokenAt(request engine.Request, version uint64, position int) uint32 {
 	seed := request.Policy + "\x00" + strconv.FormatUint(version, 10) + "\x00" + strconv.Itoa(position) + "\x00" + request.RequestID + "\x00" + request.Prompt
 	return uint32(xxhash.Sum64String(seed) % vocabularySize)
