--- a/internal/metadata/health.go
+++ b/internal/metadata/health.go
@@ -144,8 +144,8 @@
 	return false
 }
 
-// Told notifies this node that the store responds to another node again. If the store is lost here, it is probed at once.
-func (health *Health) Told() {
+// NotifyRecovered notifies this node that the store responds to another node again. If the store is lost here, it is probed at once.
+func (health *Health) NotifyRecovered() {
 	if health.Good() {
 		return
 	}
--- a/internal/metadata/health_test.go
+++ b/internal/metadata/health_test.go
@@ -50,7 +50,7 @@
 			time.Sleep(5*time.Second + after)
 			must.False(t, health.Good())
 			store.silent.Store(false)
-			health.Told()
+			health.NotifyRecovered()
 			time.Sleep(10 * time.Millisecond)
 			must.True(t, health.Good(), must.Sprintf("notified %s later", after))
 			cancel()
@@ -71,7 +71,7 @@
 		store.silent.Store(false)
 		before := store.probes.Load()
 		for range 20 {
-			health.Told()
+			health.NotifyRecovered()
 			time.Sleep(30 * time.Millisecond)
 		}
 		must.True(t, health.Good())
--- a/internal/quarantine/archive.go
+++ b/internal/quarantine/archive.go
@@ -31,12 +31,12 @@
 	maxRecords = 1024
 )
 
-// Archive stores quarantined requests in the metadata store and loads those that other nodes have stored. It implements
+// RecordStore stores quarantined requests in the metadata store and loads those that other nodes have stored. It implements
 // Keeper and metadata.Handler. It is safe for concurrent use.
-type Archive struct {
+type RecordStore struct {
 	Store  metadata.Store
 	Health *metadata.Health
-	Book   *Book
+	Book   *Tracker
 	Node   string
 	Logger *log.Logger
 	// IsDeputy reports whether this node stores the record of a request if its reporter does not.
@@ -55,9 +55,9 @@
 	crashes  int
 }
 
-// NewArchive returns an archive that runs until the context ends.
-func NewArchive(ctx context.Context, store metadata.Store, health *metadata.Health, book *Book, node string, logger *log.Logger) *Archive {
-	return &Archive{
+// NewRecordStore returns an archive that runs until the context ends.
+func NewRecordStore(ctx context.Context, store metadata.Store, health *metadata.Health, book *Tracker, node string, logger *log.Logger) *RecordStore {
+	return &RecordStore{
 		Store: store, Health: health, Book: book, Node: node, Logger: logger, IsDeputy: func(Fingerprint) bool { return false },
 		ctx: ctx, stored: make(map[Fingerprint]storedRecord), writing: make(map[Fingerprint]bool),
 	}
@@ -65,7 +65,7 @@
 
 // Persist implements Keeper. The reporter stores the record at once, the deputy after deputyPersistDelay, and other nodes
 // do not store it. It does not block.
-func (archive *Archive) Persist(fingerprint Fingerprint) {
+func (archive *RecordStore) Persist(fingerprint Fingerprint) {
 	delay := time.Duration(0)
 	if archive.Book.Suspected(fingerprint).Reporter != archive.Node {
 		if !archive.IsDeputy(fingerprint) {
@@ -80,7 +80,7 @@
 
 // beginWrite reports whether no other goroutine writes the record of a request. If so, the caller writes it and calls
 // endWrite.
-func (archive *Archive) beginWrite(fingerprint Fingerprint) bool {
+func (archive *RecordStore) beginWrite(fingerprint Fingerprint) bool {
 	archive.mu.Lock()
 	defer archive.mu.Unlock()
 	if archive.writing[fingerprint] {
@@ -90,7 +90,7 @@
 	return true
 }
 
-func (archive *Archive) endWrite(fingerprint Fingerprint) {
+func (archive *RecordStore) endWrite(fingerprint Fingerprint) {
 	archive.mu.Lock()
 	defer archive.mu.Unlock()
 	delete(archive.writing, fingerprint)
@@ -98,7 +98,7 @@
 
 // writeRecord writes the record of a request until the store is up to date with the book. Each write is conditional on the
 // revision that it replaces, so that a delayed write overwrites nothing newer.
-func (archive *Archive) writeRecord(fingerprint Fingerprint, delay time.Duration) {
+func (archive *RecordStore) writeRecord(fingerprint Fingerprint, delay time.Duration) {
 	defer archive.endWrite(fingerprint)
 	wait.Pause(archive.ctx, delay)
 	for archive.ctx.Err() == nil {
@@ -132,10 +132,10 @@
 }
 
 // Lift implements Keeper. It does not block.
-func (archive *Archive) Lift(fingerprint Fingerprint) { go archive.deleteRecord(fingerprint) }
+func (archive *RecordStore) Lift(fingerprint Fingerprint) { go archive.deleteRecord(fingerprint) }
 
 // deleteRecord deletes the record of a request, and retries until the store has none or the request is suspected again.
-func (archive *Archive) deleteRecord(fingerprint Fingerprint) {
+func (archive *RecordStore) deleteRecord(fingerprint Fingerprint) {
 	for archive.ctx.Err() == nil {
 		stored := archive.record(fingerprint)
 		if archive.Book.Suspected(fingerprint).Crashes > 0 || stored.revision == 0 {
@@ -152,7 +152,7 @@
 
 // commit makes one call to the store. On a conflict it adopts the stored state; on any other error it waits until the
 // store can be tried again.
-func (archive *Archive) commit(txn metadata.Txn, fingerprint Fingerprint) (metadata.Revision, error) {
+func (archive *RecordStore) commit(txn metadata.Txn, fingerprint Fingerprint) (metadata.Revision, error) {
 	ctx, cancel := context.WithTimeout(archive.ctx, commitTimeout)
 	revision, err := archive.Store.Commit(ctx, txn)
 	cancel()
@@ -170,7 +170,7 @@
 }
 
 // resolveConflict replaces the expected state of a record by the state in the store.
-func (archive *Archive) resolveConflict(fingerprint Fingerprint, conflict *metadata.ConflictError) {
+func (archive *RecordStore) resolveConflict(fingerprint Fingerprint, conflict *metadata.ConflictError) {
 	item, found := conflict.Find(Prefix + fingerprint.String())
 	if !found {
 		archive.setRecord(fingerprint, storedRecord{})
@@ -179,13 +179,13 @@
 	archive.applyRecord(item)
 }
 
-func (archive *Archive) record(fingerprint Fingerprint) storedRecord {
+func (archive *RecordStore) record(fingerprint Fingerprint) storedRecord {
 	archive.mu.Lock()
 	defer archive.mu.Unlock()
 	return archive.stored[fingerprint]
 }
 
-func (archive *Archive) setRecord(fingerprint Fingerprint, record storedRecord) {
+func (archive *RecordStore) setRecord(fingerprint Fingerprint, record storedRecord) {
 	archive.mu.Lock()
 	defer archive.mu.Unlock()
 	if record.revision == 0 {
@@ -196,7 +196,7 @@
 }
 
 // Reset implements metadata.Handler. It keeps records that are newer than the listing.
-func (archive *Archive) Reset(items []metadata.Item, revision metadata.Revision) {
+func (archive *RecordStore) Reset(items []metadata.Item, revision metadata.Revision) {
 	listed := make(map[Fingerprint]bool, len(items))
 	for _, item := range items {
 		if fingerprint, err := fingerprintOfKey(item.Key); err == nil {
@@ -220,7 +220,7 @@
 }
 
 // Apply implements metadata.Handler.
-func (archive *Archive) Apply(events []metadata.Event, _ metadata.Revision) {
+func (archive *RecordStore) Apply(events []metadata.Event, _ metadata.Revision) {
 	for _, event := range events {
 		if !event.Deleted {
 			archive.applyRecord(event.Item)
@@ -233,7 +233,7 @@
 }
 
 // applyRecord updates the archive and the book from a record in the store.
-func (archive *Archive) applyRecord(item metadata.Item) {
+func (archive *RecordStore) applyRecord(item metadata.Item) {
 	fingerprint, err := fingerprintOfKey(item.Key)
 	record := &clusterv1.QuarantineRecord{}
 	if err == nil {
@@ -245,7 +245,7 @@
 	}
 	suspicion := Suspicion{Crashes: int(record.GetCrashes()), Reporter: record.GetReporter(), Until: time.UnixMilli(record.GetUntilUnixMs())}
 	for _, replica := range record.GetReplicas() {
-		suspicion.Events = append(suspicion.Events, End{Replica: replica})
+		suspicion.Events = append(suspicion.Events, CrashEvent{Replica: replica})
 	}
 	archive.setRecord(fingerprint, storedRecord{item.Revision, suspicion.Crashes})
 	archive.Book.Restore(fingerprint, suspicion, time.Now())
@@ -254,7 +254,7 @@
 
 // dropRecord clears a request whose record was deleted from the store, because its quarantine expired or a replica has
 // answered it.
-func (archive *Archive) dropRecord(fingerprint Fingerprint) {
+func (archive *RecordStore) dropRecord(fingerprint Fingerprint) {
 	archive.setRecord(fingerprint, storedRecord{})
 	archive.Book.Clear(fingerprint)
 	archive.Logger.Info("quarantine ended", "fingerprint", fingerprint)
--- a/internal/quarantine/archive_test.go
+++ b/internal/quarantine/archive_test.go
@@ -19,10 +19,10 @@
 )
 
 // newArchive returns the archive and the book of a node that watches the store.
-func newArchive(ctx context.Context, store *memstore.Store, node string, deputy bool) (*quarantine.Archive, *quarantine.Book) {
-	logger, book := log.New(io.Discard), quarantine.NewBook(node, time.Now())
+func newArchive(ctx context.Context, store *memstore.Store, node string, deputy bool) (*quarantine.RecordStore, *quarantine.Tracker) {
+	logger, book := log.New(io.Discard), quarantine.NewTracker(node, time.Now())
 	health := metadata.NewHealth(store, logger)
-	archive := quarantine.NewArchive(ctx, store, health, book, node, logger)
+	archive := quarantine.NewRecordStore(ctx, store, health, book, node, logger)
 	archive.IsDeputy = func(quarantine.Fingerprint) bool { return deputy }
 	follower := &metadata.Follower{Store: store, Prefix: quarantine.Prefix, Handler: archive, Logger: logger, Health: health}
 	go health.Run(ctx)
@@ -31,14 +31,14 @@
 }
 
 // recordThreeCrashes records three crashes, one second apart.
-func recordThreeCrashes(book *quarantine.Book, reporter string) {
+func recordThreeCrashes(book *quarantine.Tracker, reporter string) {
 	for index := range 3 {
 		now := time.Now().Add(time.Duration(index-3) * time.Second)
 		book.RecordCrash(fingerprintOf("x"), fmt.Sprint("r", index), reporter, now, now)
 	}
 }
 
-func crashesOf(book *quarantine.Book) int { return book.Suspected(fingerprintOf("x")).Crashes }
+func crashesOf(book *quarantine.Tracker) int { return book.Suspected(fingerprintOf("x")).Crashes }
 
 // A quarantine must be stored in spite of an outage of the store and a lost response, reach a node that starts later, and
 // be lifted on all nodes.
--- a/internal/quarantine/attribution.go
+++ b/internal/quarantine/attribution.go
@@ -15,7 +15,7 @@
 // so a request that crashes replicas itself gains no more runs than if every node knew of every crash.
 //
 // It must be called with mu held.
-func (book *Book) attribution(fingerprint Fingerprint, entry *entry, now time.Time) (culprit Fingerprint, attributed bool) {
+func (book *Tracker) attribution(fingerprint Fingerprint, entry *entry, now time.Time) (culprit Fingerprint, attributed bool) {
 	if entry.crashes < quarantineThreshold || entry.crashes >= trialLimit || len(entry.events) == 0 {
 		return Fingerprint{}, false
 	}
@@ -27,7 +27,7 @@
 }
 
 // findCulprit searches all suspected requests. It must be called with mu held.
-func (book *Book) findCulprit(fingerprint Fingerprint, entry *entry, now time.Time) (Fingerprint, bool) {
+func (book *Tracker) findCulprit(fingerprint Fingerprint, entry *entry, now time.Time) (Fingerprint, bool) {
 	newest := entry.events[len(entry.events)-1].Replica
 	for other, suspected := range book.entries {
 		if suspected.quarantined(now) && suspected.hasCrash(newest) && moreSuspected(other, suspected, fingerprint, entry) {
--- a/internal/quarantine/attribution_test.go
+++ b/internal/quarantine/attribution_test.go
@@ -36,7 +36,7 @@
 }
 
 // recordCrashes records crashes, one second apart.
-func recordCrashes(book *quarantine.Book, body, reporter string, now time.Time, replicas ...string) {
+func recordCrashes(book *quarantine.Tracker, body, reporter string, now time.Time, replicas ...string) {
 	for index, replica := range replicas {
 		at := now.Add(time.Duration(index-len(replicas)+1) * time.Second)
 		book.RecordCrash(fingerprintOf(body), replica, reporter, at, at)
@@ -68,7 +68,7 @@
 			quarantine.Decision{Crashes: 4, RetryAfter: quarantineDuration - holdDuration}},
 	} {
 		now := time.Now()
-		book := quarantine.NewBook("node", now)
+		book := quarantine.NewTracker("node", now)
 		recordCrashes(book, culprit, "node", now, check.culprit...)
 		recordCrashes(book, harmless, check.reporter, now, check.harmless...)
 		decision := book.Admit(fingerprintOf(harmless), check.claim, now.Add(holdDuration))
@@ -83,7 +83,7 @@
 // run. The other is tried once the first has crashed a replica by itself.
 func TestOneOfTwoEqualsIsTried(t *testing.T) {
 	now := time.Now()
-	book := quarantine.NewBook("node", now)
+	book := quarantine.NewTracker("node", now)
 	recordCrashes(book, culprit, "node", now, "r1", "r2", "r3")
 	recordCrashes(book, harmless, "node", now, "r1", "r2", "r3")
 	due := now.Add(holdDuration)
@@ -101,7 +101,7 @@
 // A stored record without replicas, which another writer may leave, must hold its request.
 func TestRecordWithoutReplicas(t *testing.T) {
 	now := time.Now()
-	book := quarantine.NewBook("node", now)
+	book := quarantine.NewTracker("node", now)
 	book.Restore(fingerprintOf(harmless), quarantine.Suspicion{Crashes: 3, Reporter: "node", Until: now.Add(quarantineDuration)}, now)
 	must.Eq(t, quarantine.Decision{Crashes: 3, RetryAfter: quarantineDuration}, book.Admit(fingerprintOf(harmless), quarantine.Claim{}, now))
 }
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -60,16 +60,16 @@
 	Culprit    Fingerprint
 }
 
-// End is the crash of a replica while it ran a request.
-type End struct {
+// CrashEvent is the crash of a replica while it ran a request.
+type CrashEvent struct {
 	Replica string
-	// Broke is when the request was interrupted.
-	Broke time.Time
+	// InterruptedAt is when the request was interrupted.
+	InterruptedAt time.Time
 }
 
-// Book holds the requests that this node suspects of crashing replicas. It is safe for concurrent use. Callers pass in the
+// Tracker holds the requests that this node suspects of crashing replicas. It is safe for concurrent use. Callers pass in the
 // current time; a clock that stops while the machine is suspended only lengthens a hold.
-type Book struct {
+type Tracker struct {
 	node    string
 	started time.Time
 	size    atomic.Int64
@@ -82,13 +82,13 @@
 
 // entry is the state of one suspected request.
 type entry struct {
-	firstSeen time.Time // when this node learned of the first crash
-	events    []End     // the most recent crashes, at most maxEvents
-	crashes   int       // the number that counts; simultaneous crashes count once
-	reporter  string    // the node that reported the last crash
-	lastSeen  time.Time // when this node learned of the last crash that counts
-	lastTrial time.Time // when this node last tried the request
-	until     time.Time // the end of the quarantine; zero outside
+	firstSeen time.Time    // when this node learned of the first crash
+	events    []CrashEvent // the most recent crashes, at most maxEvents
+	crashes   int          // the number that counts; simultaneous crashes count once
+	reporter  string       // the node that reported the last crash
+	lastSeen  time.Time    // when this node learned of the last crash that counts
+	lastTrial time.Time    // when this node last tried the request
+	until     time.Time    // the end of the quarantine; zero outside
 
 	// Cached result of attribution, valid while the book's changes equals computedAt.
 	culprit    Fingerprint
@@ -96,14 +96,14 @@
 	computedAt uint64
 }
 
-// NewBook returns an empty book for a node whose process starts now.
-func NewBook(node string, now time.Time) *Book {
-	return &Book{node: node, started: now, entries: make(map[Fingerprint]*entry), heads: make(map[head]int)}
+// NewTracker returns an empty book for a node whose process starts now.
+func NewTracker(node string, now time.Time) *Tracker {
+	return &Tracker{node: node, started: now, entries: make(map[Fingerprint]*entry), heads: make(map[head]int)}
 }
 
 // MayBeSuspected reports whether a request may be suspected, without reading its body. It takes no lock if no request is
 // suspected.
-func (book *Book) MayBeSuspected(service string, request *backend.Request) bool {
+func (book *Tracker) MayBeSuspected(service string, request *backend.Request) bool {
 	if book.size.Load() == 0 {
 		return false
 	}
@@ -116,15 +116,15 @@
 // RecordCrash records the crash of a replica under a request, as seen by the reporter, and returns how many crashes count;
 // fresh is false if the crash was already recorded. Broke is when the request was interrupted, which may be seconds before
 // the crash was detected.
-func (book *Book) RecordCrash(fingerprint Fingerprint, replica, reporter string, broke, now time.Time) (crashes int, fresh bool) {
+func (book *Tracker) RecordCrash(fingerprint Fingerprint, replica, reporter string, broke, now time.Time) (crashes int, fresh bool) {
 	book.mu.Lock()
 	defer book.mu.Unlock()
 	known := book.getOrCreate(fingerprint, now)
 	if known.hasCrash(replica) {
 		return known.crashes, false
 	}
-	simultaneous := slices.ContainsFunc(known.events, func(other End) bool { return broke.Sub(other.Broke).Abs() < simultaneousWindow })
-	known.addEvent(End{replica, broke})
+	simultaneous := slices.ContainsFunc(known.events, func(other CrashEvent) bool { return broke.Sub(other.InterruptedAt).Abs() < simultaneousWindow })
+	known.addEvent(CrashEvent{replica, broke})
 	if simultaneous {
 		return known.crashes, true
 	}
@@ -136,7 +136,7 @@
 type Suspicion struct {
 	// Crashes is the number of crashes that count; Events are the most recent crashes.
 	Crashes int
-	Events  []End
+	Events  []CrashEvent
 	// Reporter is the node that reported the last crash.
 	Reporter string
 	// Until is the end of the quarantine; zero if the request is not quarantined.
@@ -144,7 +144,7 @@
 }
 
 // Restore merges the stored record of a quarantined request.
-func (book *Book) Restore(fingerprint Fingerprint, stored Suspicion, now time.Time) {
+func (book *Tracker) Restore(fingerprint Fingerprint, stored Suspicion, now time.Time) {
 	book.mu.Lock()
 	defer book.mu.Unlock()
 	known := book.getOrCreate(fingerprint, now)
@@ -161,11 +161,11 @@
 
 // hasCrash reports whether the crash of a replica is recorded.
 func (entry *entry) hasCrash(replica string) bool {
-	return slices.ContainsFunc(entry.events, func(event End) bool { return event.Replica == replica })
+	return slices.ContainsFunc(entry.events, func(event CrashEvent) bool { return event.Replica == replica })
 }
 
 // addEvent records a crash, and drops the oldest if there are too many.
-func (entry *entry) addEvent(event End) {
+func (entry *entry) addEvent(event CrashEvent) {
 	if len(entry.events) == maxEvents {
 		entry.events = slices.Delete(entry.events, 0, 1)
 	}
@@ -182,7 +182,7 @@
 
 // getOrCreate returns the entry of a request for modification, in place of one that has expired. It must be called with mu
 // held.
-func (book *Book) getOrCreate(fingerprint Fingerprint, now time.Time) *entry {
+func (book *Tracker) getOrCreate(fingerprint Fingerprint, now time.Time) *entry {
 	book.changes++
 	known := book.entries[fingerprint]
 	if known != nil && known.expired(now) {
@@ -200,7 +200,7 @@
 }
 
 // remove must be called with mu held.
-func (book *Book) remove(fingerprint Fingerprint) {
+func (book *Tracker) remove(fingerprint Fingerprint) {
 	if book.entries[fingerprint] == nil {
 		return
 	}
@@ -214,7 +214,7 @@
 
 // evict removes expired entries and, if the book is still full, the entry whose last crash is the oldest. It must be
 // called with mu held.
-func (book *Book) evict(now time.Time) {
+func (book *Tracker) evict(now time.Time) {
 	var oldest Fingerprint
 	var oldestAt time.Time
 	for fingerprint, known := range book.entries {
@@ -245,7 +245,7 @@
 
 // Clear removes a request that a replica has answered or whose quarantine was lifted, and reports whether the request was
 // suspected.
-func (book *Book) Clear(fingerprint Fingerprint) bool {
+func (book *Tracker) Clear(fingerprint Fingerprint) bool {
 	book.mu.Lock()
 	defer book.mu.Unlock()
 	_, known := book.entries[fingerprint]
@@ -254,7 +254,7 @@
 }
 
 // Suspected returns the suspicion of a request; the zero value if it is not suspected.
-func (book *Book) Suspected(fingerprint Fingerprint) Suspicion {
+func (book *Tracker) Suspected(fingerprint Fingerprint) Suspicion {
 	book.mu.Lock()
 	defer book.mu.Unlock()
 	known := book.entries[fingerprint]
@@ -265,7 +265,7 @@
 }
 
 // Quarantined returns the number of quarantined requests.
-func (book *Book) Quarantined() int {
+func (book *Tracker) Quarantined() int {
 	book.mu.Lock()
 	defer book.mu.Unlock()
 	count := 0
@@ -287,7 +287,7 @@
 
 // Admit decides whether a request may be sent to a replica now. The caller must send a request that is allowed: a trial is
 // granted once.
-func (book *Book) Admit(fingerprint Fingerprint, claim Claim, now time.Time) Decision {
+func (book *Tracker) Admit(fingerprint Fingerprint, claim Claim, now time.Time) Decision {
 	book.mu.Lock()
 	defer book.mu.Unlock()
 	known := book.entries[fingerprint]
@@ -315,7 +315,7 @@
 
 // trialAllowed reports whether this node may try a held request now. Trials by one node are at least holdDuration apart,
 // so that a crash in one is detected before the next.
-func (book *Book) trialAllowed(entry *entry, claim Claim, attributed bool, now time.Time) bool {
+func (book *Tracker) trialAllowed(entry *entry, claim Claim, attributed bool, now time.Time) bool {
 	sinceLastCrash := now.Sub(entry.lastSeen)
 	if sinceLastCrash < holdDuration || now.Sub(entry.lastTrial) < holdDuration {
 		return false
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -48,7 +48,7 @@
 		{"four crashes, batch request", []crash{{"r1", 0}, {"r2", apart}, {"r3", apart}, {"r4", apart}}, holdDuration, true, quarantine.Decision{Crashes: 4, RetryAfter: quarantineDuration - holdDuration}},
 		{"quarantine expired", []crash{{"r1", 0}, {"r2", apart}, {"r3", apart}}, quarantineDuration + 1, false, quarantine.Decision{Allowed: true}},
 	} {
-		book, now := quarantine.NewBook("node", time.Now()), time.Now()
+		book, now := quarantine.NewTracker("node", time.Now()), time.Now()
 		for _, crash := range check.crashes {
 			now = now.Add(crash.after)
 			book.RecordCrash(fingerprintOf("x"), crash.replica, "node", now, now)
@@ -63,7 +63,7 @@
 func TestQuarantineIsTriedOnce(t *testing.T) {
 	for _, uptime := range []time.Duration{10*time.Minute - 1, 10 * time.Minute} {
 		now := time.Now()
-		book := quarantine.NewBook("node", now)
+		book := quarantine.NewTracker("node", now)
 		now = now.Add(uptime)
 		for _, replica := range []string{"r1", "r2", "r3"} {
 			book.RecordCrash(fingerprintOf("x"), replica, "node", now, now)
@@ -81,7 +81,7 @@
 
 // A trial must not be repeated before its crash would have been detected.
 func TestTrialIsGivenOnce(t *testing.T) {
-	book, now := quarantine.NewBook("node", time.Now()), time.Now()
+	book, now := quarantine.NewTracker("node", time.Now()), time.Now()
 	for _, replica := range []string{"r1", "r2", "r3"} {
 		now = now.Add(time.Second)
 		book.RecordCrash(fingerprintOf("x"), replica, "node", now, now)
@@ -107,7 +107,7 @@
 		{"deputy after its delay", "other", quarantine.Claim{Deputy: true}, 2 * holdDuration, true},
 		{"another node after its delay", "other", quarantine.Claim{}, 3 * holdDuration, true},
 	} {
-		book, now := quarantine.NewBook("node", time.Now()), time.Now()
+		book, now := quarantine.NewTracker("node", time.Now()), time.Now()
 		book.RecordCrash(fingerprintOf("x"), "r1", "node", now, now)
 		book.RecordCrash(fingerprintOf("x"), "r2", check.reporter, now.Add(time.Second), now)
 		must.Eq(t, check.trial, book.Admit(fingerprintOf("x"), check.claim, now.Add(check.after)).Trial, must.Sprint(check.name))
@@ -117,9 +117,9 @@
 
 // An answer clears a request, and crashes in a stored record count like those that the node has seen.
 func TestBookClearsAndRestores(t *testing.T) {
-	book, now := quarantine.NewBook("node", time.Now()), time.Now()
+	book, now := quarantine.NewTracker("node", time.Now()), time.Now()
 	must.False(t, book.Clear(fingerprintOf("x")))
-	book.Restore(fingerprintOf("x"), quarantine.Suspicion{Crashes: 3, Events: []quarantine.End{{Replica: "r1"}}, Reporter: "node", Until: now.Add(time.Minute)}, now)
+	book.Restore(fingerprintOf("x"), quarantine.Suspicion{Crashes: 3, Events: []quarantine.CrashEvent{{Replica: "r1"}}, Reporter: "node", Until: now.Add(time.Minute)}, now)
 	decision := book.Admit(fingerprintOf("x"), quarantine.Claim{}, now)
 	must.Eq(t, quarantine.Decision{Crashes: 3, RetryAfter: time.Minute}, decision)
 	must.Eq(t, 1, book.Quarantined())
@@ -134,7 +134,7 @@
 // The book must not grow beyond its limit: expired entries are evicted first, then the oldest. Bodies are hashed only for
 // requests that may be suspected.
 func TestBookIsBounded(t *testing.T) {
-	book, now := quarantine.NewBook("node", time.Now()), time.Now()
+	book, now := quarantine.NewTracker("node", time.Now()), time.Now()
 	const most = 4096
 	request := func(number int) *backend.Request { return &backend.Request{Target: fmt.Sprint("/", number)} }
 	for number := range most + 10 {
@@ -159,7 +159,7 @@
 
 // The cost of a held request must not grow with the number of other suspected requests.
 func BenchmarkHeldRequestInAFullBook(b *testing.B) {
-	book, now := quarantine.NewBook("node", time.Now()), time.Now()
+	book, now := quarantine.NewTracker("node", time.Now()), time.Now()
 	for number := range 4096 {
 		for replica := range 3 {
 			at := now.Add(time.Duration(replica) * time.Second)
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -20,13 +20,13 @@
 	Refuses(ctx context.Context, replica *catalog.Replica) bool
 }
 
-// Teller broadcasts notices of this node to all other nodes.
-type Teller interface {
-	Tell(Notice)
+// Broadcaster broadcasts notices of this node to all other nodes.
+type Broadcaster interface {
+	Broadcast(Notice)
 }
 
-// Keeper stores quarantined requests durably.
-type Keeper interface {
+// Persister stores quarantined requests durably.
+type Persister interface {
 	// Persist stores the record of a request as it is in the book; Lift deletes it.
 	Persist(Fingerprint)
 	Lift(Fingerprint)
@@ -38,11 +38,11 @@
 type Guard struct {
 	Sender  backend.Sender
 	Prober  Prober
-	Book    *Book
+	Book    *Tracker
 	Catalog *catalog.Table
-	// Teller and Keeper may be nil.
-	Teller Teller
-	Keeper Keeper
+	// Broadcaster and Keeper may be nil.
+	Broadcaster Broadcaster
+	Persister   Persister
 	// IsDeputy reports whether this node ranks first for a request among the running nodes.
 	IsDeputy func(Fingerprint) bool
 	Node     string
@@ -210,8 +210,8 @@
 
 // persistIfQuarantined stores the record of a request once it is quarantined.
 func (guard *Guard) persistIfQuarantined(fingerprint Fingerprint, crashes int) {
-	if crashes >= quarantineThreshold && guard.Keeper != nil {
-		guard.Keeper.Persist(fingerprint)
+	if crashes >= quarantineThreshold && guard.Persister != nil {
+		guard.Persister.Persist(fingerprint)
 	}
 }
 
@@ -236,15 +236,15 @@
 
 // liftIfQuarantined deletes the record of a request that was quarantined.
 func (guard *Guard) liftIfQuarantined(fingerprint Fingerprint, crashes int) {
-	if crashes >= quarantineThreshold && guard.Keeper != nil {
-		guard.Keeper.Lift(fingerprint)
+	if crashes >= quarantineThreshold && guard.Persister != nil {
+		guard.Persister.Lift(fingerprint)
 	}
 }
 
-// Heard handles a notice from another node.
-func (guard *Guard) Heard(notice Notice) {
+// HandleNotice handles a notice from another node.
+func (guard *Guard) HandleNotice(notice Notice) {
 	for _, crash := range notice.Crashes {
-		crashes, fresh := guard.Book.RecordCrash(crash.Fingerprint, crash.Replica, notice.Reporter, crash.Broke, time.Now())
+		crashes, fresh := guard.Book.RecordCrash(crash.Fingerprint, crash.Replica, notice.Reporter, crash.InterruptedAt, time.Now())
 		if !fresh {
 			continue
 		}
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -67,7 +67,7 @@
 func newFixture(t *testing.T) *fixture {
 	network, table := &stubNetwork{}, catalog.NewTable()
 	fixture := &fixture{network: network, table: table, guard: &quarantine.Guard{
-		Sender: network, Prober: network, Book: quarantine.NewBook("node", time.Now()), Catalog: table, Node: "node", Logger: log.New(io.Discard),
+		Sender: network, Prober: network, Book: quarantine.NewTracker("node", time.Now()), Catalog: table, Node: "node", Logger: log.New(io.Discard),
 		IsDeputy: func(quarantine.Fingerprint) bool { return false },
 	}}
 	fixture.register(target)
@@ -260,8 +260,8 @@
 		fixture := newFixture(t)
 		fingerprint := quarantine.FingerprintOf(service, requested)
 		for index, replica := range []string{"r7", "r8"} {
-			fixture.guard.Heard(quarantine.Notice{Reporter: "other", Crashes: []quarantine.Crash{{
-				Fingerprint: fingerprint, End: quarantine.End{Replica: replica, Broke: time.Now().Add(time.Duration(index) * time.Second)},
+			fixture.guard.HandleNotice(quarantine.Notice{Reporter: "other", Crashes: []quarantine.CrashReport{{
+				Fingerprint: fingerprint, CrashEvent: quarantine.CrashEvent{Replica: replica, InterruptedAt: time.Now().Add(time.Duration(index) * time.Second)},
 			}}})
 		}
 		fixture.network.answer = answerOf(http.StatusOK, strings.NewReader("whole"))
@@ -275,7 +275,7 @@
 		other.Body = []byte("y")
 		_, err = fixture.guard.Send(t.Context(), &target, &other)
 		must.NoError(t, err)
-		fixture.guard.Heard(quarantine.Notice{Reporter: "other", Cleared: []quarantine.Fingerprint{fingerprint}})
+		fixture.guard.HandleNotice(quarantine.Notice{Reporter: "other", Cleared: []quarantine.Fingerprint{fingerprint}})
 		must.NoError(t, fixture.send(t.Context()))
 	})
 }
--- a/internal/quarantine/outbox.go
+++ b/internal/quarantine/outbox.go
@@ -15,22 +15,22 @@
 	batchDelay = 5 * time.Millisecond
 	// resendDelay is when a notice is sent a second time, since a datagram may be lost.
 	resendDelay = 250 * time.Millisecond
-	// NoticeMost bounds the crashes, and the cleared requests, in one notice, which must fit into a datagram of 2,048
+	// MaxNoticeEntries bounds the crashes, and the cleared requests, in one notice, which must fit into a datagram of 2,048
 	// bytes: 100 bytes are left for each crash with the identifier of its replica, and 28 for each cleared request.
-	NoticeMost = 12
+	MaxNoticeEntries = 12
 )
 
-// Crash is the crash of a replica under a request.
-type Crash struct {
+// CrashReport is the crash of a replica under a request.
+type CrashReport struct {
 	Fingerprint Fingerprint
-	End
+	CrashEvent
 }
 
 // Notice is what a node broadcasts: the crashes that it has detected, and the requests that were answered after a
 // suspicion.
 type Notice struct {
 	Reporter string
-	Crashes  []Crash
+	Crashes  []CrashReport
 	Cleared  []Fingerprint
 }
 
@@ -42,10 +42,10 @@
 }
 
 // addCrashes queues all recorded crashes under a request, since other nodes may have missed the earlier ones.
-func (outbox *outbox) addCrashes(fingerprint Fingerprint, events []End) {
+func (outbox *outbox) addCrashes(fingerprint Fingerprint, events []CrashEvent) {
 	outbox.mu.Lock()
 	for _, event := range events {
-		outbox.pending.Crashes = append(outbox.pending.Crashes, Crash{fingerprint, event})
+		outbox.pending.Crashes = append(outbox.pending.Crashes, CrashReport{fingerprint, event})
 	}
 	outbox.mu.Unlock()
 	outbox.notify()
@@ -79,8 +79,8 @@
 func (outbox *outbox) next() (notice Notice, more bool) {
 	outbox.mu.Lock()
 	defer outbox.mu.Unlock()
-	crashes := min(NoticeMost, len(outbox.pending.Crashes))
-	cleared := min(NoticeMost, len(outbox.pending.Cleared))
+	crashes := min(MaxNoticeEntries, len(outbox.pending.Crashes))
+	cleared := min(MaxNoticeEntries, len(outbox.pending.Cleared))
 	notice = Notice{Crashes: outbox.pending.Crashes[:crashes:crashes], Cleared: outbox.pending.Cleared[:cleared:cleared]}
 	outbox.pending.Crashes, outbox.pending.Cleared = outbox.pending.Crashes[crashes:], outbox.pending.Cleared[cleared:]
 	return notice, len(outbox.pending.Crashes)+len(outbox.pending.Cleared) > 0
@@ -105,15 +105,15 @@
 
 // broadcastTwice broadcasts a notice now and, without crashes under requests cleared meanwhile, again after resendDelay.
 func (guard *Guard) broadcastTwice(notice Notice) {
-	if guard.Teller == nil {
+	if guard.Broadcaster == nil {
 		return
 	}
 	notice.Reporter = guard.Node
-	guard.Teller.Tell(notice)
+	guard.Broadcaster.Broadcast(notice)
 	time.AfterFunc(resendDelay, func() {
-		notice.Crashes = slices.DeleteFunc(slices.Clone(notice.Crashes), func(crash Crash) bool {
+		notice.Crashes = slices.DeleteFunc(slices.Clone(notice.Crashes), func(crash CrashReport) bool {
 			return guard.Book.Suspected(crash.Fingerprint).Crashes == 0
 		})
-		guard.Teller.Tell(notice)
+		guard.Broadcaster.Broadcast(notice)
 	})
 }
--- a/internal/quarantine/world_test.go
+++ b/internal/quarantine/world_test.go
@@ -95,12 +95,12 @@
 	name := fmt.Sprint("node-", index)
 	ctx, cancel := context.WithCancel(context.Background())
 	logger := log.New(io.Discard)
-	book := quarantine.NewBook(name, time.Now())
+	book := quarantine.NewTracker(name, time.Now())
 	health := metadata.NewHealth(world.store, logger)
-	archive := quarantine.NewArchive(ctx, world.store, health, book, name, logger)
+	archive := quarantine.NewRecordStore(ctx, world.store, health, book, name, logger)
 	archive.IsDeputy = func(fingerprint quarantine.Fingerprint) bool { return world.isDeputy(fingerprint, name) }
 	started := &node{world: world, name: name, started: time.Now(), ctx: ctx, cancel: cancel}
-	started.guard = &quarantine.Guard{Sender: started, Prober: world, Book: book, Catalog: world.table, Teller: started, Keeper: archive, IsDeputy: archive.IsDeputy, Node: name, Logger: logger}
+	started.guard = &quarantine.Guard{Sender: started, Prober: world, Book: book, Catalog: world.table, Broadcaster: started, Persister: archive, IsDeputy: archive.IsDeputy, Node: name, Logger: logger}
 	follower := &metadata.Follower{Store: world.store, Prefix: quarantine.Prefix, Handler: archive, Logger: logger, Health: health}
 	go health.Run(ctx)
 	go follower.Run(ctx)
@@ -239,13 +239,13 @@
 	return known == nil || known.gone
 }
 
-// Tell implements quarantine.Teller.
-func (node *node) Tell(notice quarantine.Notice) {
+// Broadcast implements quarantine.Teller.
+func (node *node) Broadcast(notice quarantine.Notice) {
 	for _, other := range node.world.running() {
 		if other.name == node.name || node.world.dropsDatagram() {
 			continue
 		}
-		time.AfterFunc(delay, func() { other.guard.Heard(notice) })
+		time.AfterFunc(delay, func() { other.guard.HandleNotice(notice) })
 	}
 }
 
--- a/internal/role/front.go
+++ b/internal/role/front.go
@@ -88,7 +88,7 @@
 	// guard sends all requests to replicas and blocks those in quarantine; archive stores the quarantine beyond the life
 	// of this process.
 	guard   *quarantine.Guard
-	archive *quarantine.Archive
+	archive *quarantine.RecordStore
 }
 
 // Parameters of batch.FlushPolicy.
@@ -147,8 +147,8 @@
 	go front.datagrams.Receive(front.ctx, cluster.Handlers{
 		Any:       func() { front.Registry.RecordContact(time.Now()) },
 		Heartbeat: monitor.HandleHeartbeat, Beacon: front.handleBeacon, RelayReport: front.handleRelayReport, Loads: front.handleLoads,
-		StoreAnswers: func(*clusterv1.StoreAnswers) { front.health.Told() },
-		Suspicions:   func(suspicions *clusterv1.Suspicions) { front.guard.Heard(decodeNotice(suspicions)) },
+		StoreAnswers: func(*clusterv1.StoreAnswers) { front.health.NotifyRecovered() },
+		Suspicions:   func(suspicions *clusterv1.Suspicions) { front.guard.HandleNotice(decodeNotice(suspicions)) },
 		JobOwner:     front.handleJobOwner,
 	})
 	go monitor.Run(front.ctx)
--- a/internal/role/quarantine.go
+++ b/internal/role/quarantine.go
@@ -9,14 +9,14 @@
 
 // newGuard returns the guard, which withholds requests that crash replicas, and the archive, which stores such requests
 // in the metadata store.
-func (front *Front) newGuard() (*quarantine.Guard, *quarantine.Archive) {
-	book := quarantine.NewBook(front.Node, time.Now())
-	archive := quarantine.NewArchive(front.ctx, front.Store, front.health, book, front.Node, front.Logger)
+func (front *Front) newGuard() (*quarantine.Guard, *quarantine.RecordStore) {
+	book := quarantine.NewTracker(front.Node, time.Now())
+	archive := quarantine.NewRecordStore(front.ctx, front.Store, front.health, book, front.Node, front.Logger)
 	archive.IsDeputy = func(fingerprint quarantine.Fingerprint) bool {
 		return front.Registry.PreferredAnywhere(fingerprint.String()) == front.Node
 	}
 	return &quarantine.Guard{
-		IsDeputy: archive.IsDeputy, Sender: front.Sender, Prober: front.Prober, Book: book, Catalog: front.Catalog, Teller: noticeBroadcaster{front}, Keeper: archive,
+		IsDeputy: archive.IsDeputy, Sender: front.Sender, Prober: front.Prober, Book: book, Catalog: front.Catalog, Broadcaster: noticeBroadcaster{front}, Persister: archive,
 		Node: front.Node, Logger: front.Logger, Metrics: front.Metrics,
 	}, archive
 }
@@ -24,8 +24,8 @@
 // noticeBroadcaster sends quarantine notices to all other nodes by datagram. It implements quarantine.Teller.
 type noticeBroadcaster struct{ front *Front }
 
-// Tell implements quarantine.Teller.
-func (broadcaster noticeBroadcaster) Tell(notice quarantine.Notice) {
+// Broadcast implements quarantine.Teller.
+func (broadcaster noticeBroadcaster) Broadcast(notice quarantine.Notice) {
 	datagram := &clusterv1.Datagram{Kind: &clusterv1.Datagram_Suspicions{Suspicions: encodeNotice(notice)}}
 	broadcaster.front.datagrams.Send(datagram, broadcaster.front.Registry.Others())
 }
@@ -34,7 +34,7 @@
 	encoded := &clusterv1.Suspicions{Reporter: notice.Reporter}
 	for _, crash := range notice.Crashes {
 		encoded.Crashes = append(encoded.Crashes, &clusterv1.Crash{
-			Fingerprint: crash.Fingerprint[:], Replica: crash.Replica, AgoMs: time.Since(crash.Broke).Milliseconds(),
+			Fingerprint: crash.Fingerprint[:], Replica: crash.Replica, AgoMs: time.Since(crash.InterruptedAt).Milliseconds(),
 		})
 	}
 	for _, fingerprint := range notice.Cleared {
@@ -48,9 +48,9 @@
 	decoded := quarantine.Notice{Reporter: suspicions.GetReporter()}
 	for _, crash := range suspicions.GetCrashes() {
 		if len(crash.GetFingerprint()) == len(quarantine.Fingerprint{}) {
-			decoded.Crashes = append(decoded.Crashes, quarantine.Crash{
+			decoded.Crashes = append(decoded.Crashes, quarantine.CrashReport{
 				Fingerprint: quarantine.Fingerprint(crash.GetFingerprint()),
-				End:         quarantine.End{Replica: crash.GetReplica(), Broke: time.Now().Add(-time.Duration(crash.GetAgoMs()) * time.Millisecond)},
+				CrashEvent:  quarantine.CrashEvent{Replica: crash.GetReplica(), InterruptedAt: time.Now().Add(-time.Duration(crash.GetAgoMs()) * time.Millisecond)},
 			})
 		}
 	}
--- a/internal/role/quarantine_test.go
+++ b/internal/role/quarantine_test.go
@@ -17,11 +17,11 @@
 	const datagramSize, longName = 2048, 60
 	now := time.Now()
 	sent := quarantine.Notice{Reporter: strings.Repeat("n", longName)}
-	for index := range quarantine.NoticeMost {
+	for index := range quarantine.MaxNoticeEntries {
 		fingerprint := quarantine.Fingerprint{byte(index), 1}
 		sent.Cleared = append(sent.Cleared, fingerprint)
-		sent.Crashes = append(sent.Crashes, quarantine.Crash{Fingerprint: fingerprint, End: quarantine.End{
-			Replica: strings.Repeat("r", longName), Broke: now.Add(-time.Duration(index) * time.Second),
+		sent.Crashes = append(sent.Crashes, quarantine.CrashReport{Fingerprint: fingerprint, CrashEvent: quarantine.CrashEvent{
+			Replica: strings.Repeat("r", longName), InterruptedAt: now.Add(-time.Duration(index) * time.Second),
 		}})
 	}
 	datagram := &clusterv1.Datagram{Kind: &clusterv1.Datagram_Suspicions{Suspicions: encodeNotice(sent)}}
@@ -33,7 +33,7 @@
 	for index, crash := range received.Crashes {
 		must.Eq(t, sent.Crashes[index].Fingerprint, crash.Fingerprint)
 		must.Eq(t, sent.Crashes[index].Replica, crash.Replica)
-		must.Less(t, 100*time.Millisecond, crash.Broke.Sub(sent.Crashes[index].Broke).Abs())
+		must.Less(t, 100*time.Millisecond, crash.InterruptedAt.Sub(sent.Crashes[index].InterruptedAt).Abs())
 	}
 }
 
