--- a/internal/batchrun/sweep.go
+++ b/internal/batchrun/sweep.go
@@ -104,7 +104,7 @@
 		}
 		if err := runner.claimOwnJobs(ctx, !requested); err != nil {
 			runner.Logger.Warn("own jobs not listed", "asked", requested, "error", err)
-			runner.Log.Health.Doubt()
+			runner.Log.Health.RequestProbe()
 			wait.Pause(ctx, sweepRetryDelay)
 			runner.Log.Health.AwaitGood(ctx) // calls to an unreachable store are charged as well
 			runner.sweeps.request()
--- a/internal/batchrun/world_test.go
+++ b/internal/batchrun/world_test.go
@@ -108,7 +108,7 @@
 	healthCtx, stop := context.WithCancel(context.Background())
 	world.stopHealth[name] = stop
 	world.mu.Unlock()
-	health.Needed = func() bool { return runner.Busy(time.Now()) }
+	health.ProbeNeeded = func() bool { return runner.Busy(time.Now()) }
 	go health.Run(healthCtx)
 	runner.Start()
 	if world.mayOwnJobs(name) {
--- a/internal/cluster/registry.go
+++ b/internal/cluster/registry.go
@@ -97,7 +97,7 @@
 			earlier = true
 			continue
 		}
-		registry.Health.Doubt()
+		registry.Health.RequestProbe()
 		wait.Pause(ctx, registerBackoff)
 		registry.Health.AwaitGood(ctx) // calls that an unavailable store refuses are billed too
 	}
--- a/internal/dissemination/fleet_test.go
+++ b/internal/dissemination/fleet_test.go
@@ -228,7 +228,7 @@
 			publish(ctx, created, registry, health, topics, registry.Neighbours)
 		},
 	}
-	health.Needed = func() bool { return subscriber.Doubts(time.Now()) }
+	health.ProbeNeeded = func() bool { return subscriber.Doubts(time.Now()) }
 	health.Urgent = func() bool { return registry.Rank("reader") == 0 }
 	health.Nodes = registry.Count
 	registry.Health = health
@@ -259,11 +259,11 @@
 func followAt(ctx context.Context, store metadata.Store, health *metadata.Health, topics []dissemination.Topic, pace time.Duration) {
 	for _, topic := range topics {
 		follower := &metadata.Follower{
-			Store: store, Prefix: topic.Prefix(), Handler: topic.Mirror, From: topic.Revision, Logger: log.New(io.Discard), Health: health,
-			Wait: func() time.Duration { return metadata.ShortWait },
+			Store: store, Prefix: topic.Prefix(), Handler: topic.Mirror, StartRevision: topic.Revision, Logger: log.New(io.Discard), Health: health,
+			Wait: func() time.Duration { return metadata.ShortWatchTimeout },
 		}
 		if topic.Prefix() == cluster.Prefix {
-			follower.Pace = pace
+			follower.MinInterval = pace
 		}
 		go follower.Run(ctx)
 	}
--- a/internal/dissemination/lanes_test.go
+++ b/internal/dissemination/lanes_test.go
@@ -88,11 +88,11 @@
 		publisher.watchTopics(t.Context())
 		synctest.Wait()
 		<-publisher.wake // for the initial revision
-		topic.Take(&metadata.Difference{Prefix: "servers/", Base: 2, Revision: 7})
+		topic.ApplyDelta(&metadata.Delta{Prefix: "servers/", Base: 2, Revision: 7})
 		synctest.Wait()
 		must.Eq(t, 1, len(publisher.wake))
 		<-publisher.wake
-		topic.Take(&metadata.Difference{Prefix: "servers/", Base: 7, Revision: 9})
+		topic.ApplyDelta(&metadata.Delta{Prefix: "servers/", Base: 7, Revision: 9})
 		synctest.Wait()
 		must.Eq(t, 0, len(publisher.wake), must.Sprint("no higher revision was announced"))
 	})
--- a/internal/dissemination/packing.go
+++ b/internal/dissemination/packing.go
@@ -151,7 +151,7 @@
 	if known, ok := updates.encoded[key]; ok && known.changedAt == changedAt && metadata.Revision(known.update.GetRevision()) >= wanted {
 		return known.update, nil
 	}
-	difference := topic.Difference(base)
+	difference := topic.Delta(base)
 	update := encodeDifference(&difference)
 	if encoding == packed {
 		var err error
--- a/internal/dissemination/packing_test.go
+++ b/internal/dissemination/packing_test.go
@@ -28,8 +28,8 @@
 	return list
 }
 
-func replicaSnapshot(count int) metadata.Difference {
-	return metadata.Difference{Prefix: "servers/", Whole: true, Revision: metadata.Revision(count), Items: replicaItems(count)}
+func replicaSnapshot(count int) metadata.Delta {
+	return metadata.Delta{Prefix: "servers/", IsSnapshot: true, Revision: metadata.Revision(count), Items: replicaItems(count)}
 }
 
 // Guards against large snapshots, which many nodes load when they start at the same time.
@@ -94,7 +94,7 @@
 			for b.Loop() {
 				update, err := unpacker.unpack(packed)
 				must.NoError(b, err)
-				metadata.NewMirror("servers/", metadata.Handlers{}).Take(decodeDifference(update))
+				metadata.NewMirror("servers/", metadata.Handlers{}).ApplyDelta(decodeDifference(update))
 			}
 		})
 	}
--- a/internal/dissemination/snapshot.go
+++ b/internal/dissemination/snapshot.go
@@ -98,7 +98,7 @@
 		snapshots.Logger.Warn("snapshot not taken", "prefix", prefix, "from", neighbour.GetName(), "error", err)
 		return false
 	}
-	snapshots.Topic.Take(decodeDifference(update))
+	snapshots.Topic.ApplyDelta(decodeDifference(update))
 	snapshots.Metrics.Snapshot("ok")
 	snapshots.Logger.Info("snapshot taken", "prefix", prefix, "from", neighbour.GetName(), "revision", update.GetRevision(), "items", len(update.GetItems()),
 		"took_ms", time.Since(started).Milliseconds())
--- a/internal/dissemination/subscriber.go
+++ b/internal/dissemination/subscriber.go
@@ -115,7 +115,7 @@
 	}
 	for _, topic := range subscriber.Topics {
 		if topic.Prefix() == update.GetPrefix() {
-			topic.Take(decodeDifference(update))
+			topic.ApplyDelta(decodeDifference(update))
 			subscriber.logUpdate(packed, update, topic.Revision())
 		}
 	}
@@ -312,7 +312,7 @@
 // relayAsReader starts relaying once this node is the reader of its zone, which may happen late, and the store has answered since the last
 // beacon of a publisher. Otherwise other nodes would wait for a relay that has no data.
 func (reader *storeReader) relayAsReader() {
-	if reader.relaying || !reader.subscriber.isReader(time.Now()) || !reader.subscriber.Health.AnsweredAfter(reader.subscriber.lastPublisherBeacon()) {
+	if reader.relaying || !reader.subscriber.isReader(time.Now()) || !reader.subscriber.Health.RespondedAfter(reader.subscriber.lastPublisherBeacon()) {
 		return
 	}
 	reader.relaying = true
--- a/internal/dissemination/topic.go
+++ b/internal/dissemination/topic.go
@@ -66,9 +66,9 @@
 	return list
 }
 
-func encodeDifference(difference *metadata.Difference) *clusterv1.PrefixUpdate {
+func encodeDifference(difference *metadata.Delta) *clusterv1.PrefixUpdate {
 	update := &clusterv1.PrefixUpdate{
-		Prefix: difference.Prefix, Revision: int64(difference.Revision), Whole: difference.Whole, BaseRevision: int64(difference.Base),
+		Prefix: difference.Prefix, Revision: int64(difference.Revision), Whole: difference.IsSnapshot, BaseRevision: int64(difference.Base),
 	}
 	for _, item := range difference.Items {
 		update.Items = append(update.Items, &clusterv1.StoredItem{Key: item.Key, Value: item.Value, Revision: int64(item.Revision)})
@@ -79,9 +79,9 @@
 	return update
 }
 
-func decodeDifference(update *clusterv1.PrefixUpdate) *metadata.Difference {
-	difference := &metadata.Difference{
-		Prefix: update.GetPrefix(), Whole: update.GetWhole(), Base: metadata.Revision(update.GetBaseRevision()),
+func decodeDifference(update *clusterv1.PrefixUpdate) *metadata.Delta {
+	difference := &metadata.Delta{
+		Prefix: update.GetPrefix(), IsSnapshot: update.GetWhole(), Base: metadata.Revision(update.GetBaseRevision()),
 		Revision: metadata.Revision(update.GetRevision()),
 	}
 	for _, item := range update.GetItems() {
--- a/internal/metadata/follow.go
+++ b/internal/metadata/follow.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// LongWait bounds a watch on keys whose changes also arrive by another path, should the watch miss one.
-	LongWait = 28 * time.Second
-	// ShortWait bounds a watch on keys whose changes arrive by no other path. A watch that is open during a compaction may miss a
+	// LongWatchTimeout bounds a watch on keys whose changes also arrive by another path, should the watch miss one.
+	LongWatchTimeout = 28 * time.Second
+	// ShortWatchTimeout bounds a watch on keys whose changes arrive by no other path. A watch that is open during a compaction may miss a
 	// change, and only the next watch finds it.
-	ShortWait = 1500 * time.Millisecond
+	ShortWatchTimeout = 1500 * time.Millisecond
 
 	followRetryMin = 60 * time.Millisecond
 	followRetryMax = 400 * time.Millisecond
@@ -56,11 +56,11 @@
 	Health *Health
 	// Wait returns how long the next watch waits. Nil means LongWait.
 	Wait func() time.Duration
-	// Pace is the pause after a watch that returned events, so that changes in quick succession share a call.
-	Pace time.Duration
-	// From returns the revision up to which the handler already has all changes. The first watch starts from it. The keys are listed
+	// MinInterval is the pause after a watch that returned events, so that changes in quick succession share a call.
+	MinInterval time.Duration
+	// StartRevision returns the revision up to which the handler already has all changes. The first watch starts from it. The keys are listed
 	// first only if it is zero. Nil means zero.
-	From func() Revision
+	StartRevision func() Revision
 }
 
 // Run follows until the context ends.
@@ -90,7 +90,7 @@
 			follower.Logger.Warn("metadata keys unavailable; retrying", "prefix", follower.Prefix, "revision", int64(revision), "error", err)
 		}
 		lost = true
-		follower.Health.Doubt()
+		follower.Health.RequestProbe()
 		sleep(ctx, retry.NextBackOff())
 		follower.Health.AwaitGood(ctx) // the store may charge for refused calls too
 	}
@@ -120,21 +120,21 @@
 		follower.Handler.Apply(changes.Events, changes.Revision)
 	}
 	if len(changes.Events) > 0 {
-		sleep(ctx, follower.Pace)
+		sleep(ctx, follower.MinInterval)
 	}
 	return max(changes.Revision, revision), nil
 }
 
 func (follower *Follower) from() Revision {
-	if follower.From == nil {
+	if follower.StartRevision == nil {
 		return 0
 	}
-	return follower.From()
+	return follower.StartRevision()
 }
 
 func (follower *Follower) wait() time.Duration {
 	if follower.Wait == nil {
-		return LongWait
+		return LongWatchTimeout
 	}
 	return follower.Wait()
 }
--- a/internal/metadata/follow_test.go
+++ b/internal/metadata/follow_test.go
@@ -168,7 +168,7 @@
 		health := metadata.NewHealth(store, log.New(io.Discard))
 		health.Nodes = func() int { return 300 }
 		recoveries := 0
-		health.OnRegained = func() { recoveries++ }
+		health.OnRecovered = func() { recoveries++ }
 		go health.Run(ctx)
 		follower := metadata.Follower{Store: store, Prefix: "p/", Handler: discardHandler{}, Logger: log.New(io.Discard), Health: health,
 			Wait: func() time.Duration { return 500 * time.Millisecond }}
@@ -198,7 +198,7 @@
 		store := &refusingStore{lost: true}
 		health := metadata.NewHealth(store, log.New(io.Discard))
 		health.Nodes = func() int { return 300 }
-		health.OnRegained = func() { t.Error("a recovery reported by another node was reported again") }
+		health.OnRecovered = func() { t.Error("a recovery reported by another node was reported again") }
 		go health.Run(ctx)
 		synctest.Wait()
 		must.False(t, health.Good())
--- a/internal/metadata/health.go
+++ b/internal/metadata/health.go
@@ -40,15 +40,15 @@
 	// the less often each of them probes. A node that gets a response again notifies the others through OnRegained. If Nodes is nil, this
 	// node does not share probes. It must be set before Run.
 	Nodes func() int
-	// Needed reports whether this node has to detect the loss of the store soon. While it returns false, a store that is not known to be
+	// ProbeNeeded reports whether this node has to detect the loss of the store soon. While it returns false, a store that is not known to be
 	// lost is not probed. Nil means true. It must be set before Run.
-	Needed func() bool
+	ProbeNeeded func() bool
 	// Urgent reports whether this node has work that waits for a lost store, or receives no messages from other nodes. While it returns
 	// false, the node probes a lost store less often and relies on the notification by other nodes. Nil means true. It must be set
 	// before Run.
 	Urgent func() bool
-	// OnRegained is called when the store responds again to a probe that no notification had requested. It may be nil.
-	OnRegained func()
+	// OnRecovered is called when the store responds again to a probe that no notification had requested. It may be nil.
+	OnRecovered func()
 
 	wake chan struct{} // requests an immediate probe
 
@@ -79,8 +79,8 @@
 			notified = true
 			continue
 		}
-		if health.Observe(err) && !notified && health.OnRegained != nil {
-			health.OnRegained()
+		if health.Observe(err) && !notified && health.OnRecovered != nil {
+			health.OnRecovered()
 		}
 		interval := probeInterval
 		if err != nil {
@@ -113,7 +113,7 @@
 	}
 }
 
-func (health *Health) needed() bool { return health.Needed == nil || health.Needed() }
+func (health *Health) needed() bool { return health.ProbeNeeded == nil || health.ProbeNeeded() }
 
 // retryInterval returns the delay before the next probe of a lost store, with jitter if nodes share the probes.
 func (health *Health) retryInterval() time.Duration {
@@ -155,8 +155,8 @@
 	}
 }
 
-// Doubt requests an immediate probe after a failed call, unless the store is already known to be lost.
-func (health *Health) Doubt() {
+// RequestProbe requests an immediate probe after a failed call, unless the store is already known to be lost.
+func (health *Health) RequestProbe() {
 	if health == nil || !health.Good() {
 		return
 	}
@@ -192,8 +192,8 @@
 	return true
 }
 
-// CutWatches interrupts all watches; their followers start new ones.
-func (health *Health) CutWatches() {
+// RestartWatches interrupts all watches; their followers start new ones.
+func (health *Health) RestartWatches() {
 	health.mu.Lock()
 	defer health.mu.Unlock()
 	health.restartWatches()
@@ -215,9 +215,9 @@
 	return !health.lost
 }
 
-// AnsweredAfter reports whether the store is good and has responded to a probe after a moment. This is stronger than Good, which also
+// RespondedAfter reports whether the store is good and has responded to a probe after a moment. This is stronger than Good, which also
 // holds if the store has not been probed for a long time.
-func (health *Health) AnsweredAfter(moment time.Time) bool {
+func (health *Health) RespondedAfter(moment time.Time) bool {
 	health.mu.Lock()
 	defer health.mu.Unlock()
 	return !health.lost && health.probeAnsweredAt.After(moment)
--- a/internal/metadata/mirror.go
+++ b/internal/metadata/mirror.go
@@ -18,15 +18,15 @@
 	Revision Revision
 }
 
-// Difference is a delta that brings a mirror of Prefix from revision Base to Revision. If Whole is set, it is a snapshot: Items holds all
+// Delta is a delta that brings a mirror of Prefix from revision Base to Revision. If Whole is set, it is a snapshot: Items holds all
 // keys, and Base is ignored.
-type Difference struct {
-	Prefix   string
-	Whole    bool
-	Base     Revision
-	Revision Revision
-	Items    []Item
-	Removals []Removal
+type Delta struct {
+	Prefix     string
+	IsSnapshot bool
+	Base       Revision
+	Revision   Revision
+	Items      []Item
+	Removals   []Removal
 }
 
 // Mirror holds a copy of the keys under a prefix as of a revision, and passes changes on to a handler. It receives changes as the Handler
@@ -249,13 +249,13 @@
 	mirror.notifyAdvanced()
 }
 
-// Difference returns the difference that brings a mirror at revision base up to date. It holds all items if base is zero or older than the
+// Delta returns the difference that brings a mirror at revision base up to date. It holds all items if base is zero or older than the
 // change log. Otherwise its size and cost depend on the number of changes since base, not on the number of keys.
-func (mirror *Mirror) Difference(base Revision) Difference {
+func (mirror *Mirror) Delta(base Revision) Delta {
 	mirror.mu.Lock()
 	defer mirror.mu.Unlock()
-	difference := Difference{Prefix: mirror.prefix, Base: base, Revision: mirror.revision, Whole: base == 0 || base < mirror.logStart}
-	if difference.Whole {
+	difference := Delta{Prefix: mirror.prefix, Base: base, Revision: mirror.revision, IsSnapshot: base == 0 || base < mirror.logStart}
+	if difference.IsSnapshot {
 		difference.Items = slices.Collect(maps.Values(mirror.items))
 		return difference
 	}
@@ -274,15 +274,15 @@
 	return difference
 }
 
-// Take applies a difference and returns the mirror's revision afterwards. It ignores a difference that is not newer than the mirror, and
+// ApplyDelta applies a difference and returns the mirror's revision afterwards. It ignores a difference that is not newer than the mirror, and
 // one whose base the mirror has not reached.
-func (mirror *Mirror) Take(difference *Difference) Revision {
+func (mirror *Mirror) ApplyDelta(difference *Delta) Revision {
 	mirror.mu.Lock()
 	defer mirror.mu.Unlock()
 	switch {
 	case mirror.loaded && difference.Revision <= mirror.revision:
 		return mirror.revision
-	case difference.Whole:
+	case difference.IsSnapshot:
 		mirror.replace(difference.Items, difference.Revision)
 		return mirror.revision
 	case !mirror.loaded || mirror.revision < difference.Base:
--- a/internal/metadata/mirror_test.go
+++ b/internal/metadata/mirror_test.go
@@ -95,7 +95,7 @@
 		mirrors := []*testMirror{newTestMirror(t), newTestMirror(t), newTestMirror(t)}
 		source := newTestMirror(t) // it receives every change
 		source.Reset(nil, 0)
-		var late []metadata.Difference
+		var late []metadata.Delta
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			mirror := mirrors[rapid.IntRange(0, 2).Draw(t, "mirror")]
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
@@ -121,12 +121,12 @@
 					base = mirror.Revision()
 				}
 				if from.Revision() > 0 {
-					late = append(late, from.Difference(base))
+					late = append(late, from.Delta(base))
 				}
 			case 6: // the mirror receives one of the differences
 				if len(late) > 0 {
 					difference := late[rapid.IntRange(0, len(late)-1).Draw(t, "difference")]
-					known := mirror.Take(&difference)
+					known := mirror.ApplyDelta(&difference)
 					must.Eq(t, known, mirror.Revision())
 				}
 			}
@@ -134,8 +134,8 @@
 		store.change(t)
 		source.Apply(store.events, store.revision())
 		for _, mirror := range append(mirrors, source) {
-			difference := source.Difference(mirror.Revision())
-			must.Eq(t, store.revision(), mirror.Take(&difference))
+			difference := source.Delta(mirror.Revision())
+			must.Eq(t, store.revision(), mirror.ApplyDelta(&difference))
 			must.MapLen(t, len(store.current), mirror.view.revisions)
 			for key, item := range store.current {
 				must.Eq(t, item.Revision, mirror.view.revisions[key])
@@ -155,14 +155,14 @@
 	mirror.Reset(items, 6)
 	items[7].Revision = 8
 	mirror.Reset(items[1:], 9)
-	difference := mirror.Difference(6)
-	must.False(t, difference.Whole)
+	difference := mirror.Delta(6)
+	must.False(t, difference.IsSnapshot)
 	must.Eq(t, []metadata.Item{items[7]}, difference.Items)
 	must.Eq(t, []metadata.Removal{{Key: "nodes/0", Revision: 9}}, difference.Removals)
-	whole := mirror.Difference(5)
-	must.True(t, whole.Whole)
+	whole := mirror.Delta(5)
+	must.True(t, whole.IsSnapshot)
 	must.Len(t, 2999, whole.Items)
-	must.SliceEmpty(t, mirror.Difference(9).Items)
+	must.SliceEmpty(t, mirror.Delta(9).Items)
 }
 
 // A mirror must ignore keys outside its prefix.
@@ -172,7 +172,7 @@
 	mirror.Apply([]metadata.Event{{Item: metadata.Item{Key: "b/2", Revision: 4}}}, 4)
 	must.Eq(t, 4, mirror.Revision(), must.Sprint("no key under the prefix has changed up to this revision"))
 	must.Eq(t, 3, mirror.ChangedAt())
-	must.Len(t, 1, mirror.Difference(0).Items)
+	must.Len(t, 1, mirror.Delta(0).Items)
 }
 
 // Listing unchanged keys again must advance the revision of a mirror but not ChangedAt.
@@ -212,7 +212,7 @@
 		{"a watch without events", func() { mirror.Apply(nil, 7) }, true},
 		{"the same watch", func() { mirror.Apply(nil, 7) }, false},
 		{"an event", func() { mirror.Apply([]metadata.Event{{Item: metadata.Item{Key: "a/2", Revision: 8}}}, 8) }, true},
-		{"a difference without items", func() { mirror.Take(&metadata.Difference{Prefix: "a/", Base: 8, Revision: 9}) }, true},
+		{"a difference without items", func() { mirror.ApplyDelta(&metadata.Delta{Prefix: "a/", Base: 8, Revision: 9}) }, true},
 	} {
 		advanced := mirror.Advanced()
 		step.run()
@@ -263,13 +263,13 @@
 			list = append(list, metadata.Item{Key: key, Revision: revision})
 		}
 		receiver.Reset(list, base)
-		difference := source.Difference(base)
-		if difference.Whole {
+		difference := source.Delta(base)
+		if difference.IsSnapshot {
 			whole++
 		}
-		receiver.Take(&difference)
+		receiver.ApplyDelta(&difference)
 		got := make(map[string]metadata.Revision)
-		for _, item := range receiver.Difference(0).Items {
+		for _, item := range receiver.Delta(0).Items {
 			got[item.Key] = item.Revision
 		}
 		must.Eq(t, current, got, must.Sprint("from revision ", base))
@@ -291,7 +291,7 @@
 			for b.Loop() {
 				revision++
 				mirror.Apply([]metadata.Event{{Item: metadata.Item{Key: fmt.Sprint("nodes/", int(revision)%count), Revision: revision}}}, revision)
-				mirror.Difference(revision - 1)
+				mirror.Delta(revision - 1)
 			}
 		})
 	}
--- a/internal/quarantine/archive.go
+++ b/internal/quarantine/archive.go
@@ -162,7 +162,7 @@
 	case errors.As(err, &conflict):
 		archive.resolveConflict(fingerprint, conflict)
 	default:
-		archive.Health.Doubt()
+		archive.Health.RequestProbe()
 		wait.Pause(archive.ctx, commitBackoff)
 		archive.Health.AwaitGood(archive.ctx) // failed calls to an unavailable store are charged as well
 	}
--- a/internal/role/front.go
+++ b/internal/role/front.go
@@ -114,10 +114,10 @@
 		Flush: batch.FlushPolicy{Spacing: flushInterval, Longest: flushMaxDelay, FinalSpacing: flushFinalInterval},
 	})
 	front.health.Nodes = front.Registry.Count
-	front.health.OnRegained = front.announceStoreAnswers
+	front.health.OnRecovered = front.announceStoreAnswers
 	front.topics = newTopics(options.ConfigurationPrefix, options.ConfigurationHandler, options.ReplicaPrefix, options.ReplicaHandler, front.Registry, front.archive)
 	front.subscriber = front.newSubscriber()
-	front.health.Needed, front.health.Urgent = front.storeNeeded, front.storeUrgent
+	front.health.ProbeNeeded, front.health.Urgent = front.storeNeeded, front.storeUrgent
 	front.Registry.LeftKey, front.Registry.Health = batchlog.LeftKey, front.health
 	if options.UsageWindow > 0 {
 		front.usage = front.newUsage(options.UsageWindow)
@@ -168,8 +168,8 @@
 // handleResume runs after the machine was suspended. Other nodes may have taken over this front's jobs in the meantime,
 // and its connections may be dead.
 func (front *Front) handleResume(time.Duration) {
-	front.health.Doubt()
-	front.health.CutWatches()
+	front.health.RequestProbe()
+	front.health.RestartWatches()
 	go front.Runner.Recheck(front.ctx)
 }
 
--- a/internal/role/orderer.go
+++ b/internal/role/orderer.go
@@ -205,10 +205,10 @@
 	}
 	topics := orderer.topics
 	go health.Run(ctx)
-	follow(metadata.Follower{Prefix: orderer.OperatorPrefix, Handler: metadata.Handlers{orderer.operator, topics.configuration}}, metadata.ShortWait)
-	follow(metadata.Follower{Prefix: topics.replicas.Prefix(), Handler: topics.replicas, From: topics.replicas.Revision, Pace: ordererReplicaInterval}, replicaWait)
-	follow(metadata.Follower{Prefix: topics.nodes.Prefix(), Handler: topics.nodes, From: topics.nodes.Revision, Pace: ordererRegistryInterval}, nodesWait)
-	follow(metadata.Follower{Prefix: topics.quarantine.Prefix(), Handler: topics.quarantine, From: topics.quarantine.Revision}, quarantineWait)
+	follow(metadata.Follower{Prefix: orderer.OperatorPrefix, Handler: metadata.Handlers{orderer.operator, topics.configuration}}, metadata.ShortWatchTimeout)
+	follow(metadata.Follower{Prefix: topics.replicas.Prefix(), Handler: topics.replicas, StartRevision: topics.replicas.Revision, MinInterval: ordererReplicaInterval}, replicaWait)
+	follow(metadata.Follower{Prefix: topics.nodes.Prefix(), Handler: topics.nodes, StartRevision: topics.nodes.Revision, MinInterval: ordererRegistryInterval}, nodesWait)
+	follow(metadata.Follower{Prefix: topics.quarantine.Prefix(), Handler: topics.quarantine, StartRevision: topics.quarantine.Revision}, quarantineWait)
 	publisher := &dissemination.Publisher{
 		Node: orderer.Node, Life: orderer.Life, Clock: orderer.Clock, Topics: topics.published(), Registry: orderer.registry, Relay: fence == noTerm, Term: fence, Address: orderer.PeerAddress,
 		Datagrams: orderer.datagrams, Health: health, Logger: orderer.Logger, Metrics: orderer.Metrics,
@@ -239,7 +239,7 @@
 		if count > 0 || err != nil {
 			orderer.Logger.Info("jobs collected", "count", count, "error", err)
 		}
-		count, err = quarantine.RemoveExpired(callCtx, orderer.Store, orderer.topics.quarantine.Difference(0).Items, time.Now())
+		count, err = quarantine.RemoveExpired(callCtx, orderer.Store, orderer.topics.quarantine.Delta(0).Items, time.Now())
 		if count > 0 || err != nil {
 			orderer.Logger.Info("quarantines over", "count", count, "error", err)
 		}
--- a/internal/role/subscription.go
+++ b/internal/role/subscription.go
@@ -88,14 +88,14 @@
 func (front *Front) followStore(ctx context.Context) {
 	read := func(mirror *metadata.Mirror, interval, wait time.Duration) {
 		follower := &metadata.Follower{
-			Store: front.Store, Prefix: mirror.Prefix(), Handler: mirror, From: mirror.Revision, Logger: front.Logger, Pace: interval,
+			Store: front.Store, Prefix: mirror.Prefix(), Handler: mirror, StartRevision: mirror.Revision, Logger: front.Logger, MinInterval: interval,
 			Health: front.health, Wait: func() time.Duration { return wait },
 		}
 		go follower.Run(ctx)
 	}
-	read(front.topics.configuration, 0, metadata.ShortWait)
-	read(front.topics.nodes, registryInterval, metadata.LongWait)
-	read(front.topics.quarantine, quarantineInterval, metadata.LongWait)
+	read(front.topics.configuration, 0, metadata.ShortWatchTimeout)
+	read(front.topics.nodes, registryInterval, metadata.LongWatchTimeout)
+	read(front.topics.quarantine, quarantineInterval, metadata.LongWatchTimeout)
 	if front.topics.replicas.Revision() == 0 {
 		snapshots := &dissemination.Snapshots{
 			Topic: dissemination.Topic{Mirror: front.topics.replicas}, Nodes: dissemination.Topic{Mirror: front.topics.nodes}, Registry: front.Registry,
@@ -103,7 +103,7 @@
 		}
 		snapshots.Take(ctx)
 	}
-	read(front.topics.replicas, replicaInterval, metadata.ShortWait)
+	read(front.topics.replicas, replicaInterval, metadata.ShortWatchTimeout)
 }
 
 // storeUrgent reports whether this front must detect at once that the store has recovered. Other fronts are notified by
