--- a/cmd/thistlewalk-rollout/front.go
+++ b/cmd/thistlewalk-rollout/front.go
@@ -42,7 +42,7 @@
 	replicas := platform.NewReplicas(dialer())
 	patience := dissemination.LimitsFor(settings.ChangeLimit(), settings.FirstStart)
 	front := role.NewFront(role.FrontOptions{
-		Node: settings.Node, Zone: settings.Zone, Role: settings.Role, Life: process.life, Cores: settings.ProcessorCores(), PeerAddress: settings.PeerAddress(0),
+		Node: settings.Node, Zone: settings.Zone, Role: settings.Role, Incarnation: process.life, Cores: settings.ProcessorCores(), PeerAddress: settings.PeerAddress(0),
 		Store: process.measuredStore(), Sender: replicas, Prober: replicas, Decoder: platform.EventDecoder{},
 		PeerClient: peerClient(), Logger: process.logger, Metrics: process.metrics, Catalog: table,
 		ConfigurationPrefix: platform.KeyConfiguration, ReplicaPrefix: platform.PrefixReplicas,
@@ -60,7 +60,7 @@
 	if err := front.Start(); err != nil {
 		return nil, nil, err
 	}
-	callers := platform.NewServer(front.Counted(ingress), firstLimits(table, patience.Start+firstWaitSlack))
+	callers := platform.NewServer(front.CountCalls(ingress), firstLimits(table, patience.StartTimeout+firstWaitSlack))
 	if err := process.serve("callers", settings.Listen["front"], callers); err != nil {
 		return nil, nil, err
 	}
--- a/cmd/thistlewalk-rollout/main.go
+++ b/cmd/thistlewalk-rollout/main.go
@@ -169,7 +169,7 @@
 
 // measuredStore is the metadata store with its calls counted.
 func (process *process) measuredStore() metadata.Store {
-	return &metadata.Measured{Store: process.store, Metrics: process.metrics}
+	return &metadata.InstrumentedStore{Store: process.store, Metrics: process.metrics}
 }
 
 func dialer() platform.DialFunc {
--- a/cmd/thistlewalk-rollout/orderer.go
+++ b/cmd/thistlewalk-rollout/orderer.go
@@ -35,7 +35,7 @@
 	settings := process.settings
 	table := catalog.NewTable()
 	orderer := role.NewOrderer(role.OrdererOptions{
-		Node: settings.Node, Role: settings.Role, Life: process.life, PeerAddress: settings.PeerAddress(port), PeerClient: peerClient(),
+		Node: settings.Node, Role: settings.Role, Incarnation: process.life, PeerAddress: settings.PeerAddress(port), PeerClient: peerClient(),
 		Store: process.measuredStore(), Replicas: platform.NewReplicas(dialer()), Retire: process.store, Logger: process.logger, Metrics: process.metrics, Catalog: table,
 		OperatorPrefix: platform.PrefixOperator, ConfigurationPrefix: platform.KeyConfiguration, ReplicaPrefix: platform.PrefixReplicas,
 		ReplicaHandler: &platform.ReplicaHandler{Logger: process.logger, Catalog: table, Metrics: process.metrics},
@@ -47,6 +47,6 @@
 	})
 	operator := process.operator(table)
 	operator.OnVersion = orderer.Weights.SetTarget
-	operator.OnRetire = orderer.Retired
+	operator.OnRetire = orderer.ConfirmRetired
 	return orderer, orderer.Start(operator)
 }
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -16,25 +16,25 @@
 // ErrNotSent means that no byte of the request left this node, so the request has not run.
 var ErrNotSent = errors.New("the request did not reach a replica")
 
-// ErrRefused means that the replica's address refused the connection. Such an error is also marked as ErrNotSent.
-var ErrRefused = errors.New("the replica refuses connections")
+// ErrConnectionRefused means that the replica's address refused the connection. Such an error is also marked as ErrNotSent.
+var ErrConnectionRefused = errors.New("the replica refuses connections")
 
 // ErrBroken means that the replica's answer was truncated, malformed, or for another request. The request may have run.
 var ErrBroken = errors.New("the replica's answer is truncated, malformed or for another request")
 
-// ErrUnneeded is the cause with which the context of an attempt is cancelled after another replica has answered the request.
-var ErrUnneeded = errors.New("another replica has answered the request")
+// ErrSuperseded is the cause with which the context of an attempt is cancelled after another replica has answered the request.
+var ErrSuperseded = errors.New("another replica has answered the request")
 
 // HeldError means that a request was not sent because replicas crashed while they ran it. It is marked as ErrNotSent. The hold applies to
 // all replicas.
 type HeldError struct {
-	// After is the time until the request may be retried.
-	After time.Duration
+	// RetryAfter is the time until the request may be retried.
+	RetryAfter time.Duration
 }
 
 // Error implements error.
 func (held *HeldError) Error() string {
-	return "request held because replicas crashed while running it; retry in " + held.After.Round(time.Millisecond).String()
+	return "request held because replicas crashed while running it; retry in " + held.RetryAfter.Round(time.Millisecond).String()
 }
 
 // IsHeld reports whether err contains a HeldError.
@@ -64,8 +64,8 @@
 	Tenant string
 }
 
-// Answer is a replica's answer. Its body must be closed.
-type Answer struct {
+// Response is a replica's answer. Its body must be closed.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
@@ -73,8 +73,8 @@
 	Length int64
 	// NotExecuted is true if the replica has not run the request and will not.
 	NotExecuted bool
-	// Stamp is the replica's signature of the answer.
-	Stamp string
+	// Signature is the replica's signature of the answer.
+	Signature string
 	// WeightVersion is the version of the weights that produced the beginning of the answer; zero if unknown.
 	WeightVersion int64
 }
@@ -82,5 +82,5 @@
 // Sender sends a request to a replica exactly once, without retries. Its errors are ErrNotSent, ErrBroken, or the context's error if the
 // context ended a request that may have run.
 type Sender interface {
-	Send(ctx context.Context, replica *catalog.Replica, request *Request) (*Answer, error)
+	Send(ctx context.Context, replica *catalog.Replica, request *Request) (*Response, error)
 }
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -272,8 +272,8 @@
 	}
 }
 
-// Choice selects the replica for a request.
-type Choice struct {
+// Picker selects the replica for a request.
+type Picker struct {
 	Loads *Loads
 	// Zone is the node's own zone, whose replicas are preferred at equal load.
 	Zone string
@@ -284,7 +284,7 @@
 //
 // For more than maxSampled replicas, Pick compares those with an idle connection and a random sample, so that its work per request does
 // not grow with the fleet. If each of these is excluded, draining or ejected, Pick compares all replicas.
-func (choice *Choice) Pick(replicas catalog.ReplicaList, excluded []string, now time.Time) *catalog.Replica {
+func (choice *Picker) Pick(replicas catalog.ReplicaList, excluded []string, now time.Time) *catalog.Replica {
 	selection := &selection{choice: choice, excluded: excluded, now: now}
 	if replicas.Len() > maxSampled {
 		for _, id := range choice.Loads.idle(now) {
@@ -309,7 +309,7 @@
 
 // selection holds the best replica compared so far.
 type selection struct {
-	choice   *Choice
+	choice   *Picker
 	excluded []string
 	now      time.Time
 	best     *catalog.Replica
@@ -337,7 +337,7 @@
 
 // cost rates a replica by the fraction of its slots that all nodes use. Ejection, zone and idle connections change the cost, and a random
 // amount up to tieBreak spreads requests over equal replicas.
-func (choice *Choice) cost(replica *catalog.Replica, now time.Time) float64 {
+func (choice *Picker) cost(replica *catalog.Replica, now time.Time) float64 {
 	reading := choice.Loads.Read(replica.ID, now)
 	cost := float64(reading.InFlight)/float64(max(replica.Slots, 1)) + tieBreak*rand.Float64()
 	if reading.Ejected {
--- a/internal/backend/load_test.go
+++ b/internal/backend/load_test.go
@@ -23,7 +23,7 @@
 // still go to different replicas.
 func TestIdleConnectionsAreUsedFirst(t *testing.T) {
 	loads, now, list := backend.NewLoads(), time.Now(), replicas(15)
-	choice := backend.Choice{Loads: loads, Zone: "z"}
+	choice := backend.Picker{Loads: loads, Zone: "z"}
 	call := func(outcome backend.Outcome) string {
 		chosen := choice.Pick(list, nil, now)
 		loads.Begin(chosen.ID, now)
@@ -53,7 +53,7 @@
 	for _, count := range []int{60, 2142, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			list := replicas(count)
-			choice := backend.Choice{Loads: backend.NewLoads(), Zone: "z"}
+			choice := backend.Picker{Loads: backend.NewLoads(), Zone: "z"}
 			for b.Loop() {
 				choice.Pick(list, nil, time.Now())
 			}
--- a/internal/batch/progress.go
+++ b/internal/batch/progress.go
@@ -128,20 +128,20 @@
 // FlushPolicy determines when results are made durable. Frequent writes cost calls to the metadata store; late writes delay the
 // trainer.
 type FlushPolicy struct {
-	// Spacing is the minimum time between two writes.
-	Spacing time.Duration
-	// Longest is the maximum time that a finished result waits, unless Spacing requires more.
-	Longest time.Duration
-	// FinalSpacing is the minimum time between two writes once the groups that the trainer waits for are complete.
-	FinalSpacing time.Duration
+	// MinInterval is the minimum time between two writes.
+	MinInterval time.Duration
+	// MaxWait is the maximum time that a finished result waits, unless Spacing requires more.
+	MaxWait time.Duration
+	// FinalMinInterval is the minimum time between two writes once the groups that the trainer waits for are complete.
+	FinalMinInterval time.Duration
 }
 
 // Delay returns how long the pending results wait from now on: until Longest after the oldest of them was finished, or not at
 // all once the groups that the trainer waits for are complete; but always until the spacing after the last write has passed.
 func (policy FlushPolicy) Delay(progress *Progress, now, oldestPending, lastWrite time.Time) time.Duration {
-	due, spacing := oldestPending.Add(policy.Longest), policy.Spacing
+	due, spacing := oldestPending.Add(policy.MaxWait), policy.MinInterval
 	if progress.WantedComplete() || progress.Done() {
-		due, spacing = now, policy.FinalSpacing
+		due, spacing = now, policy.FinalMinInterval
 	}
 	if earliest := lastWrite.Add(spacing); due.Before(earliest) {
 		due = earliest
--- a/internal/batch/progress_test.go
+++ b/internal/batch/progress_test.go
@@ -36,7 +36,7 @@
 }
 
 func TestFlushDelay(t *testing.T) {
-	policy := batch.FlushPolicy{Spacing: 250 * time.Millisecond, Longest: 800 * time.Millisecond, FinalSpacing: 60 * time.Millisecond}
+	policy := batch.FlushPolicy{MinInterval: 250 * time.Millisecond, MaxWait: 800 * time.Millisecond, FinalMinInterval: 60 * time.Millisecond}
 	now := time.Unix(100, 0)
 	progress := batch.NewProgress(job(1, "a", "a", "b"))
 	must.Eq(t, 800*time.Millisecond, policy.Delay(progress, now, now, time.Time{}))
--- a/internal/batchlog/log.go
+++ b/internal/batchlog/log.go
@@ -40,8 +40,8 @@
 	// Health delays attempts while the store is unreachable. It may be nil.
 	Health *metadata.Health
 	// Node is the name under which this node owns jobs. Life is the incarnation of its process.
-	Node string
-	Life int64
+	Node        string
+	Incarnation int64
 }
 
 // Ownership is this node's ownership of a job, fenced by the revision of the owner's key. Except for InDoubt it must be used by
@@ -72,7 +72,7 @@
 		chunk := encoded[n*chunkBytes : min(len(encoded), (n+1)*chunkBytes)]
 		txn.Puts = append(txn.Puts, metadata.Put{Key: chunkKey(job.GetId(), n), Value: chunk})
 	}
-	txn.Puts = append(txn.Puts, metadata.Put{Key: ownerKey(job.GetId()), Value: owner}, metadata.Put{Key: ownedKey(log.Node, job.GetId())}, metadata.Put{Key: LeftKey(log.Node)})
+	txn.Puts = append(txn.Puts, metadata.Put{Key: ownerKey(job.GetId()), Value: owner}, metadata.Put{Key: ownedKey(log.Node, job.GetId())}, metadata.Put{Key: LeftoverWorkKey(log.Node)})
 	revision, err := log.Store.Commit(ctx, txn)
 	var conflict *metadata.ConflictError
 	switch {
@@ -87,7 +87,7 @@
 
 func (log *Log) newClaim() (claim string, encoded []byte, err error) {
 	claim = uuid.NewString()
-	encoded, err = proto.Marshal(&batchv1.Ownership{Node: log.Node, Claim: claim, Life: log.Life})
+	encoded, err = proto.Marshal(&batchv1.Ownership{Node: log.Node, Claim: claim, Life: log.Incarnation})
 	return claim, encoded, errors.Wrap(err, "encode an owner")
 }
 
@@ -133,7 +133,7 @@
 		}
 		txn := metadata.Txn{
 			Conditions: []metadata.Condition{{Key: ownerKey(id), Revision: revision}},
-			Puts:       []metadata.Put{{Key: ownerKey(id), Value: encoded}, {Key: ownedKey(log.Node, id)}, {Key: LeftKey(log.Node)}},
+			Puts:       []metadata.Put{{Key: ownerKey(id), Value: encoded}, {Key: ownedKey(log.Node, id)}, {Key: LeftoverWorkKey(log.Node)}},
 		}
 		if owner.GetNode() != log.Node {
 			txn.Deletes = []string{ownedKey(owner.GetNode(), id)}
--- a/internal/batchlog/log_test.go
+++ b/internal/batchlog/log_test.go
@@ -75,7 +75,7 @@
 			log := batchlog.Log{Store: store, Node: "a"}
 			held, err := log.Accept(within(t, time.Second), newJob("job"))
 			must.NoError(t, err)
-			store.SetFaults(memstore.Faults{LoseAnswers: 1, LateBy: late})
+			store.SetFaults(memstore.Faults{LoseResponses: 1, CommitDelay: late})
 			must.NoError(t, log.Append(within(t, 10*time.Second), held, result("x"), nil))
 			time.Sleep(3 * time.Second)
 			must.NoError(t, log.Append(within(t, 10*time.Second), held, result("y"), nil))
@@ -255,9 +255,9 @@
 			acknowledged.ended = true
 		}
 	case 8:
-		store.SetFaults(memstore.Faults{LoseAnswers: 2, LateBy: time.Duration(len(item)%3) * 700 * time.Millisecond})
+		store.SetFaults(memstore.Faults{LoseResponses: 2, CommitDelay: time.Duration(len(item)%3) * 700 * time.Millisecond})
 	case 9:
-		store.SetFaults(memstore.Faults{Down: len(item)%2 == 0, Silent: len(item)%2 == 1})
+		store.SetFaults(memstore.Faults{Down: len(item)%2 == 0, Hang: len(item)%2 == 1})
 		time.Sleep(time.Second)
 		store.SetFaults(memstore.Faults{})
 	}
@@ -302,7 +302,7 @@
 		held, err := log.Accept(within(t, time.Second), newJob("job"))
 		must.NoError(t, err)
 		must.False(t, held.InDoubt())
-		store.SetFaults(memstore.Faults{LoseAnswers: 1})
+		store.SetFaults(memstore.Faults{LoseResponses: 1})
 		appended := make(chan error, 1)
 		go func() { appended <- log.Append(within(t, 5*time.Second), held, result("first"), nil) }()
 		time.Sleep(620 * time.Millisecond) // the first call has timed out and the second is pending
--- a/internal/batchrun/backup.go
+++ b/internal/batchrun/backup.go
@@ -47,7 +47,7 @@
 			return
 		case <-ticker.C:
 		}
-		if runner.Log.Health.Good() && !owned.appendStalled(runner.Flush.Longest+appendStallMargin) {
+		if runner.Log.Health.Good() && !owned.appendStalled(runner.Flush.MaxWait+appendStallMargin) {
 			continue
 		}
 		if partials := owned.takeGrown(); len(partials) > 0 {
--- a/internal/batchrun/delegation_test.go
+++ b/internal/batchrun/delegation_test.go
@@ -18,7 +18,7 @@
 	go func() {
 		for turn := 0; ; turn++ {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			err := batchrun.ErrUnsure
+			err := batchrun.ErrUncertain
 			if runner := world.node(names[turn%len(names)]); runner != nil {
 				err = runner.Submit(ctx, newDefinition(id, items, 1), jobRoute)
 			}
--- a/internal/batchrun/end.go
+++ b/internal/batchrun/end.go
@@ -49,7 +49,7 @@
 	if err == nil || errors.Is(err, batchlog.ErrNotFound) {
 		return err
 	}
-	return errors.Mark(err, ErrUnsure)
+	return errors.Mark(err, ErrUncertain)
 }
 
 // endLocally cancels the items at once and makes the end durable, even if the caller disconnects.
@@ -63,7 +63,7 @@
 	case err := <-ended:
 		return err
 	case <-ctx.Done():
-		return ErrUnsure
+		return ErrUncertain
 	}
 }
 
@@ -82,7 +82,7 @@
 		"longest", spent.longest, "events", spent.events, "error", err)
 	runner.remove(owned)
 	if err != nil {
-		return errors.Mark(err, ErrUnsure)
+		return errors.Mark(err, ErrUncertain)
 	}
 	return nil
 }
--- a/internal/batchrun/engines_test.go
+++ b/internal/batchrun/engines_test.go
@@ -109,7 +109,7 @@
 }
 
 // Send implements backend.Sender.
-func (engines *engines) Send(ctx context.Context, replica *catalog.Replica, request *backend.Request) (*backend.Answer, error) {
+func (engines *engines) Send(ctx context.Context, replica *catalog.Replica, request *backend.Request) (*backend.Response, error) {
 	if replica.Service == "scorer" {
 		return answer(http.StatusOK, "score of "+request.ID, strings.NewReader("")), nil
 	}
@@ -134,8 +134,8 @@
 	return response, nil
 }
 
-func answer(status int, stamp string, body io.Reader) *backend.Answer {
-	return &backend.Answer{Status: status, Header: http.Header{}, Body: io.NopCloser(body), Length: -1, Stamp: stamp}
+func answer(status int, stamp string, body io.Reader) *backend.Response {
+	return &backend.Response{Status: status, Header: http.Header{}, Body: io.NopCloser(body), Length: -1, Signature: stamp}
 }
 
 // generate writes events as lines of the form "ID VERSION TEXT".
--- a/internal/batchrun/evacuate_test.go
+++ b/internal/batchrun/evacuate_test.go
@@ -28,7 +28,7 @@
 		time.Sleep(4 * time.Second)
 		sent := time.Now()
 		err := world.node("a").Submit(t.Context(), newDefinition("late", 8, 1), jobRoute)
-		must.True(t, errors.Is(err, batchrun.ErrUnsure), must.Sprint(err))
+		must.True(t, errors.Is(err, batchrun.ErrUncertain), must.Sprint(err))
 		must.Less(t, 10*time.Millisecond, time.Since(sent))
 		must.Eq(t, 0, world.engines.started(), must.Sprint("items began at an isolated node"))
 		world.mu.Lock()
--- a/internal/batchrun/history_test.go
+++ b/internal/batchrun/history_test.go
@@ -95,11 +95,11 @@
 	case 4:
 		history.stop(name)
 	case 5:
-		history.world.store.SetFaults(memstore.Faults{LoseAnswers: 3, LateBy: time.Duration(history.jobs%3) * 600 * time.Millisecond})
+		history.world.store.SetFaults(memstore.Faults{LoseResponses: 3, CommitDelay: time.Duration(history.jobs%3) * 600 * time.Millisecond})
 		time.Sleep(800 * time.Millisecond)
 		history.world.store.SetFaults(memstore.Faults{})
 	case 6:
-		history.world.store.SetFaults(memstore.Faults{Down: history.jobs%2 == 0, Silent: history.jobs%2 == 1})
+		history.world.store.SetFaults(memstore.Faults{Down: history.jobs%2 == 0, Hang: history.jobs%2 == 1})
 		time.Sleep(1500 * time.Millisecond)
 		history.world.store.SetFaults(memstore.Faults{})
 	case 7:
--- a/internal/batchrun/read.go
+++ b/internal/batchrun/read.go
@@ -171,7 +171,7 @@
 		return true, nil
 	}
 	if !runner.Log.Health.Good() {
-		return false, errors.Mark(errNotServed, ErrUnsure)
+		return false, errors.Mark(errNotServed, ErrUncertain)
 	}
 	lookup, cancel := context.WithTimeout(ctx, storeReadTimeout)
 	defer cancel()
@@ -180,7 +180,7 @@
 	case errors.Is(err, batchlog.ErrNotOwner):
 		return false, nil
 	case err != nil:
-		return false, errors.Mark(err, ErrUnsure)
+		return false, errors.Mark(err, ErrUncertain)
 	case owner.GetNode() == name || owner.GetNode() == runner.Node:
 		return false, nil
 	}
@@ -211,7 +211,7 @@
 	case errors.Is(err, batchlog.ErrNotFound):
 		return nil, ErrNotFound
 	case err != nil:
-		return nil, errors.Mark(err, ErrUnsure)
+		return nil, errors.Mark(err, ErrUncertain)
 	}
 	runner.RememberTenant(id, record.Job.GetTenant())
 	if record.Ended {
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -19,10 +19,10 @@
 	"github.com/thistlewalk/thistlewalk/internal/telemetry"
 )
 
-// Errors of a Runner. ErrUnsure means that the answer is unknown at the moment and that the caller may retry.
+// Errors of a Runner. ErrUncertain means that the answer is unknown at the moment and that the caller may retry.
 var (
-	ErrUnsure   = errors.New("the job's state can't be told now")
-	ErrNotFound = batchlog.ErrNotFound
+	ErrUncertain = errors.New("the job's state can't be told now")
+	ErrNotFound  = batchlog.ErrNotFound
 	// ErrStopping means that the node accepts no more jobs. No item of the rejected job has run here.
 	ErrStopping = errors.New("the node is stopping")
 
@@ -76,17 +76,17 @@
 
 // Options configures a Runner.
 type Options struct {
-	Node    string
-	Life    int64
-	Catalog *catalog.Table
-	Loads   *backend.Loads
-	Sender  backend.Sender
-	Decoder Decoder
-	Log     *batchlog.Log
-	Peers   Peers
-	Logger  *log.Logger
-	Metrics *telemetry.Metrics
-	Flush   batch.FlushPolicy
+	Node        string
+	Incarnation int64
+	Catalog     *catalog.Table
+	Loads       *backend.Loads
+	Sender      backend.Sender
+	Decoder     Decoder
+	Log         *batchlog.Log
+	Peers       Peers
+	Logger      *log.Logger
+	Metrics     *telemetry.Metrics
+	Flush       batch.FlushPolicy
 	// Zone is the zone of this node.
 	Zone string
 }
--- a/internal/batchrun/runner_test.go
+++ b/internal/batchrun/runner_test.go
@@ -85,7 +85,7 @@
 		must.Eq(t, listed[3].GetItemId(), page.Results[0].GetItemId())
 		must.Len(t, 17, page.Results)
 		_, err = world.node("c").Read(t.Context(), noTenant, "job", 3, 0)
-		must.True(t, errors.Is(err, batchrun.ErrUnsure), must.Sprint(err))
+		must.True(t, errors.Is(err, batchrun.ErrUncertain), must.Sprint(err))
 		world.store.SetFaults(memstore.Faults{})
 	})
 }
@@ -188,7 +188,7 @@
 func TestTextsOutliveTheirNodeWhenWritesAreLost(t *testing.T) {
 	inWorld(t, 10, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition("job", 8, 1), jobRoute))
-		world.store.SetFaults(memstore.Faults{LoseAnswers: 1000, LateBy: time.Hour})
+		world.store.SetFaults(memstore.Faults{LoseResponses: 1000, CommitDelay: time.Hour})
 		time.Sleep(3 * time.Second)
 		started := total(world.engines)
 		world.kill("a")
--- a/internal/batchrun/scheduler.go
+++ b/internal/batchrun/scheduler.go
@@ -207,12 +207,12 @@
 
 // chooseService returns the service chosen earlier if the route still has it, and otherwise a service drawn by weight.
 func chooseService(route *catalog.Route, drawn string) string {
-	for _, part := range route.Parts {
+	for _, part := range route.Targets {
 		if part.Service == drawn && part.Weight > 0 {
 			return drawn
 		}
 	}
-	return forwarding.PickPart(route.Parts)
+	return forwarding.PickPart(route.Targets)
 }
 
 // refusal is the backoff state of a replica that refused work. After the backoff the replica gets a single item as a probe until
--- a/internal/batchrun/score.go
+++ b/internal/batchrun/score.go
@@ -110,8 +110,8 @@
 	if route == nil {
 		return nil, nil
 	}
-	choice := backend.Choice{Loads: runner.Loads, Zone: runner.Zone}
-	service := forwarding.PickPart(route.Parts)
+	choice := backend.Picker{Loads: runner.Loads, Zone: runner.Zone}
+	service := forwarding.PickPart(route.Targets)
 	return route, choice.Pick(runner.Catalog.Replicas().Service(service), tried, time.Now())
 }
 
@@ -145,5 +145,5 @@
 	if answer.NotExecuted {
 		return http.StatusServiceUnavailable, "", nil
 	}
-	return answer.Status, answer.Stamp, nil
+	return answer.Status, answer.Signature, nil
 }
--- a/internal/batchrun/submit.go
+++ b/internal/batchrun/submit.go
@@ -55,7 +55,7 @@
 	if runner.find(definition.GetId()) == nil {
 		if runner.isPartitioned() {
 			runner.Logger.Warn("job not taken", "job", definition.GetId(), "reason", "cut off")
-			return ErrUnsure
+			return ErrUncertain
 		}
 		if runner.relayToPreferred(ctx, definition) {
 			return nil
@@ -78,9 +78,9 @@
 		if owned.foreign.Load() {
 			return errOtherTenant
 		}
-		return ErrUnsure
+		return ErrUncertain
 	case <-ctx.Done():
-		return ErrUnsure
+		return ErrUncertain
 	}
 }
 
@@ -160,7 +160,7 @@
 			break
 		}
 	}
-	return ErrUnsure
+	return ErrUncertain
 }
 
 // accept retries until the job is durable. If that takes longer than earlyStartDelay, the items start meanwhile, so that an
--- a/internal/batchrun/takeover.go
+++ b/internal/batchrun/takeover.go
@@ -213,7 +213,7 @@
 	<-owned.flushed
 	runner.scheduler.drop(owned)
 	owned.runs.Wait()
-	request := &batchv1.TakeOverRequest{JobId: owned.id(), Partials: runner.partials(owned), From: runner.Node, Life: runner.Life}
+	request := &batchv1.TakeOverRequest{JobId: owned.id(), Partials: runner.partials(owned), From: runner.Node, Life: runner.Incarnation}
 	for _, name := range names {
 		client := runner.Peers.Client(name)
 		if client == nil {
--- a/internal/batchrun/world_test.go
+++ b/internal/batchrun/world_test.go
@@ -78,8 +78,8 @@
 func newWorld(seed uint64) *world {
 	table := catalog.NewTable()
 	configuration := &catalog.Configuration{Version: 1, Routes: []catalog.Route{
-		{Name: "jobs", Host: "h", Prefix: "/jobs/", Kind: catalog.Batch, MaxAttempts: 3, Parts: []catalog.Part{{Service: "engine", Weight: 1}}},
-		{Name: "score", Host: "h", Prefix: "/score/", MaxAttempts: 3, Parts: []catalog.Part{{Service: "scorer", Weight: 1}}},
+		{Name: "jobs", Host: "h", Prefix: "/jobs/", Kind: catalog.Batch, MaxAttempts: 3, Targets: []catalog.RouteTarget{{Service: "engine", Weight: 1}}},
+		{Name: "score", Host: "h", Prefix: "/score/", MaxAttempts: 3, Targets: []catalog.RouteTarget{{Service: "scorer", Weight: 1}}},
 	}}
 	configuration.Index()
 	table.SetConfiguration(configuration)
@@ -100,9 +100,9 @@
 	store := nodeStore{Store: world.store, world: world, node: name}
 	health := metadata.NewHealth(store, log.New(io.Discard))
 	runner := batchrun.New(batchrun.Options{
-		Node: name, Life: world.lastIncarnation, Catalog: world.catalog, Loads: backend.NewLoads(), Sender: world.engines, Decoder: lineDecoder{},
-		Log: &batchlog.Log{Store: store, Health: health, Node: name, Life: world.lastIncarnation}, Peers: &worldPeers{world, name}, Logger: log.New(&world.lines),
-		Flush: batch.FlushPolicy{Spacing: 50 * time.Millisecond, Longest: 200 * time.Millisecond},
+		Node: name, Incarnation: world.lastIncarnation, Catalog: world.catalog, Loads: backend.NewLoads(), Sender: world.engines, Decoder: lineDecoder{},
+		Log: &batchlog.Log{Store: store, Health: health, Node: name, Incarnation: world.lastIncarnation}, Peers: &worldPeers{world, name}, Logger: log.New(&world.lines),
+		Flush: batch.FlushPolicy{MinInterval: 50 * time.Millisecond, MaxWait: 200 * time.Millisecond},
 	})
 	world.nodes[name] = runner
 	healthCtx, stop := context.WithCancel(context.Background())
@@ -121,14 +121,14 @@
 func (world *world) mayOwnJobs(name string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
-	_, found, err := world.store.Get(ctx, batchlog.LeftKey(name))
+	_, found, err := world.store.Get(ctx, batchlog.LeftoverWorkKey(name))
 	return found || err != nil // a node registers only once the store responds
 }
 
 // clearLeftKey removes the key that marks a node as possibly owning jobs. This is done after a complete handover and after a
 // takeover.
 func (world *world) clearLeftKey(name string) {
-	_, _ = world.store.CommitDirectly(metadata.Txn{Deletes: []string{batchlog.LeftKey(name)}})
+	_, _ = world.store.CommitDirectly(metadata.Txn{Deletes: []string{batchlog.LeftoverWorkKey(name)}})
 }
 
 // kill ends a node's process without notice and returns its incarnation.
@@ -144,7 +144,7 @@
 		return 0
 	}
 	runner.Close()
-	return runner.Life
+	return runner.Incarnation
 }
 
 func (world *world) node(name string) *batchrun.Runner {
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -24,19 +24,19 @@
 	Batch
 )
 
-// Part is a service and its weight among the services of a route.
-type Part struct {
+// RouteTarget is a service and its weight among the services of a route.
+type RouteTarget struct {
 	Service string
 	Weight  int
 }
 
 // Route selects the services that requests for a host and a path prefix go to.
 type Route struct {
-	Name   string
-	Host   string
-	Prefix string
-	Kind   Kind
-	Parts  []Part
+	Name    string
+	Host    string
+	Prefix  string
+	Kind    Kind
+	Targets []RouteTarget
 	// Timeout is the longest time that a request may take. Objective is the latency target for full credit.
 	Timeout     time.Duration
 	Objective   time.Duration
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -32,7 +32,7 @@
 		steady, lines := clock.Steady(), &bytes.Buffer{}
 		watch := &clock.Watch{
 			Clock:  clock.Func(func() time.Duration { return steady.Elapsed() + time.Duration(apart.Load()) }),
-			Logger: log.New(lines), Woken: func(suspended time.Duration) { told = append(told, suspended) },
+			Logger: log.New(lines), OnResume: func(suspended time.Duration) { told = append(told, suspended) },
 		}
 		go watch.Run(ctx)
 		for range 20 { // 0.4 s in all
--- a/internal/clock/watch.go
+++ b/internal/clock/watch.go
@@ -23,8 +23,8 @@
 	Clock   Clock
 	Logger  *log.Logger
 	Metrics *telemetry.Metrics
-	// Woken is called after each suspension.
-	Woken func(suspended time.Duration)
+	// OnResume is called after each suspension.
+	OnResume func(suspended time.Duration)
 }
 
 // Run watches until the context ends.
@@ -43,7 +43,7 @@
 		if suspended := now - behind; suspended >= leastSuspension {
 			watch.Logger.Warn("machine was suspended", "suspended_ms", suspended.Milliseconds())
 			watch.Metrics.Suspended()
-			watch.Woken(suspended)
+			watch.OnResume(suspended)
 		}
 		behind = now
 	}
--- a/internal/cluster/registry.go
+++ b/internal/cluster/registry.go
@@ -34,9 +34,9 @@
 	OnExpelled func()
 	// Health is the health of the metadata store; nil if it is not tracked.
 	Health *metadata.Health
-	// LeftKey returns the key that exists while an incarnation of a node may have left work behind. The key is deleted
-	// together with the node's record, as the last step of a takeover. If LeftKey is nil, the record's own key is used.
-	LeftKey func(node string) string
+	// LeftoverWorkKey returns the key that exists while an incarnation of a node may have left work behind. The key is deleted
+	// together with the node's record, as the last step of a takeover. If LeftoverWorkKey is nil, the record's own key is used.
+	LeftoverWorkKey func(node string) string
 
 	mu    sync.Mutex
 	nodes map[string]*clusterv1.NodeRecord
@@ -105,10 +105,10 @@
 }
 
 func (registry *Registry) leftKey(node string) string {
-	if registry.LeftKey == nil {
+	if registry.LeftoverWorkKey == nil {
 		return Prefix + node
 	}
-	return registry.LeftKey(node)
+	return registry.LeftoverWorkKey(node)
 }
 
 // Leave removes this node's record, so that other nodes do not treat the shutdown as a failure.
@@ -129,8 +129,8 @@
 
 func (registry *Registry) remove(ctx context.Context, conditions []metadata.Condition, name string) {
 	deletes := []string{Prefix + name}
-	if registry.LeftKey != nil {
-		deletes = append(deletes, registry.LeftKey(name))
+	if registry.LeftoverWorkKey != nil {
+		deletes = append(deletes, registry.LeftoverWorkKey(name))
 	}
 	_, err := registry.store.Commit(ctx, metadata.Txn{Conditions: conditions, Deletes: deletes})
 	if err != nil {
--- a/internal/cluster/registry_test.go
+++ b/internal/cluster/registry_test.go
@@ -72,7 +72,7 @@
 		leftKey := func(node string) string { return "left/" + node }
 		start := func() *cluster.Registry {
 			registry := newRegistry(store, "a")
-			registry.LeftKey = leftKey
+			registry.LeftoverWorkKey = leftKey
 			return registry
 		}
 		must.False(t, start().Register(t.Context()))
--- a/internal/delivery/dispatch.go
+++ b/internal/delivery/dispatch.go
@@ -57,7 +57,7 @@
 			}
 			continue
 		}
-		if expired := owned.attempts.Expire(now, served.service.settings.AttemptSilence); expired > 0 {
+		if expired := owned.attempts.Expire(now, served.service.settings.AttemptTimeout); expired > 0 {
 			served.service.logger.Warn("slot attempts expired", "step", id, "slots", expired)
 		}
 		bound, err := boundOf(document, owned)
--- a/internal/delivery/executor.go
+++ b/internal/delivery/executor.go
@@ -37,10 +37,10 @@
 	CallTimeout time.Duration
 	// SwapPatience is how long a rollout that is generated ahead waits for a replica with newer weights.
 	SwapPatience time.Duration
-	// RoomShare and AheadShare are the shares of a replica's batch up to which rollouts are sent to the replica: RoomShare for
-	// a step whose trainer is waiting, AheadShare for a step that is generated ahead. Zero means no limit, and rollouts queue
+	// MaxBatchFill and AheadMaxBatchFill are the shares of a replica's batch up to which rollouts are sent to the replica: MaxBatchFill for
+	// a step whose trainer is waiting, AheadMaxBatchFill for a step that is generated ahead. Zero means no limit, and rollouts queue
 	// at the replicas.
-	RoomShare, AheadShare float64
+	MaxBatchFill, AheadMaxBatchFill float64
 }
 
 type slotKey struct {
@@ -173,7 +173,7 @@
 	arm.FirstVersion = max(arm.FirstVersion, oldestAllowedVersion(document, work, margin))
 	outcome, err := executor.runner.Run(ctx, execution.Request{
 		RequestID: SlotRequestID(key.stepID, key.slot, work.GetGeneration()), Arm: arm, Prompt: work.GetPrompt(), MaxTokens: int(work.GetMaxTokens()),
-		Priority: int(work.GetPriority()), Repeatable: true, PrefixKey: work.GetPrompt(), RoomShare: executor.batchShare(work),
+		Priority: int(work.GetPriority()), Repeatable: true, PrefixKey: work.GetPrompt(), MaxBatchFill: executor.batchShare(work),
 	}, func(chunk rollout.Chunk) error {
 		if chunk.Version < oldestAllowedVersion(executor.document(), work, 0) {
 			return errTooStale
@@ -197,9 +197,9 @@
 // generated ahead, to leave capacity for rollouts that a trainer is waiting for.
 func (executor *Executor) batchShare(work *controlv1.SlotWork) float64 {
 	if work.GetMargin() > 0 {
-		return executor.settings.AheadShare
+		return executor.settings.AheadMaxBatchFill
 	}
-	return executor.settings.RoomShare
+	return executor.settings.MaxBatchFill
 }
 
 // oldestAllowedVersion returns the oldest version that the staleness bound allows after it is tightened by margin versions.
@@ -298,8 +298,8 @@
 	return len(executor.running)
 }
 
-// Refuse makes the executor accept no more slots. Running slots continue.
-func (executor *Executor) Refuse() {
+// StopAccepting makes the executor accept no more slots. Running slots continue.
+func (executor *Executor) StopAccepting() {
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
 	executor.stopping = true
@@ -322,6 +322,6 @@
 
 // Close refuses further slots and cancels the running ones.
 func (executor *Executor) Close() {
-	executor.Refuse()
+	executor.StopAccepting()
 	executor.stop()
 }
--- a/internal/delivery/service.go
+++ b/internal/delivery/service.go
@@ -18,8 +18,8 @@
 
 // Settings are the settings of a Service.
 type Settings struct {
-	// AttemptSilence is how long after its last renewal an attempt expires, and its slot may be dispatched again.
-	AttemptSilence time.Duration
+	// AttemptTimeout is how long after its last renewal an attempt expires, and its slot may be dispatched again.
+	AttemptTimeout time.Duration
 	// AdoptTime is how long a new owner waits for executors to renew their running attempts before it dispatches slots.
 	AdoptTime time.Duration
 	// OutstandingSlots bounds the number of slots of one partition that executors are running.
--- a/internal/dissemination/fleet_test.go
+++ b/internal/dissemination/fleet_test.go
@@ -212,7 +212,7 @@
 	topics := []dissemination.Topic{
 		{Mirror: metadata.NewMirror("op/config", created)},
 		{Mirror: metadata.NewMirror("servers/", &keys{}), Bulk: true},
-		{Mirror: metadata.NewMirror(cluster.Prefix, registry), Pace: time.Second, Bulk: true},
+		{Mirror: metadata.NewMirror(cluster.Prefix, registry), MinInterval: time.Second, Bulk: true},
 	}
 	subscriber := &dissemination.Subscriber{
 		Node: created.name, Topics: topics, Limits: dissemination.LimitsFor(inForce, first), Health: health, Logger: logger,
@@ -220,7 +220,7 @@
 		Follow: func(ctx context.Context) {
 			follow(ctx, store, health, []dissemination.Topic{topics[0], topics[2]})
 			if topics[1].Revision() == 0 {
-				(&dissemination.Snapshots{Topic: topics[1], Nodes: topics[2], Registry: registry, Logger: logger}).Take(ctx)
+				(&dissemination.SnapshotFetcher{Topic: topics[1], Nodes: topics[2], Registry: registry, Logger: logger}).Take(ctx)
 			}
 			follow(ctx, store, health, topics[1:2])
 		},
@@ -233,7 +233,7 @@
 	health.Nodes = registry.Count
 	registry.Health = health
 	created.relays = &dissemination.Relays{
-		Node: created.name, Life: registry.Life(), Address: created.address, Topics: topics, Registry: registry,
+		Node: created.name, Incarnation: registry.Life(), Address: created.address, Topics: topics, Registry: registry,
 		Datagrams: &cluster.Datagrams{Conn: link{from: created}}, Logger: logger, FanOut: fleet.fanOut,
 	}
 	created.relays.Start(ctx)
@@ -271,7 +271,7 @@
 
 func publish(ctx context.Context, from *node, registry *cluster.Registry, health *metadata.Health, topics []dissemination.Topic, to func() []*clusterv1.NodeRecord) {
 	publisher := &dissemination.Publisher{
-		Node: from.name, Life: registry.Life(), Clock: from.fleet.clock, Topics: topics, Registry: registry, Nodes: to, Relay: to != nil, Address: from.address,
+		Node: from.name, Incarnation: registry.Life(), Clock: from.fleet.clock, Topics: topics, Registry: registry, Nodes: to, IsZoneReader: to != nil, Address: from.address,
 		Datagrams: &cluster.Datagrams{Conn: link{from: from}}, Health: health, Logger: log.New(io.Discard), FanOut: from.fleet.fanOut,
 	}
 	if from.former {
@@ -296,7 +296,7 @@
 	topics := []dissemination.Topic{
 		{Mirror: metadata.NewMirror("op/config", created)},
 		{Mirror: metadata.NewMirror("servers/", &keys{}), Bulk: true},
-		{Mirror: metadata.NewMirror(cluster.Prefix, registry), Pace: time.Second, Bulk: true},
+		{Mirror: metadata.NewMirror(cluster.Prefix, registry), MinInterval: time.Second, Bulk: true},
 	}
 	fleet.join(created)
 	go health.Run(ctx)
--- a/internal/dissemination/limits.go
+++ b/internal/dissemination/limits.go
@@ -9,8 +9,8 @@
 	BeaconTimeout, RelayTimeout time.Duration
 	// MaxLag is how long a node may lack a revision that a beacon announced, in addition to the pace of the topic.
 	MaxLag time.Duration
-	// Start is how long a new process waits for a publisher.
-	Start time.Duration
+	// StartTimeout is how long a new process waits for a publisher.
+	StartTimeout time.Duration
 }
 
 const (
@@ -34,14 +34,14 @@
 // LimitsFor returns the limits for changes that have to take effect within inForce; zero if that time is unknown. firstStart is true when
 // the whole deployment starts for the first time.
 func LimitsFor(inForce time.Duration, firstStart bool) Limits {
-	limits := Limits{BeaconTimeout: maxBeaconTimeout, RelayTimeout: maxRelayTimeout, MaxLag: maxLag, Start: startTimeout}
+	limits := Limits{BeaconTimeout: maxBeaconTimeout, RelayTimeout: maxRelayTimeout, MaxLag: maxLag, StartTimeout: startTimeout}
 	if inForce > 0 {
 		limits.BeaconTimeout = min(maxBeaconTimeout, fraction(inForce, beaconTimeoutShare))
 		limits.RelayTimeout = min(maxRelayTimeout, fraction(inForce, relayTimeoutShare))
 		limits.MaxLag = min(maxLag, fraction(inForce, lagShare))
 	}
 	if firstStart {
-		limits.Start = firstStartTimeout
+		limits.StartTimeout = firstStartTimeout
 	}
 	return limits
 }
--- a/internal/dissemination/publisher.go
+++ b/internal/dissemination/publisher.go
@@ -25,8 +25,8 @@
 type Publisher struct {
 	// Node and Life identify the process that reads the published topics from the store: this process, or the origin whose topics a relay
 	// passes on.
-	Node string
-	Life int64
+	Node        string
+	Incarnation int64
 	// Clock orders and timestamps the beacons of this process, also after the machine was suspended; nil for a steady clock.
 	Clock    clock.Clock
 	Topics   []Topic
@@ -35,8 +35,8 @@
 	Nodes func() []*clusterv1.NodeRecord
 	// TreeVersion returns when the origin last changed the topology, by its clock, in microseconds; nil if this publisher is the origin.
 	TreeVersion func() int64
-	// Relay is true for the reader of a zone that stands in for the publisher. It is not the orderer.
-	Relay bool
+	// IsZoneReader is true for the reader of a zone that stands in for the publisher. It is not the orderer.
+	IsZoneReader bool
 	// Term is the fence of the term in which this node is the orderer and collects usage tallies; zero for a relay.
 	Term int64
 	// Address is the address from which this node sends datagrams.
@@ -151,13 +151,13 @@
 func (publisher *Publisher) nextBeacon() *clusterv1.Beacon {
 	publisher.lastSentUs = max(publisher.lastSentUs+1, publisher.Clock.Elapsed().Microseconds())
 	return &clusterv1.Beacon{
-		Name: publisher.Node, Life: publisher.Life, Relay: publisher.Relay, Term: publisher.Term, Address: publisher.Address, Changed: changedRevisions(publisher.Topics),
+		Name: publisher.Node, Life: publisher.Incarnation, Relay: publisher.IsZoneReader, Term: publisher.Term, Address: publisher.Address, Changed: changedRevisions(publisher.Topics),
 		SentUs: publisher.lastSentUs,
 	}
 }
 
 // origin returns the process that reads the published topics from the store.
-func (publisher *Publisher) origin() process { return process{publisher.Node, publisher.Life} }
+func (publisher *Publisher) origin() process { return process{publisher.Node, publisher.Incarnation} }
 
 // round starts the pushes that are due and sends the beacon, if there is one.
 func (publisher *Publisher) round(ctx context.Context, beacon *clusterv1.Beacon) {
--- a/internal/dissemination/push.go
+++ b/internal/dissemination/push.go
@@ -66,7 +66,7 @@
 		return true
 	}
 	for _, topic := range publisher.Topics {
-		if topic.lane() == lane && state.isBehind(topic, publisher.targetRevisionLocked(topic)) && now.Sub(state.lanes[lane].lastPush) >= topic.Pace {
+		if topic.lane() == lane && state.isBehind(topic, publisher.targetRevisionLocked(topic)) && now.Sub(state.lanes[lane].lastPush) >= topic.MinInterval {
 			return true
 		}
 	}
--- a/internal/dissemination/receiver_test.go
+++ b/internal/dissemination/receiver_test.go
@@ -73,7 +73,7 @@
 
 // Guards against counting a relay's answer to the beacon of another publisher.
 func TestReportsOfOtherOrigins(t *testing.T) {
-	publisher, relay, now := &Publisher{Node: "reader", Life: 1, Logger: log.New(io.Discard)}, &clusterv1.NodeRecord{Name: "relay", Life: 1}, time.Now()
+	publisher, relay, now := &Publisher{Node: "reader", Incarnation: 1, Logger: log.New(io.Discard)}, &clusterv1.NodeRecord{Name: "relay", Life: 1}, time.Now()
 	publisher.initialize()
 	state := &receiver{record: relay}
 	state.relay.assign([]*clusterv1.NodeRecord{{Name: "a"}}, now)
--- a/internal/dissemination/relay.go
+++ b/internal/dissemination/relay.go
@@ -20,14 +20,14 @@
 // Relays serves the nodes that publishers and other relays assign to this node. It forwards the beacons of these senders and pushes updates
 // from this node's own topics. It is safe for concurrent use.
 type Relays struct {
-	Node      string
-	Life      int64
-	Address   string
-	Topics    []Topic
-	Registry  *cluster.Registry
-	Datagrams *cluster.Datagrams
-	Logger    *log.Logger
-	Metrics   *telemetry.Metrics
+	Node        string
+	Incarnation int64
+	Address     string
+	Topics      []Topic
+	Registry    *cluster.Registry
+	Datagrams   *cluster.Datagrams
+	Logger      *log.Logger
+	Metrics     *telemetry.Metrics
 	// FanOut bounds the nodes that are served directly; zero for the default.
 	FanOut int
 
@@ -83,7 +83,7 @@
 	ctx, stop := context.WithCancel(relays.ctx)
 	created := &relayedOrigin{stop: stop}
 	created.publisher = &Publisher{
-		Node: origin.node, Life: origin.incarnation, Topics: withoutPace(relays.Topics), Registry: relays.Registry, Nodes: created.nodes, TreeVersion: created.treeVersion,
+		Node: origin.node, Incarnation: origin.incarnation, Topics: withoutPace(relays.Topics), Registry: relays.Registry, Nodes: created.nodes, TreeVersion: created.treeVersion,
 		Address: relays.Address, Datagrams: relays.Datagrams, Logger: relays.Logger, Metrics: relays.Metrics, FanOut: relays.FanOut,
 	}
 	created.publisher.initialize()
@@ -149,7 +149,7 @@
 	}
 	relayed.publisher.requestRound()
 	report := &clusterv1.RelayReport{
-		Node: relays.Node, Life: relays.Life, Assignment: assignment.GetNumber(), Origin: assignment.GetOrigin(), Unreached: relayed.publisher.unreached(),
+		Node: relays.Node, Life: relays.Incarnation, Assignment: assignment.GetNumber(), Origin: assignment.GetOrigin(), Unreached: relayed.publisher.unreached(),
 	}
 	relays.Datagrams.SendTo(&clusterv1.Datagram{Kind: &clusterv1.Datagram_RelayReport{RelayReport: report}}, from)
 }
--- a/internal/dissemination/snapshot.go
+++ b/internal/dissemination/snapshot.go
@@ -28,9 +28,9 @@
 	registryTimeout = 500 * time.Millisecond
 )
 
-// Snapshots copies a large topic from a neighbour when a node reads the metadata store itself and has no data of the topic yet. The node
+// SnapshotFetcher copies a large topic from a neighbour when a node reads the metadata store itself and has no data of the topic yet. The node
 // then reads only later changes from the store, which cannot serve full listings to many nodes that start at the same time.
-type Snapshots struct {
+type SnapshotFetcher struct {
 	// Topic is the topic to copy. Nodes is the topic of the registry, which lists the neighbours.
 	Topic, Nodes Topic
 	Registry     *cluster.Registry
@@ -42,7 +42,7 @@
 }
 
 // Take asks neighbours until one of them returns a snapshot, and reports whether the topic has data afterwards.
-func (snapshots *Snapshots) Take(ctx context.Context) bool {
+func (snapshots *SnapshotFetcher) Take(ctx context.Context) bool {
 	if !snapshots.awaitRegistry(ctx) {
 		return snapshots.Topic.Revision() > 0
 	}
@@ -61,7 +61,7 @@
 }
 
 // awaitRegistry waits until the registry has been read, and reports whether it has.
-func (snapshots *Snapshots) awaitRegistry(ctx context.Context) bool {
+func (snapshots *SnapshotFetcher) awaitRegistry(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
 	for {
@@ -78,7 +78,7 @@
 }
 
 // fetchFrom copies the topic from a neighbour, and reports whether the neighbour returned a readable snapshot.
-func (snapshots *Snapshots) fetchFrom(ctx context.Context, neighbour *clusterv1.NodeRecord) bool {
+func (snapshots *SnapshotFetcher) fetchFrom(ctx context.Context, neighbour *clusterv1.NodeRecord) bool {
 	started := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, snapshotCallTimeout)
 	defer cancel()
--- a/internal/dissemination/snapshot_test.go
+++ b/internal/dissemination/snapshot_test.go
@@ -55,7 +55,7 @@
 		}
 		requester := fleet.nodeAt(address(0))
 		unknown := dissemination.Topic{Mirror: metadata.NewMirror("servers/", metadata.Handlers{})}
-		snapshots := &dissemination.Snapshots{Topic: unknown, Nodes: requester.subscriber.Topics[2], Registry: requester.registry, Logger: log.New(io.Discard)}
+		snapshots := &dissemination.SnapshotFetcher{Topic: unknown, Nodes: requester.subscriber.Topics[2], Registry: requester.registry, Logger: log.New(io.Discard)}
 		must.Eq(t, cluster.Prefix, snapshots.Nodes.Prefix())
 		started := time.Now()
 		must.False(t, snapshots.Take(context.Background()))
--- a/internal/dissemination/subscriber.go
+++ b/internal/dissemination/subscriber.go
@@ -36,12 +36,12 @@
 // Subscriber applies the updates of a publisher, and reads the metadata store itself while these do not suffice. It implements
 // clusterv1.Nodes.
 type Subscriber struct {
-	Node   string
-	Life   int64
-	Topics []Topic
-	Limits Limits
-	Health *metadata.Health
-	Logger *log.Logger
+	Node        string
+	Incarnation int64
+	Topics      []Topic
+	Limits      Limits
+	Health      *metadata.Health
+	Logger      *log.Logger
 	// Metrics may be nil.
 	Metrics *telemetry.Metrics
 	// Follow reads all topics from the store until its context ends.
@@ -144,7 +144,7 @@
 
 // Ping returns the identity of this process.
 func (subscriber *Subscriber) Ping(context.Context, *clusterv1.PingRequest) (*clusterv1.PingResponse, error) {
-	return &clusterv1.PingResponse{Name: subscriber.Node, Life: subscriber.Life}, nil
+	return &clusterv1.PingResponse{Name: subscriber.Node, Life: subscriber.Incarnation}, nil
 }
 
 // Publisher returns the address of the publisher that issued the last beacon; nil if none arrived within Limits.BeaconTimeout.
@@ -193,7 +193,7 @@
 	case subscriber.startedAt.IsZero():
 		return false
 	case subscriber.lastBeaconAt.IsZero():
-		return now.Sub(subscriber.startedAt) > subscriber.Limits.Start-startProbeLead
+		return now.Sub(subscriber.startedAt) > subscriber.Limits.StartTimeout-startProbeLead
 	}
 	return now.Sub(subscriber.lastBeaconAt) > probeAfter
 }
@@ -406,7 +406,7 @@
 func (subscriber *Subscriber) beaconsMissing(now time.Time) bool {
 	since := later(subscriber.silenceFrom, subscriber.startedAt)
 	if subscriber.lastBeaconAt.IsZero() {
-		return now.Sub(since) > subscriber.Limits.Start
+		return now.Sub(since) > subscriber.Limits.StartTimeout
 	}
 	rank := 0
 	if subscriber.ReaderRank != nil {
--- a/internal/dissemination/subscriber_test.go
+++ b/internal/dissemination/subscriber_test.go
@@ -75,11 +75,11 @@
 	logger := log.New(io.Discard)
 	created := &fixture{store: memstore.New(), replicas: &keys{}}
 	created.Subscriber = &dissemination.Subscriber{
-		Node: "front-1", Life: 1, Health: metadata.NewHealth(created.store, logger), Logger: logger, Limits: limits(),
+		Node: "front-1", Incarnation: 1, Health: metadata.NewHealth(created.store, logger), Logger: logger, Limits: limits(),
 		Topics: []dissemination.Topic{
 			{Mirror: metadata.NewMirror(prefixConfiguration, &keys{})},
 			{Mirror: metadata.NewMirror(prefixReplicas, created.replicas)},
-			{Mirror: metadata.NewMirror(prefixNodes, &keys{}), Pace: nodesPace},
+			{Mirror: metadata.NewMirror(prefixNodes, &keys{}), MinInterval: nodesPace},
 		},
 	}
 	created.Follow = func(ctx context.Context) {
@@ -171,11 +171,11 @@
 			subscriber.Limits = dissemination.LimitsFor(2*time.Second, first)
 			ctx, cancel := context.WithCancel(t.Context())
 			go subscriber.Run(ctx)
-			time.Sleep(subscriber.Limits.Start - 100*time.Millisecond)
+			time.Sleep(subscriber.Limits.StartTimeout - 100*time.Millisecond)
 			must.Eq(t, 0, subscriber.reading.Load())
 			time.Sleep(300 * time.Millisecond)
 			must.Eq(t, 1, subscriber.reading.Load())
-			must.Eq(t, first, subscriber.Limits.Start > 2*time.Second)
+			must.Eq(t, first, subscriber.Limits.StartTimeout > 2*time.Second)
 			cancel()
 			synctest.Wait()
 		})
--- a/internal/dissemination/topic.go
+++ b/internal/dissemination/topic.go
@@ -11,9 +11,9 @@
 // Topic is a key prefix of the metadata store whose changes are published.
 type Topic struct {
 	*metadata.Mirror
-	// Pace is the minimum time from one push to a node to the next if the node lacks only changes of such topics; zero for topics that are
+	// MinInterval is the minimum time from one push to a node to the next if the node lacks only changes of such topics; zero for topics that are
 	// pushed at each change.
-	Pace time.Duration
+	MinInterval time.Duration
 	// Bulk is true for topics that may be large. They are pushed in a lane of their own, so that other topics never wait for them.
 	Bulk bool
 }
@@ -35,9 +35,9 @@
 // allowance returns how long a process may lack a change of the topic in addition to Limits.MaxLag.
 func (topic Topic) allowance() time.Duration {
 	if topic.Bulk && topic.Revision() == 0 {
-		return topic.Pace + snapshotAllowance
+		return topic.MinInterval + snapshotAllowance
 	}
-	return topic.Pace
+	return topic.MinInterval
 }
 
 func (topic Topic) lane() lane {
@@ -98,7 +98,7 @@
 func withoutPace(topics []Topic) []Topic {
 	list := slices.Clone(topics)
 	for index := range list {
-		list[index].Pace = 0
+		list[index].MinInterval = 0
 	}
 	return list
 }
--- a/internal/dissemination/topology.go
+++ b/internal/dissemination/topology.go
@@ -83,7 +83,7 @@
 			continue
 		}
 		state.relay.assignment.Sender, state.relay.assignment.TreeUs = publisher.Address, version
-		state.relay.assignment.Origin = &clusterv1.Origin{Name: publisher.Node, Life: publisher.Life}
+		state.relay.assignment.Origin = &clusterv1.Origin{Name: publisher.Node, Life: publisher.Incarnation}
 		publisher.Logger.Info("relay assigned", "node", key.node, "life", key.incarnation, "assignment", state.relay.assignment.GetNumber(), "nodes", len(served[key]))
 	}
 }
--- a/internal/dissemination/unread_test.go
+++ b/internal/dissemination/unread_test.go
@@ -24,7 +24,7 @@
 
 func newTestSubscriber() *Subscriber {
 	return &Subscriber{
-		Node: "node", Life: 1, Limits: LimitsFor(2*time.Second, false), Logger: log.New(io.Discard), Health: metadata.NewHealth(memstore.New(), log.New(io.Discard)),
+		Node: "node", Incarnation: 1, Limits: LimitsFor(2*time.Second, false), Logger: log.New(io.Discard), Health: metadata.NewHealth(memstore.New(), log.New(io.Discard)),
 		Topics: []Topic{{Mirror: metadata.NewMirror("op/config", metadata.Handlers{})}, {Mirror: metadata.NewMirror("servers/", metadata.Handlers{})}},
 		lags:   make(map[string]lag),
 	}
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -69,8 +69,8 @@
 	Role    string `json:"role,omitempty"`
 }
 
-// Held is the active and the staged weight version of one policy on an engine.
-type Held struct {
+// LoadedPolicy is the active and the staged weight version of one policy on an engine.
+type LoadedPolicy struct {
 	Policy string `json:"policy"`
 	Active uint64 `json:"active"`
 	Staged uint64 `json:"staged"`
@@ -78,12 +78,12 @@
 
 // Report is an engine's report on its load and weights. It may be stale.
 type Report struct {
-	Running  int    `json:"running"`
-	Queued   int    `json:"queued"`
-	Capacity int    `json:"capacity"`
-	Leaving  bool   `json:"leaving"`
-	Held     []Held `json:"held"`
-	Fence    Fence  `json:"fence"`
+	Running  int            `json:"running"`
+	Queued   int            `json:"queued"`
+	Capacity int            `json:"capacity"`
+	Leaving  bool           `json:"leaving"`
+	Policies []LoadedPolicy `json:"held"`
+	Fence    Fence          `json:"fence"`
 	// Role is the role from the last order; empty for an engine without a special role.
 	Role string `json:"role,omitempty"`
 }
--- a/internal/execution/runner.go
+++ b/internal/execution/runner.go
@@ -31,9 +31,9 @@
 	// Preferred is the replica that ran the previous turn of the rollout; empty if there is none.
 	Preferred string
 	PrefixKey string
-	// RoomShare makes the request wait for a replica whose batch is filled to less than this share, instead of joining a queue.
+	// MaxBatchFill makes the request wait for a replica whose batch is filled to less than this share, instead of joining a queue.
 	// Zero disables this.
-	RoomShare float64
+	MaxBatchFill float64
 }
 
 // Settings are the settings of a runner.
@@ -160,9 +160,9 @@
 func (run *run) route() *loads.Replica {
 	runner := run.runner
 	policy, _ := runner.document().Policy(run.request.Arm.Policy)
-	wanted := routing.Wanted{
-		Arm: run.request.Arm, Newest: policy.Target, Zone: runner.zone,
-		PrefixKey: run.request.PrefixKey, Preferred: run.request.Preferred, Excluded: run.excluded, RoomShare: run.request.RoomShare,
+	wanted := routing.Requirements{
+		Arm: run.request.Arm, TargetVersion: policy.Target, Zone: runner.zone,
+		PrefixKey: run.request.PrefixKey, Preferred: run.request.Preferred, Excluded: run.excluded, MaxBatchFill: run.request.MaxBatchFill,
 	}
 	return runner.router.Route(&wanted, runner.loads.List())
 }
--- a/internal/forwarding/answer.go
+++ b/internal/forwarding/answer.go
@@ -6,7 +6,7 @@
 
 // unauthorized refuses a call whose API key was revoked before the request ran.
 func (run *run) unauthorized() Result {
-	return Result{Status: http.StatusUnauthorized, Own: true, Reason: "key_revoked"}
+	return Result{Status: http.StatusUnauthorized, Local: true, Reason: "key_revoked"}
 }
 
 // giveUp returns the final result after the last attempt has failed and no further attempt is allowed.
@@ -15,14 +15,14 @@
 		return run.deliver(*run.failure)
 	}
 	if run.mayHaveRun {
-		return Result{Status: http.StatusBadGateway, Own: true, Reason: "outcome_unknown"}
+		return Result{Status: http.StatusBadGateway, Local: true, Reason: "outcome_unknown"}
 	}
 	if run.revoked() {
 		return run.unauthorized()
 	}
 	if run.held != nil {
 		refused := run.refuse("held")
-		refused.RetryAfter = run.held.After
+		refused.RetryAfter = run.held.RetryAfter
 		return refused
 	}
 	return run.refuse("not_executed")
@@ -39,7 +39,7 @@
 
 // refuse returns a 503 result for a request that has not run and may be retried after RetryAfter.
 func (run *run) refuse(reason string) Result {
-	return Result{Status: http.StatusServiceUnavailable, Own: true, Reason: reason, RetryAfter: RetryAfter}
+	return Result{Status: http.StatusServiceUnavailable, Local: true, Reason: reason, RetryAfter: RetryAfter}
 }
 
 // timedOut returns the final result after the deadline has passed or the caller has disconnected.
@@ -47,5 +47,5 @@
 	if run.failure != nil {
 		return run.deliver(*run.failure)
 	}
-	return Result{Status: http.StatusGatewayTimeout, Own: true, Reason: "deadline"}
+	return Result{Status: http.StatusGatewayTimeout, Local: true, Reason: "deadline"}
 }
--- a/internal/forwarding/bodies.go
+++ b/internal/forwarding/bodies.go
@@ -7,11 +7,11 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// Errors of Bodies.Read. A caller may retry after ErrMemory, since nothing of the request has run.
+// Errors of Bodies.Read. A caller may retry after ErrNoMemory, since nothing of the request has run.
 var (
-	ErrTooLarge = errors.New("the body is larger than the configured limit")
-	ErrMemory   = errors.New("no memory left for request bodies")
-	ErrNotRead  = errors.New("the body could not be read to its end")
+	ErrTooLarge       = errors.New("the body is larger than the configured limit")
+	ErrNoMemory       = errors.New("no memory left for request bodies")
+	ErrIncompleteBody = errors.New("the body could not be read to its end")
 )
 
 const (
@@ -23,21 +23,21 @@
 	defaultBodyLimit = 32 << 20
 )
 
-// Bodies reads request bodies and bounds the memory of the large ones. It is safe for concurrent use.
-type Bodies struct{ free *semaphore.Weighted }
+// BodyReader reads request bodies and bounds the memory of the large ones. It is safe for concurrent use.
+type BodyReader struct{ free *semaphore.Weighted }
 
 // NewBodies returns a reader of bodies without reservations.
-func NewBodies() *Bodies { return &Bodies{free: semaphore.NewWeighted(bodyMemory)} }
+func NewBodies() *BodyReader { return &BodyReader{free: semaphore.NewWeighted(bodyMemory)} }
 
 // Reserve reserves size bytes and reports whether they were available. Release returns them.
-func (bodies *Bodies) Reserve(size int64) bool { return bodies.free.TryAcquire(size) }
+func (bodies *BodyReader) Reserve(size int64) bool { return bodies.free.TryAcquire(size) }
 
 // Release returns size bytes taken by Reserve.
-func (bodies *Bodies) Release(size int64) { bodies.free.Release(size) }
+func (bodies *BodyReader) Release(size int64) { bodies.free.Release(size) }
 
 // Read reads a whole body of at most limit bytes. announced is the length that the caller declared, negative if it declared none.
 // release must be called once the body is no longer used, also after an error.
-func (bodies *Bodies) Read(source io.Reader, announced, limit int64) (body []byte, release func(), err error) {
+func (bodies *BodyReader) Read(source io.Reader, announced, limit int64) (body []byte, release func(), err error) {
 	release = func() {}
 	if limit <= 0 {
 		limit = defaultBodyLimit
@@ -53,7 +53,7 @@
 			size = limit
 		}
 		if !bodies.Reserve(size) {
-			return nil, release, ErrMemory
+			return nil, release, ErrNoMemory
 		}
 		release = func() { bodies.Release(size) }
 		var rest []byte
@@ -62,7 +62,7 @@
 	}
 	switch {
 	case err != nil:
-		return nil, release, errors.Mark(err, ErrNotRead)
+		return nil, release, errors.Mark(err, ErrIncompleteBody)
 	case int64(len(body)) > limit:
 		return nil, release, ErrTooLarge
 	}
--- a/internal/forwarding/bodies_test.go
+++ b/internal/forwarding/bodies_test.go
@@ -43,7 +43,7 @@
 		"large":                {strings.NewReader(large), int64(len(large)), 0, len(large), nil},
 		"large without length": {strings.NewReader(large), -1, 1 << 20, len(large), nil},
 		"large over the limit": {strings.NewReader(large), -1, int64(len(large)) - 1, 0, forwarding.ErrTooLarge},
-		"large, truncated":     {broken, -1, 1 << 20, 0, forwarding.ErrNotRead},
+		"large, truncated":     {broken, -1, 1 << 20, 0, forwarding.ErrIncompleteBody},
 	} {
 		body, release, err := bodies.Read(c.source, c.announced, c.limit)
 		release()
@@ -54,5 +54,5 @@
 	must.True(t, bodies.Reserve(bodyMemory), must.Sprint("a reservation was not released"))
 	_, release, err := bodies.Read(strings.NewReader(large), -1, 1<<20)
 	release()
-	must.ErrorIs(t, err, forwarding.ErrMemory)
+	must.ErrorIs(t, err, forwarding.ErrNoMemory)
 }
--- a/internal/forwarding/forwarding.go
+++ b/internal/forwarding/forwarding.go
@@ -36,8 +36,8 @@
 	Request backend.Request
 	// Deadline is how long the caller waits; zero if the caller set no limit.
 	Deadline time.Duration
-	// StillAdmitted reports whether the caller's API key still admits the request; nil if callers need no key.
-	StillAdmitted func() bool
+	// KeyValid reports whether the caller's API key still admits the request; nil if callers need no key.
+	KeyValid func() bool
 }
 
 // Result is the final answer of a call. Rest, if not nil, is the unread part of a long body and must be closed.
@@ -47,8 +47,8 @@
 	Body   []byte
 	Length int64
 	Rest   io.ReadCloser
-	// Own is true if this node produced the status, not a replica.
-	Own    bool
+	// Local is true if this node produced the status, not a replica.
+	Local  bool
 	Reason string
 	// RetryAfter is set if the request was refused without having run.
 	RetryAfter time.Duration
@@ -58,8 +58,8 @@
 
 // Meter counts the runs of requests by tenant.
 type Meter interface {
-	// Began counts a run. withdraw removes it from the count and is called at most once, if the request has not run.
-	Began(tenant string) (withdraw func())
+	// CountStarted counts a run. withdraw removes it from the count and is called at most once, if the request has not run.
+	CountStarted(tenant string) (withdraw func())
 }
 
 // Forwarder sends requests to replicas. It is safe for concurrent use.
@@ -78,7 +78,7 @@
 }
 
 // PickPart picks a part of a route at random by weight and returns its service; empty if no part has a weight.
-func PickPart(parts []catalog.Part) string {
+func PickPart(parts []catalog.RouteTarget) string {
 	total := 0
 	for _, part := range parts {
 		total += part.Weight
@@ -106,22 +106,22 @@
 	callerClock := forwarder.clock()
 	run := &run{
 		forwarder: forwarder, route: route, call: call, started: started, clock: callerClock, deadline: callerClock.Elapsed() + timeout - answerMargin,
-		service: PickPart(route.Parts), results: make(chan attemptResult, max(route.MaxAttempts, 1)),
+		service: PickPart(route.Targets), results: make(chan attemptResult, max(route.MaxAttempts, 1)),
 	}
 	timedCtx, cancelTimer := context.WithTimeout(ctx, timeout-answerMargin)
 	attemptCtx, cancelCause := context.WithCancelCause(timedCtx)
 	cancel := func() {
-		cancelCause(backend.ErrUnneeded)
+		cancelCause(backend.ErrSuperseded)
 		cancelTimer()
 	}
 	result := run.loop(attemptCtx)
 	if result.Rest == nil {
 		cancel()
 	}
-	forwarder.Metrics.Forwarded(result.Status, result.Own, time.Since(started))
+	forwarder.Metrics.Forwarded(result.Status, result.Local, time.Since(started))
 	forwarder.Logger.Info("forward", "request", call.Request.ID, "route", route.Name, "service", run.service,
 		"replica", run.lastReplica, "attempts", run.attempts, "replicas_revision", forwarder.Catalog.Replicas().Revision, "configuration", forwarder.configurationVersion(), "held_ms", time.Since(started).Milliseconds(), "status", result.Status,
-		"own", result.Own, "reason", result.Reason)
+		"own", result.Local, "reason", result.Reason)
 	return result
 }
 
@@ -139,5 +139,5 @@
 	if forwarder.Meter == nil || tenant == "" {
 		return func() {}
 	}
-	return forwarder.Meter.Began(tenant)
+	return forwarder.Meter.CountStarted(tenant)
 }
--- a/internal/forwarding/forwarding_test.go
+++ b/internal/forwarding/forwarding_test.go
@@ -38,7 +38,7 @@
 	deadlines []time.Duration
 }
 
-func (script *scripted) Send(ctx context.Context, replica *catalog.Replica, request *backend.Request) (*backend.Answer, error) {
+func (script *scripted) Send(ctx context.Context, replica *catalog.Replica, request *backend.Request) (*backend.Response, error) {
 	script.mu.Lock()
 	behaviour := script.script[min(len(script.sent), len(script.script)-1)]
 	script.sent = append(script.sent, replica.ID)
@@ -48,7 +48,7 @@
 		return nil, backend.ErrNotSent
 	}
 	if behaviour.held {
-		return nil, errors.Mark(&backend.HeldError{After: holdTime}, backend.ErrNotSent)
+		return nil, errors.Mark(&backend.HeldError{RetryAfter: holdTime}, backend.ErrNotSent)
 	}
 	select {
 	case <-ctx.Done():
@@ -58,7 +58,7 @@
 	if behaviour.broken {
 		return nil, backend.ErrBroken
 	}
-	return &backend.Answer{
+	return &backend.Response{
 		Status: behaviour.status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("body")), Length: 4, NotExecuted: behaviour.notExecuted,
 	}, nil
 }
@@ -72,7 +72,7 @@
 		table.SetReplicas([]catalog.Replica{{ID: "r1", Service: "s", Slots: 6}, {ID: "r2", Service: "s", Slots: 6}, {ID: "r3", Service: "s", Slots: 6}}, 1)
 		forwarder := &forwarding.Forwarder{Catalog: table, Loads: backend.NewLoads(), Sender: sender, Logger: log.New(io.Discard)}
 		route := &catalog.Route{
-			Kind: kind, Parts: []catalog.Part{{Service: "s", Weight: 1}}, Timeout: time.Second, Objective: 150 * time.Millisecond, MaxAttempts: attempts,
+			Kind: kind, Targets: []catalog.RouteTarget{{Service: "s", Weight: 1}}, Timeout: time.Second, Objective: 150 * time.Millisecond, MaxAttempts: attempts,
 		}
 		result = forwarder.Forward(t.Context(), route, &forwarding.Call{Request: backend.Request{ID: "q"}, Deadline: 900 * time.Millisecond})
 		synctest.Wait()
@@ -141,7 +141,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			result, sender := forward(t, c.kind, c.attempts, c.script...)
 			must.Eq(t, c.status, result.Status)
-			must.Eq(t, c.own, result.Own)
+			must.Eq(t, c.own, result.Local)
 			must.Eq(t, c.sent, len(sender.sent))
 			must.Eq(t, c.retry, result.RetryAfter > 0)
 			for index, deadline := range sender.deadlines {
@@ -173,7 +173,7 @@
 				Catalog: table, Loads: backend.NewLoads(), Sender: sender, Logger: log.New(io.Discard),
 				Clock: clock.Func(func() time.Duration { return steady.Elapsed() + suspended }),
 			}
-			route := &catalog.Route{Kind: catalog.Safe, Parts: []catalog.Part{{Service: "s", Weight: 1}}, Timeout: time.Second, Objective: 150 * time.Millisecond, MaxAttempts: 3}
+			route := &catalog.Route{Kind: catalog.Safe, Targets: []catalog.RouteTarget{{Service: "s", Weight: 1}}, Timeout: time.Second, Objective: 150 * time.Millisecond, MaxAttempts: 3}
 			time.AfterFunc(10*time.Millisecond, func() { suspended = check.suspended })
 			result := forwarder.Forward(t.Context(), route, &forwarding.Call{Request: backend.Request{ID: "q"}, Deadline: 900 * time.Millisecond})
 			synctest.Wait()
@@ -188,7 +188,7 @@
 
 // PickPart distributes requests over the parts of a route in proportion to their weights.
 func TestPickPart(t *testing.T) {
-	parts := []catalog.Part{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}
+	parts := []catalog.RouteTarget{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}
 	counts := make(map[string]int)
 	for range 10000 {
 		counts[forwarding.PickPart(parts)]++
@@ -222,11 +222,11 @@
 			table := catalog.NewTable()
 			table.SetReplicas([]catalog.Replica{{ID: "r1", Service: "s", Slots: 6}, {ID: "r2", Service: "s", Slots: 6}, {ID: "r3", Service: "s", Slots: 6}}, 1)
 			forwarder := &forwarding.Forwarder{Catalog: table, Loads: backend.NewLoads(), Sender: sender, Logger: log.New(io.Discard)}
-			route := &catalog.Route{Kind: catalog.Safe, Parts: []catalog.Part{{Service: "s", Weight: 1}}, Timeout: time.Second, Objective: 150 * time.Millisecond, MaxAttempts: 3}
+			route := &catalog.Route{Kind: catalog.Safe, Targets: []catalog.RouteTarget{{Service: "s", Weight: 1}}, Timeout: time.Second, Objective: 150 * time.Millisecond, MaxAttempts: 3}
 			started := time.Now()
 			result = forwarder.Forward(t.Context(), route, &forwarding.Call{
 				Request: backend.Request{ID: "q"}, Deadline: 900 * time.Millisecond,
-				StillAdmitted: func() bool { return time.Since(started) < check.after },
+				KeyValid: func() bool { return time.Since(started) < check.after },
 			})
 			synctest.Wait()
 		})
@@ -241,7 +241,7 @@
 	count map[string]int
 }
 
-func (tallies *tallies) Began(tenant string) func() {
+func (tallies *tallies) CountStarted(tenant string) func() {
 	add := func(change int) {
 		tallies.mu.Lock()
 		defer tallies.mu.Unlock()
@@ -275,7 +275,7 @@
 			table := catalog.NewTable()
 			table.SetReplicas([]catalog.Replica{{ID: "r1", Service: "s", Slots: 6}, {ID: "r2", Service: "s", Slots: 6}, {ID: "r3", Service: "s", Slots: 6}}, 1)
 			forwarder := &forwarding.Forwarder{Catalog: table, Loads: backend.NewLoads(), Sender: &scripted{script: check.script}, Logger: log.New(io.Discard), Meter: counted}
-			route := &catalog.Route{Kind: catalog.Safe, Parts: []catalog.Part{{Service: "s", Weight: 1}}, Timeout: time.Second, Objective: 150 * time.Millisecond, MaxAttempts: 3}
+			route := &catalog.Route{Kind: catalog.Safe, Targets: []catalog.RouteTarget{{Service: "s", Weight: 1}}, Timeout: time.Second, Objective: 150 * time.Millisecond, MaxAttempts: 3}
 			forwarder.Forward(t.Context(), route, &forwarding.Call{Request: backend.Request{ID: "q", Tenant: check.tenant}, Deadline: 900 * time.Millisecond})
 			synctest.Wait()
 		})
--- a/internal/forwarding/run.go
+++ b/internal/forwarding/run.go
@@ -39,7 +39,7 @@
 
 type attemptResult struct {
 	replica string
-	answer  *backend.Answer
+	answer  *backend.Response
 	body    []byte
 	rest    io.ReadCloser
 	err     error
@@ -99,7 +99,7 @@
 }
 
 // revoked reports whether the caller's API key was revoked since the request arrived. No attempt starts after that.
-func (run *run) revoked() bool { return run.call.StillAdmitted != nil && !run.call.StillAdmitted() }
+func (run *run) revoked() bool { return run.call.KeyValid != nil && !run.call.KeyValid() }
 
 // startAttempt sends the request to a replica that was not tried before, and reports whether the attempt started.
 func (run *run) startAttempt(ctx context.Context) bool {
@@ -111,7 +111,7 @@
 		return false
 	}
 	now := time.Now()
-	choice := backend.Choice{Loads: run.forwarder.Loads, Zone: run.forwarder.Zone}
+	choice := backend.Picker{Loads: run.forwarder.Loads, Zone: run.forwarder.Zone}
 	replica := choice.Pick(run.forwarder.Catalog.Replicas().Service(run.service), run.tried, now)
 	if replica == nil {
 		return false
@@ -153,7 +153,7 @@
 
 // readBody buffers an answer up to the buffer limit. The returned reader is nil if nothing is left to read; otherwise it yields the rest of a
 // longer answer, or a whole stream.
-func readBody(answer *backend.Answer, stream bool) ([]byte, io.ReadCloser, error) {
+func readBody(answer *backend.Response, stream bool) ([]byte, io.ReadCloser, error) {
 	if stream && answer.Status < http.StatusMultipleChoices {
 		return nil, answer.Body, nil
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -74,8 +74,8 @@
 		logger: dependencies.Logger, ready: dependencies.Ready}
 }
 
-// Refuse makes the gateway refuse new requests and steps with NotRunStopping. Calls in progress continue.
-func (gateway *Gateway) Refuse() { gateway.stopping.Store(true) }
+// StopAccepting makes the gateway refuse new requests and steps with NotRunStopping. Calls in progress continue.
+func (gateway *Gateway) StopAccepting() { gateway.stopping.Store(true) }
 
 // Handler returns the routes.
 func (gateway *Gateway) Handler() http.Handler {
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -182,14 +182,14 @@
 
 // publishDigest stores a digest. A change of its flags is announced immediately.
 func (home *Home) publishDigest(digest loads.Digest) {
-	if home.loads.Offer(digest, time.Now()) == loads.NewsFlags {
+	if home.loads.Offer(digest, time.Now()) == loads.ChangeFlags {
 		home.announce([]*loads.Digest{&digest})
 	}
 }
 
 func (home *Home) publish(target *replica, report engine.Report) {
-	held := make([]*controlv1.HeldVersion, 0, len(report.Held))
-	for _, version := range report.Held {
+	held := make([]*controlv1.HeldVersion, 0, len(report.Policies))
+	for _, version := range report.Policies {
 		held = append(held, &controlv1.HeldVersion{Policy: version.Policy, Active: version.Active, Staged: version.Staged})
 	}
 	slices.SortFunc(held, func(a, b *controlv1.HeldVersion) int { return strings.Compare(a.GetPolicy(), b.GetPolicy()) })
@@ -234,8 +234,8 @@
 
 // nextOrder returns the next order that brings a replica closer to the configuration of a policy, and whether an order is due.
 func nextOrder(policy experiment.Policy, report engine.Report) (engine.Order, bool) {
-	held := engine.Held{}
-	for _, candidate := range report.Held {
+	held := engine.LoadedPolicy{}
+	for _, candidate := range report.Policies {
 		if candidate.Policy == policy.Name {
 			held = candidate
 		}
--- a/internal/home/home_test.go
+++ b/internal/home/home_test.go
@@ -19,25 +19,25 @@
 	policy := experiment.Policy{Name: "p", State: experiment.PolicyActive, Target: 2, Published: 3}
 	cases := []struct {
 		name   string
-		held   engine.Held
+		held   engine.LoadedPolicy
 		state  experiment.PolicyState
 		action engine.Action
 		number uint64
 		due    bool
 	}{
-		{"nothing held", engine.Held{}, experiment.PolicyActive, engine.ActionStage, 2, true},
-		{"target staged", engine.Held{Active: 1, Staged: 2}, experiment.PolicyActive, engine.ActionActivate, 2, true},
-		{"target active, newer published", engine.Held{Active: 2, Staged: 2}, experiment.PolicyActive, engine.ActionStage, 3, true},
-		{"all done", engine.Held{Active: 2, Staged: 3}, experiment.PolicyActive, "", 0, false},
-		{"paused policies are kept", engine.Held{Active: 1, Staged: 2}, experiment.PolicyPaused, engine.ActionActivate, 2, true},
-		{"retired", engine.Held{Active: 2}, experiment.PolicyRetired, engine.ActionDiscard, 0, true},
-		{"retired and gone", engine.Held{}, experiment.PolicyRetired, engine.ActionDiscard, 0, false},
+		{"nothing held", engine.LoadedPolicy{}, experiment.PolicyActive, engine.ActionStage, 2, true},
+		{"target staged", engine.LoadedPolicy{Active: 1, Staged: 2}, experiment.PolicyActive, engine.ActionActivate, 2, true},
+		{"target active, newer published", engine.LoadedPolicy{Active: 2, Staged: 2}, experiment.PolicyActive, engine.ActionStage, 3, true},
+		{"all done", engine.LoadedPolicy{Active: 2, Staged: 3}, experiment.PolicyActive, "", 0, false},
+		{"paused policies are kept", engine.LoadedPolicy{Active: 1, Staged: 2}, experiment.PolicyPaused, engine.ActionActivate, 2, true},
+		{"retired", engine.LoadedPolicy{Active: 2}, experiment.PolicyRetired, engine.ActionDiscard, 0, true},
+		{"retired and gone", engine.LoadedPolicy{}, experiment.PolicyRetired, engine.ActionDiscard, 0, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			test.held.Policy = "p"
 			policy.State = test.state
-			order, due := nextOrder(policy, engine.Report{Held: []engine.Held{test.held}})
+			order, due := nextOrder(policy, engine.Report{Policies: []engine.LoadedPolicy{test.held}})
 			must.Eq(t, test.due, due)
 			if due {
 				must.Eq(t, test.action, order.Action)
--- a/internal/lab/hollow/day.go
+++ b/internal/lab/hollow/day.go
@@ -223,9 +223,9 @@
 // cutZones cuts the first zones from all others for a while.
 func (fleet *Fleet) cutZones(length time.Duration, zones int) {
 	inside := func(host netip.Addr) bool { return int(host.As4()[1]) < zones }
-	fleet.memory.Sever(func(from, to netip.Addr) bool { return inside(from) != inside(to) })
+	fleet.memory.SetPartition(func(from, to netip.Addr) bool { return inside(from) != inside(to) })
 	time.Sleep(length)
-	fleet.memory.Sever(nil)
+	fleet.memory.SetPartition(nil)
 }
 
 // changeDuring makes changes on the side that the platform is on until the channel closes.
--- a/internal/lab/platform/orders.go
+++ b/internal/lab/platform/orders.go
@@ -108,7 +108,7 @@
 	report.Fence = model.fence
 	report.Role = model.role
 	for policy, weights := range model.policies {
-		report.Held = append(report.Held, engine.Held{Policy: policy, Active: weights.active, Staged: weights.staged})
+		report.Policies = append(report.Policies, engine.LoadedPolicy{Policy: policy, Active: weights.active, Staged: weights.staged})
 	}
 	writeJSON(writer, http.StatusOK, report)
 }
--- a/internal/lab/platform/site/store.go
+++ b/internal/lab/platform/site/store.go
@@ -167,7 +167,7 @@
 		writer.WriteHeader(http.StatusGone)
 	case errors.Is(err, metadata.ErrLimited):
 		writer.WriteHeader(http.StatusTooManyRequests)
-	case errors.Is(err, metadata.ErrLeaseGone):
+	case errors.Is(err, metadata.ErrLeaseExpired):
 		writer.WriteHeader(http.StatusNotFound)
 	case errors.Is(err, metadata.ErrUnavailable):
 		writer.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/lab/platform/site/store_test.go
+++ b/internal/lab/platform/site/store_test.go
@@ -20,7 +20,7 @@
 		{"kv-lease", `{"ttl_ms":1000}`}, {"kv-txn", "{}"}, // behind it
 	} {
 		store := memstore.New()
-		store.SetFaults(memstore.Faults{Silent: true})
+		store.SetFaults(memstore.Faults{Hang: true})
 		server := httptest.NewServer(&site.StoreServer{Store: store})
 		conn, err := net.Dial("tcp", server.Listener.Addr().String())
 		must.NoError(t, err)
--- a/internal/lab/platform/soak/faults.go
+++ b/internal/lab/platform/soak/faults.go
@@ -338,10 +338,10 @@
 	case KindStoreDown:
 		store.SetFaults(memstore.Faults{Down: true})
 	case KindStoreSilent:
-		store.SetFaults(memstore.Faults{Silent: true})
+		store.SetFaults(memstore.Faults{Hang: true})
 	case KindStoreLost:
 		late := time.Duration(event.Variant%3) * time.Second
-		store.SetFaults(memstore.Faults{LoseAnswers: 1 + event.Variant%lostMost, LateBy: late})
+		store.SetFaults(memstore.Faults{LoseResponses: 1 + event.Variant%lostMost, CommitDelay: late})
 	case KindCompact:
 		store.Compact()
 	case KindStoreSlow:
--- a/internal/lab/scenario/run.go
+++ b/internal/lab/scenario/run.go
@@ -74,7 +74,7 @@
 		hosts: make(map[string]int), down: make(map[int]bool), version: 1, began: time.Now()}
 	ctx, cancel := context.WithTimeout(context.Background(), runLimit)
 	defer cancel()
-	scenario.memory.Delay(scenario.latency)
+	scenario.memory.SetLatency(scenario.latency)
 	defer scenario.close()
 	if err := scenario.start(ctx); err != nil {
 		return Result{}, err
--- a/internal/lab/scenario/timeline.go
+++ b/internal/lab/scenario/timeline.go
@@ -98,9 +98,9 @@
 		zone := byte(failure.Target % len(scenario.spec.Zones))
 		inside := func(host netip.Addr) bool { return host.As4()[1] == zone }
 		since := time.Now()
-		scenario.memory.Sever(func(from, to netip.Addr) bool { return inside(from) != inside(to) })
+		scenario.memory.SetPartition(func(from, to netip.Addr) bool { return inside(from) != inside(to) })
 		time.Sleep(failure.Length)
-		scenario.memory.Sever(nil)
+		scenario.memory.SetPartition(nil)
 		for _, running := range scenario.nodes {
 			scenario.excuse(running, since)
 		}
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -93,7 +93,7 @@
 func NewWorld(plan Plan, folder string, logger *log.Logger) (*World, error) {
 	world := &World{plan: plan, folder: folder, logger: logger, memory: network.NewMemory(), hosts: make(map[string]int),
 		cuts: make(map[int]cut), clients: make(map[int]*bench.Client), version: 1}
-	world.memory.Sever(world.severed)
+	world.memory.SetPartition(world.severed)
 	for index := range zoneCount {
 		world.zones = append(world.zones, bench.Zone{Name: fmt.Sprintf("zone-%d", index), Region: "region", Engines: enginesPerZone})
 	}
@@ -194,7 +194,7 @@
 			config.Steps.StragglerTime = 10 * time.Second
 			config.Rollout.StallTime = 5 * time.Second
 			config.Ownership.ReplaceAfter = 20 * time.Second
-			config.Ownership.HistoryPatience = 10 * time.Second
+			config.Ownership.HistoryRecoveryTimeout = 10 * time.Second
 		})
 	if err != nil {
 		return err
--- a/internal/loads/exchange.go
+++ b/internal/loads/exchange.go
@@ -147,7 +147,7 @@
 			Running:  int(response.GetRunning()[index]), Queued: int(response.GetQueued()[index]), Capacity: int(response.GetCapacity()[index]),
 			Leaving: flags&flagLeaving != 0, Failed: flags&flagFailed != 0, Held: held,
 		}
-		if table.Offer(digest, now) == NewsFlags {
+		if table.Offer(digest, now) == ChangeFlags {
 			changed = append(changed, &digest)
 		}
 	}
--- a/internal/loads/table.go
+++ b/internal/loads/table.go
@@ -131,17 +131,17 @@
 	return &table.shards[xxhash.Sum64String(id)%shardCount]
 }
 
-// News is the kind of change that a digest made.
-type News int
+// Change is the kind of change that a digest made.
+type Change int
 
 const (
-	NewsNone  News = iota // the digest is not newer: nothing changed
-	NewsLoad              // the load changed
-	NewsFlags             // the failed or leaving flag changed, or a new replica has one set
+	ChangeNone  Change = iota // the digest is not newer: nothing changed
+	ChangeLoad                // the load changed
+	ChangeFlags               // the failed or leaving flag changed, or a new replica has one set
 )
 
 // Offer stores a digest if it is newer than the current one, and returns what it changed.
-func (table *Table) Offer(digest Digest, now time.Time) News {
+func (table *Table) Offer(digest Digest, now time.Time) Change {
 	shard := table.shardOf(digest.ID)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
@@ -157,20 +157,20 @@
 		shard.replicas[digest.ID] = replica
 		table.version.Add(1)
 		if digest.Failed || digest.Leaving {
-			return NewsFlags
+			return ChangeFlags
 		}
-		return NewsLoad
+		return ChangeLoad
 	}
 	current := replica.digest.Load()
 	if digest.Sequence <= current.Sequence {
-		return NewsNone
+		return ChangeNone
 	}
 	digest.inFlightAtReceipt = replica.inFlight.Load()
 	replica.digest.Store(&digest)
 	if digest.flags() != current.flags() {
-		return NewsFlags
+		return ChangeFlags
 	}
-	return NewsLoad
+	return ChangeLoad
 }
 
 // Get returns a replica by identifier; nil if it is unknown.
@@ -198,8 +198,8 @@
 	}
 }
 
-// Forget removes replicas without requests in flight whose digest is older than age.
-func (table *Table) Forget(now time.Time, age time.Duration) {
+// EvictOlderThan removes replicas without requests in flight whose digest is older than age.
+func (table *Table) EvictOlderThan(now time.Time, age time.Duration) {
 	table.pruneHoldings()
 	for index := range table.shards {
 		shard := &table.shards[index]
--- a/internal/membership/prober.go
+++ b/internal/membership/prober.go
@@ -20,11 +20,11 @@
 	Machines      uint64
 }
 
-// Spread supplies this node's revisions and receives those of other nodes.
-type Spread interface {
+// RevisionExchange supplies this node's revisions and receives those of other nodes.
+type RevisionExchange interface {
 	Revisions() Revisions
-	// Heard is called with the revisions of the node at a control address.
-	Heard(address string, revisions Revisions)
+	// HandleRevisions is called with the revisions of the node at a control address.
+	HandleRevisions(address string, revisions Revisions)
 }
 
 // ProberSettings are the timing parameters of probing. ProbeTimeout plus IndirectTimeout must be below the probe
@@ -46,7 +46,7 @@
 	settings  ProberSettings
 	table     *Table
 	directory *peers.Directory
-	spread    Spread
+	spread    RevisionExchange
 	seeds     func() []string
 	logger    *log.Logger
 	health    health
@@ -58,7 +58,7 @@
 }
 
 // NewProber returns a prober. The function seeds returns the control addresses through which this node joins.
-func NewProber(settings ProberSettings, table *Table, directory *peers.Directory, spread Spread, seeds func() []string, seed uint64, logger *log.Logger) *Prober {
+func NewProber(settings ProberSettings, table *Table, directory *peers.Directory, spread RevisionExchange, seeds func() []string, seed uint64, logger *log.Logger) *Prober {
 	return &Prober{settings: settings, table: table, directory: directory, spread: spread, seeds: seeds, logger: logger,
 		random: rand.New(rand.NewPCG(seed, seed))}
 }
@@ -177,7 +177,7 @@
 }
 
 func (prober *Prober) handleRevisions(address string, message *controlv1.Revisions) {
-	prober.spread.Heard(address, Revisions{
+	prober.spread.HandleRevisions(address, Revisions{
 		Configuration: message.GetConfiguration(), Partitions: message.GetPartitions(), Machines: message.GetMachines(),
 	})
 }
--- a/internal/metadata/measured.go
+++ b/internal/metadata/measured.go
@@ -9,8 +9,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/telemetry"
 )
 
-// Measured is a Store that records the count, result and duration of its calls as metrics.
-type Measured struct {
+// InstrumentedStore is a Store that records the count, result and duration of its calls as metrics.
+type InstrumentedStore struct {
 	Store
 	Metrics *telemetry.Metrics
 }
@@ -27,7 +27,7 @@
 		return "limited"
 	case errors.Is(err, ErrCompacted):
 		return "compacted"
-	case errors.Is(err, ErrLeaseGone):
+	case errors.Is(err, ErrLeaseExpired):
 		return "lease_gone"
 	case errors.Is(err, ErrUncertain):
 		return "uncertain"
@@ -35,12 +35,12 @@
 	return "unavailable"
 }
 
-func (measured *Measured) count(call string, started time.Time, err error) {
+func (measured *InstrumentedStore) count(call string, started time.Time, err error) {
 	measured.Metrics.StoreCall(call, resultOf(err), time.Since(started))
 }
 
 // Get implements Store.
-func (measured *Measured) Get(ctx context.Context, key string) (Item, bool, error) {
+func (measured *InstrumentedStore) Get(ctx context.Context, key string) (Item, bool, error) {
 	started := time.Now()
 	item, found, err := measured.Store.Get(ctx, key)
 	measured.count("get", started, err)
@@ -48,7 +48,7 @@
 }
 
 // List implements Store.
-func (measured *Measured) List(ctx context.Context, prefix string) (Listing, error) {
+func (measured *InstrumentedStore) List(ctx context.Context, prefix string) (Listing, error) {
 	started := time.Now()
 	listing, err := measured.Store.List(ctx, prefix)
 	measured.count("list", started, err)
@@ -56,7 +56,7 @@
 }
 
 // Watch implements Store.
-func (measured *Measured) Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) (Changes, error) {
+func (measured *InstrumentedStore) Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) (Changes, error) {
 	started := time.Now()
 	changes, err := measured.Store.Watch(ctx, prefix, after, wait)
 	measured.count("watch", started, err)
@@ -64,7 +64,7 @@
 }
 
 // Commit implements Store.
-func (measured *Measured) Commit(ctx context.Context, txn Txn) (Revision, error) {
+func (measured *InstrumentedStore) Commit(ctx context.Context, txn Txn) (Revision, error) {
 	started := time.Now()
 	revision, err := measured.Store.Commit(ctx, txn)
 	measured.count("commit", started, err)
@@ -72,7 +72,7 @@
 }
 
 // Probe implements Store.
-func (measured *Measured) Probe(ctx context.Context) error {
+func (measured *InstrumentedStore) Probe(ctx context.Context) error {
 	started := time.Now()
 	err := measured.Store.Probe(ctx)
 	measured.count("probe", started, err)
@@ -80,7 +80,7 @@
 }
 
 // ListStale implements Store.
-func (measured *Measured) ListStale(ctx context.Context, prefix string) (Listing, error) {
+func (measured *InstrumentedStore) ListStale(ctx context.Context, prefix string) (Listing, error) {
 	started := time.Now()
 	listing, err := measured.Store.ListStale(ctx, prefix)
 	measured.count("list_stale", started, err)
@@ -88,7 +88,7 @@
 }
 
 // GrantLease implements Store.
-func (measured *Measured) GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error) {
+func (measured *InstrumentedStore) GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	started := time.Now()
 	lease, err := measured.Store.GrantLease(ctx, ttl)
 	measured.count("grant_lease", started, err)
@@ -96,7 +96,7 @@
 }
 
 // RenewLease implements Store.
-func (measured *Measured) RenewLease(ctx context.Context, lease LeaseID) error {
+func (measured *InstrumentedStore) RenewLease(ctx context.Context, lease LeaseID) error {
 	started := time.Now()
 	err := measured.Store.RenewLease(ctx, lease)
 	measured.count("renew_lease", started, err)
@@ -104,7 +104,7 @@
 }
 
 // RevokeLease implements Store.
-func (measured *Measured) RevokeLease(ctx context.Context, lease LeaseID) error {
+func (measured *InstrumentedStore) RevokeLease(ctx context.Context, lease LeaseID) error {
 	started := time.Now()
 	err := measured.Store.RevokeLease(ctx, lease)
 	measured.count("revoke_lease", started, err)
--- a/internal/metadata/memstore/store.go
+++ b/internal/metadata/memstore/store.go
@@ -15,12 +15,12 @@
 
 // Faults holds the faults to simulate. The zero value means no faults.
 type Faults struct {
-	// Down makes calls fail at once; Silent makes them hang until their context ends.
-	Down, Silent bool
-	// LoseAnswers is the number of next commits whose response is lost: each is applied, and the call hangs until its context ends.
-	LoseAnswers int
-	// LateBy delays the application of commits whose response is lost.
-	LateBy time.Duration
+	// Down makes calls fail at once; Hang makes them hang until their context ends.
+	Down, Hang bool
+	// LoseResponses is the number of next commits whose response is lost: each is applied, and the call hangs until its context ends.
+	LoseResponses int
+	// CommitDelay delays the application of commits whose response is lost.
+	CommitDelay time.Duration
 }
 
 // Store is an in-memory metadata.Store. It is safe for concurrent use.
@@ -82,7 +82,7 @@
 	switch {
 	case ctx.Err() != nil:
 		return faults, metadata.ErrUnavailable
-	case faults.Silent:
+	case faults.Hang:
 		<-ctx.Done()
 		return faults, metadata.ErrUnavailable
 	case faults.Down:
@@ -173,8 +173,8 @@
 		return 0, err
 	}
 	if store.consumeLostAnswer() {
-		if faults.LateBy > 0 {
-			time.AfterFunc(faults.LateBy, func() { _, _ = store.apply(txn) }) // the response is lost
+		if faults.CommitDelay > 0 {
+			time.AfterFunc(faults.CommitDelay, func() { _, _ = store.apply(txn) }) // the response is lost
 		} else {
 			_, _ = store.apply(txn)
 		}
@@ -193,10 +193,10 @@
 func (store *Store) consumeLostAnswer() bool {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	if store.faults.LoseAnswers <= 0 {
+	if store.faults.LoseResponses <= 0 {
 		return false
 	}
-	store.faults.LoseAnswers--
+	store.faults.LoseResponses--
 	return true
 }
 
@@ -217,7 +217,7 @@
 	}
 	for _, written := range txn.Puts {
 		if written.Lease != 0 && store.leases[written.Lease] == nil {
-			return 0, metadata.ErrLeaseGone
+			return 0, metadata.ErrLeaseExpired
 		}
 	}
 	store.revision++
@@ -286,7 +286,7 @@
 	defer store.mu.Unlock()
 	held := store.leases[id]
 	if held == nil {
-		return metadata.ErrLeaseGone
+		return metadata.ErrLeaseExpired
 	}
 	held.timer.Reset(held.ttl)
 	return nil
--- a/internal/metadata/metadata.go
+++ b/internal/metadata/metadata.go
@@ -13,11 +13,11 @@
 // Errors of a Store. After ErrUnavailable and ErrLimited, nothing has changed. After ErrUncertain, the transaction may have
 // been applied, or may still be applied later if its conditions hold then, so it may be retried only with conditions.
 var (
-	ErrUnavailable = errors.New("metadata store unavailable")
-	ErrLimited     = errors.New("metadata store rate limit exceeded")
-	ErrUncertain   = errors.New("metadata store response lost: outcome unknown")
-	ErrCompacted   = errors.New("metadata store history compacted")
-	ErrLeaseGone   = errors.New("metadata store lease expired or revoked")
+	ErrUnavailable  = errors.New("metadata store unavailable")
+	ErrLimited      = errors.New("metadata store rate limit exceeded")
+	ErrUncertain    = errors.New("metadata store response lost: outcome unknown")
+	ErrCompacted    = errors.New("metadata store history compacted")
+	ErrLeaseExpired = errors.New("metadata store lease expired or revoked")
 )
 
 // Revision counts the changes of the store. Zero, as the expected revision of a key, means that the key is absent.
--- a/internal/metering/cluster_test.go
+++ b/internal/metering/cluster_test.go
@@ -172,7 +172,7 @@
 	index   int
 }
 
-func (listeners frontListeners) Collector() *metering.Listener {
+func (listeners frontListeners) Collector() *metering.Recipient {
 	cluster := listeners.cluster
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
@@ -185,10 +185,10 @@
 	if newest == "" {
 		return nil
 	}
-	return &metering.Listener{Name: newest, Epoch: cluster.terms[newest], Client: localClient{cluster, listeners.name, newest, cluster.collectors[newest]}}
+	return &metering.Recipient{Name: newest, Epoch: cluster.terms[newest], Client: localClient{cluster, listeners.name, newest, cluster.collectors[newest]}}
 }
 
-func (listeners frontListeners) Witness() *metering.Listener {
+func (listeners frontListeners) Witness() *metering.Recipient {
 	cluster := listeners.cluster
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
@@ -197,10 +197,10 @@
 	if witness == nil {
 		return nil // not started yet
 	}
-	return &metering.Listener{Name: name, Epoch: witness.incarnation, Client: localClient{cluster, listeners.name, name, witness.ledger}}
+	return &metering.Recipient{Name: name, Epoch: witness.incarnation, Client: localClient{cluster, listeners.name, name, witness.ledger}}
 }
 
-func (listeners frontListeners) Runs(node string, incarnation int64) bool {
+func (listeners frontListeners) IsRunning(node string, incarnation int64) bool {
 	listeners.cluster.mu.Lock()
 	defer listeners.cluster.mu.Unlock()
 	known := listeners.cluster.fronts[node]
@@ -218,7 +218,7 @@
 	created.meter = metering.NewMeter(name, created.incarnation, windows, clock, created.ledger)
 	cluster.fronts[name] = created
 	cluster.mu.Unlock()
-	teller := &metering.Teller{Meter: created.meter, Listeners: frontListeners{cluster, name, index}, Logger: log.New(io.Discard)}
+	teller := &metering.TallySender{Meter: created.meter, Listeners: frontListeners{cluster, name, index}, Logger: log.New(io.Discard)}
 	go teller.Run(ctx)
 }
 
@@ -241,7 +241,7 @@
 	cluster.mu.Unlock()
 	reporter := &metering.Reporter{
 		Node: name, Windows: windows, Clock: clock, Ledger: ledger, Store: store, Sink: cluster.sink, Logger: log.New(io.Discard),
-		Overhang: 200 * time.Millisecond,
+		CallGrace: 200 * time.Millisecond,
 	}
 	election := weights.NewElection(store, name, weights.ElectionSettings{
 		Lease: 1300 * time.Millisecond, Renew: 300 * time.Millisecond, HandoverWait: minHolderGap + 300*time.Millisecond,
@@ -267,7 +267,7 @@
 	sender := cluster.fronts[fmt.Sprint("front-", index)]
 	cluster.expected[metering.Windows{Length: windowLength}.At(time.Now())]++
 	cluster.mu.Unlock()
-	sender.meter.Began("harbour")
+	sender.meter.CountStarted("harbour")
 }
 
 func newCluster() *cluster {
@@ -323,7 +323,7 @@
 	case "store down":
 		cluster.store.SetFaults(memstore.Faults{Down: true})
 	case "answers lost":
-		cluster.store.SetFaults(memstore.Faults{LoseAnswers: 3})
+		cluster.store.SetFaults(memstore.Faults{LoseResponses: 3})
 	case "sink slow":
 		cluster.sink.set(func(sink *sink) { sink.delay = 1900 * time.Millisecond })
 	case "sink broken", "sink late":
--- a/internal/metering/reporter.go
+++ b/internal/metering/reporter.go
@@ -71,9 +71,9 @@
 	Sink    Sink
 	Logger  *log.Logger
 	Metrics *telemetry.Metrics
-	// Overhang is how long a call may continue after the term has ended. Before its first call, a successor waits for this time and for
+	// CallGrace is how long a call may continue after the term has ended. Before its first call, a successor waits for this time and for
 	// the pause that the platform requires between two holders.
-	Overhang time.Duration
+	CallGrace time.Duration
 
 	// collectedAt is the latest time at which this process was the collector and all nodes had had time to send their tallies to it. In a
 	// later term, this process still holds the tallies delivered by then. Only the goroutine of Run uses this field.
@@ -233,7 +233,7 @@
 	ctx, cancel := context.WithTimeout(parent, reportTimeout)
 	go func() {
 		for ctx.Err() == nil {
-			remaining := work.term.Remaining() + work.Overhang
+			remaining := work.term.Remaining() + work.CallGrace
 			if remaining <= 0 {
 				cancel()
 				return
--- a/internal/metering/teller.go
+++ b/internal/metering/teller.go
@@ -22,35 +22,35 @@
 	sendTimeout  = 400 * time.Millisecond
 )
 
-// Listener is a node to which tallies are sent.
-type Listener struct {
+// Recipient is a node to which tallies are sent.
+type Recipient struct {
 	Name string
 	// Epoch changes when the listener may have lost the tallies that it acknowledged.
 	Epoch  int64
 	Client meteringv1.Collector
 }
 
-// Listeners provides the nodes to which this node sends tallies.
-type Listeners interface {
+// Recipients provides the nodes to which this node sends tallies.
+type Recipients interface {
 	// Collector returns the node that sends the usage reports, or nil if there is none.
-	Collector() *Listener
+	Collector() *Recipient
 	// Witness returns the node that holds a copy of this node's tallies, or nil if there is none. The witness sends them to the
 	// collector after this process has ended.
-	Witness() *Listener
-	// Runs reports whether an incarnation of a node is running, and therefore sends its tallies itself.
-	Runs(node string, incarnation int64) bool
+	Witness() *Recipient
+	// IsRunning reports whether an incarnation of a node is running, and therefore sends its tallies itself.
+	IsRunning(node string, incarnation int64) bool
 }
 
-// Teller sends the tallies of a ledger to the collector and the witness, and retries until they are acknowledged.
-type Teller struct {
+// TallySender sends the tallies of a ledger to the collector and the witness, and retries until they are acknowledged.
+type TallySender struct {
 	Meter     *Meter
-	Listeners Listeners
+	Listeners Recipients
 	Logger    *log.Logger
 	Metrics   *telemetry.Metrics
 }
 
 // Run sends tallies until the context ends.
-func (teller *Teller) Run(ctx context.Context) {
+func (teller *TallySender) Run(ctx context.Context) {
 	collector, witness := &sendState{teller: teller, role: "collector"}, &sendState{teller: teller, role: "witness"}
 	for ctx.Err() == nil {
 		var calls sync.WaitGroup
@@ -70,19 +70,19 @@
 	}
 }
 
-func (teller *Teller) isOwn(tally *meteringv1.Tally) bool {
+func (teller *TallySender) isOwn(tally *meteringv1.Tally) bool {
 	return tally.GetNode() == teller.Meter.node && tally.GetLife() == teller.Meter.incarnation
 }
 
 // isForCollector reports whether this node sends a tally to the collector. A node sends its own tallies, and those of processes that no
 // longer run.
-func (teller *Teller) isForCollector(tally *meteringv1.Tally) bool {
-	return teller.isOwn(tally) || !teller.Listeners.Runs(tally.GetNode(), tally.GetLife())
+func (teller *TallySender) isForCollector(tally *meteringv1.Tally) bool {
+	return teller.isOwn(tally) || !teller.Listeners.IsRunning(tally.GetNode(), tally.GetLife())
 }
 
 // sendState holds the current listener of one role and the sequences of the tallies that it has acknowledged.
 type sendState struct {
-	teller *Teller
+	teller *TallySender
 	role   string
 	name   string
 	epoch  int64
@@ -91,7 +91,7 @@
 }
 
 // send sends the tallies that the listener has not acknowledged. A new listener or epoch starts without acknowledged tallies.
-func (sendState *sendState) send(ctx context.Context, listener *Listener, include func(*meteringv1.Tally) bool) {
+func (sendState *sendState) send(ctx context.Context, listener *Recipient, include func(*meteringv1.Tally) bool) {
 	sendState.failed = false
 	if listener == nil {
 		return
--- a/internal/network/memory.go
+++ b/internal/network/memory.go
@@ -23,15 +23,15 @@
 // NewMemory returns a network without partitions.
 func NewMemory() *Memory { return &Memory{listeners: make(map[string]*memoryListener)} }
 
-// Sever replaces the partitions. severed reports whether bytes from one host to another are lost; nil ends all partitions.
-func (memory *Memory) Sever(severed func(from, to netip.Addr) bool) {
+// SetPartition replaces the partitions. severed reports whether bytes from one host to another are lost; nil ends all partitions.
+func (memory *Memory) SetPartition(severed func(from, to netip.Addr) bool) {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
 	memory.severed = severed
 }
 
-// Delay replaces the latency of writes from one host to another; nil means none.
-func (memory *Memory) Delay(latency func(from, to netip.Addr) time.Duration) {
+// SetLatency replaces the latency of writes from one host to another; nil means none.
+func (memory *Memory) SetLatency(latency func(from, to netip.Addr) time.Duration) {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
 	memory.latency = latency
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -75,7 +75,7 @@
 	loads     *loads.Table
 	homes     *home.Home
 	store     *samplestore.Store // nil without a data folder
-	copies    *ownership.Copies
+	copies    *ownership.LocalReplicas
 	manager   *ownership.Manager
 	steps     *delivery.Service
 	executor  *delivery.Executor
@@ -193,7 +193,7 @@
 	node.committer = configuration.NewCommitter(node.service, node.follower)
 
 	self := membership.Member{NodeID: config.Node.ID, Address: config.Node.Control, Zone: config.Node.Zone, Region: config.Node.Region,
-		Incarnation: node.life * ownership.LifeStep}
+		Incarnation: node.life * ownership.IncarnationsPerProcess}
 	if node.store != nil {
 		self.StoreID = node.store.Identity()
 	}
@@ -244,7 +244,7 @@
 
 	node.claims = claim.NewService(node.holderAlive)
 	node.steps = delivery.NewService(delivery.Settings{
-		AttemptSilence: config.Steps.AttemptSilence, AdoptTime: adoptRenewals * config.Steps.RenewInterval,
+		AttemptTimeout: config.Steps.AttemptSilence, AdoptTime: adoptRenewals * config.Steps.RenewInterval,
 		OutstandingSlots: config.Steps.OutstandingSlots, SlotsPerDispatch: config.Steps.SlotsPerDispatch,
 		StragglerShare: config.Steps.StragglerShare, StragglerTime: config.Steps.StragglerTime,
 		KeepClosed: config.Steps.KeepClosed, DispatchTimeout: config.Platform.Timeout,
@@ -252,7 +252,7 @@
 	scorer := scoring.NewHTTP(config.Platform.Scorer, node.client(node.networks.Data, controlConnections), config.Platform.Timeout)
 	node.executor = delivery.NewExecutor(delivery.ExecutorSettings{
 		MaximumSlots: config.Steps.MaximumSlots, RenewInterval: config.Steps.RenewInterval, CallTimeout: config.Platform.Timeout,
-		SwapPatience: config.Steps.SwapPatience, RoomShare: config.Steps.RoomShare, AheadShare: config.Steps.AheadShare,
+		SwapPatience: config.Steps.SwapPatience, MaxBatchFill: config.Steps.RoomShare, AheadMaxBatchFill: config.Steps.AheadShare,
 	}, config.Node.ID, node.runner, scorer, node, node.follower.Document, node.logger)
 	node.buildOwnership()
 	node.buildGateway(processMetrics)
@@ -269,12 +269,12 @@
 		storeID = node.store.Identity()
 		storage = node.store
 	}
-	node.copies = ownership.NewCopies(storage, storeID, ownership.MemoryReplicaID(config.Node.ID, node.life*ownership.LifeStep))
+	node.copies = ownership.NewLocalReplicas(storage, storeID, ownership.MemoryReplicaID(config.Node.ID, node.life*ownership.IncarnationsPerProcess))
 	self := partition.Holder{NodeID: config.Node.ID, Address: config.Node.Control, Zone: config.Node.Zone}
 	handlers := map[partition.Kind]ownership.Handler{partition.KindSteps: node.steps, partition.KindClaims: node.claims}
 	node.manager = ownership.NewManager(ownership.Settings{
 		SettleTime: config.Ownership.SettleTime, WriteTimeout: config.Ownership.WriteTimeout, ReplaceAfter: config.Ownership.ReplaceAfter,
-		LeaseTime: config.Ownership.LeaseTime, HistoryPatience: config.Ownership.HistoryPatience,
+		LeaseTime: config.Ownership.LeaseTime, HistoryRecoveryTimeout: config.Ownership.HistoryRecoveryTimeout,
 	}, self, node.copies, node.members, node.follower, node.service, node.directory, handlers, node.listedGone, node.isolated, node.logger)
 }
 
@@ -418,7 +418,7 @@
 	for _, member := range node.members.View().All {
 		if member.NodeID == nodeID {
 			// A member that left as planned still finishes its requests.
-			return ownership.Life(member.Incarnation) == life && member.State != membership.StateDead
+			return ownership.ProcessNumber(member.Incarnation) == life && member.State != membership.StateDead
 		}
 	}
 	return false
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -63,7 +63,7 @@
 	table := node.follower.Table()
 	for _, name := range partition.Names() {
 		assignment, owned := table.Assignment(name)
-		wanted := partition.ReplicasWanted
+		wanted := partition.ReplicationFactor
 		if name.Kind == partition.KindSteps {
 			wanted = min(wanted, stores)
 		}
--- a/internal/node/spread.go
+++ b/internal/node/spread.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Heard implements membership.Spread: it pulls when the other node knows more. One pull runs at a time.
-func (spread *spread) Heard(address string, other membership.Revisions) {
+// HandleRevisions implements membership.Spread: it pulls when the other node knows more. One pull runs at a time.
+func (spread *spread) HandleRevisions(address string, other membership.Revisions) {
 	own := spread.Revisions()
 	if other.Configuration <= own.Configuration && other.Partitions <= own.Partitions && other.Machines <= own.Machines {
 		return
@@ -191,7 +191,7 @@
 func (spread *spread) exchange(ctx context.Context) {
 	node := spread.node
 	now := time.Now()
-	node.loads.Forget(now, forgetAges*node.settings.Replicas.MaximumAge)
+	node.loads.EvictOlderThan(now, forgetAges*node.settings.Replicas.MaximumAge)
 	peers := spread.exchangePeers()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	for _, peer := range peers[:min(len(peers), node.settings.Membership.ExchangePeers)] {
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -19,8 +19,8 @@
 // request and slot in progress, and closes. Only the context can cut requests off.
 func (node *Node) Stop(ctx context.Context) error {
 	node.logger.Info("planned stop")
-	node.gateway.Refuse()
-	node.executor.Refuse()
+	node.gateway.StopAccepting()
+	node.executor.StopAccepting()
 	node.prober.Leave(ctx, tellOnLeave)
 	node.manager.Release(ctx)
 	// Callers on kept connections hear the refusal, which closes their connection; only then are idle ones closed, since
@@ -45,7 +45,7 @@
 func (node *Node) handOver(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handOverWait)
 	defer cancel()
-	for ctx.Err() == nil && node.manager.Held() > 0 && len(node.members.View().Live) > 0 {
+	for ctx.Err() == nil && node.manager.PartitionCount() > 0 && len(node.members.View().Live) > 0 {
 		sleep(ctx, handOverPoll)
 	}
 }
--- a/internal/ownership/copies.go
+++ b/internal/ownership/copies.go
@@ -13,9 +13,9 @@
 	"github.com/thistlewalk/thistlewalk/internal/peers"
 )
 
-// Copies holds the partition replicas of this node. It implements the Twirp service Partition and is safe for concurrent
+// LocalReplicas holds the partition replicas of this node. It implements the Twirp service Partition and is safe for concurrent
 // use.
-type Copies struct {
+type LocalReplicas struct {
 	storage  partition.Storage // nil on nodes without a data folder
 	storeID  string            // replica identity of the storage; empty if storage is nil
 	memoryID string            // replica identity of this process, for replicas in memory
@@ -23,13 +23,13 @@
 	replicas map[partition.Name]*partition.Replica
 }
 
-// NewCopies returns the replicas of a node. storage is nil on nodes without a data folder.
-func NewCopies(storage partition.Storage, storeID, memoryID string) *Copies {
-	return &Copies{storage: storage, storeID: storeID, memoryID: memoryID, replicas: make(map[partition.Name]*partition.Replica)}
+// NewLocalReplicas returns the replicas of a node. storage is nil on nodes without a data folder.
+func NewLocalReplicas(storage partition.Storage, storeID, memoryID string) *LocalReplicas {
+	return &LocalReplicas{storage: storage, storeID: storeID, memoryID: memoryID, replicas: make(map[partition.Name]*partition.Replica)}
 }
 
 // ReplicaID returns the identity of this node's replicas of a kind, or "" if the node cannot hold any.
-func (copies *Copies) ReplicaID(kind partition.Kind) string {
+func (copies *LocalReplicas) ReplicaID(kind partition.Kind) string {
 	if kind == partition.KindSteps {
 		return copies.storeID
 	}
@@ -37,7 +37,7 @@
 }
 
 // replica returns the replica of a partition, and an error if replicaID is not the identity of this node's replica.
-func (copies *Copies) replica(name partition.Name, replicaID string) (*partition.Replica, error) {
+func (copies *LocalReplicas) replica(name partition.Name, replicaID string) (*partition.Replica, error) {
 	if replicaID == "" || replicaID != copies.ReplicaID(name.Kind) {
 		return nil, twirp.FailedPrecondition.Errorf("no copy %q of partition %s here", replicaID, name)
 	}
@@ -56,7 +56,7 @@
 }
 
 // Promise implements the Twirp service.
-func (copies *Copies) Promise(_ context.Context, request *controlv1.PromiseRequest) (*controlv1.PromiseResponse, error) {
+func (copies *LocalReplicas) Promise(_ context.Context, request *controlv1.PromiseRequest) (*controlv1.PromiseResponse, error) {
 	replica, err := copies.replica(nameFromMessage(request.GetPartition()), request.GetReplicaId())
 	if err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 }
 
 // Append implements the Twirp service.
-func (copies *Copies) Append(_ context.Context, request *controlv1.AppendRequest) (*controlv1.AppendResponse, error) {
+func (copies *LocalReplicas) Append(_ context.Context, request *controlv1.AppendRequest) (*controlv1.AppendResponse, error) {
 	replica, err := copies.replica(nameFromMessage(request.GetPartition()), request.GetReplicaId())
 	if err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 
 // twirpTransport implements partition.Transport over Twirp. It calls the node's own replicas directly.
 type twirpTransport struct {
-	own       *Copies
+	own       *LocalReplicas
 	ownID     string
 	directory *peers.Directory
 }
--- a/internal/ownership/manager.go
+++ b/internal/ownership/manager.go
@@ -38,15 +38,15 @@
 	ReplaceAfter time.Duration
 	// LeaseTime is the duration of an owner lease.
 	LeaseTime time.Duration
-	// HistoryPatience is how long recovery of a claims partition must fail before its registers may be discarded.
-	HistoryPatience time.Duration
+	// HistoryRecoveryTimeout is how long recovery of a claims partition must fail before its registers may be discarded.
+	HistoryRecoveryTimeout time.Duration
 }
 
 // Manager takes over, repairs and releases the partitions of a node.
 type Manager struct {
 	settings  Settings
 	self      partition.Holder // without ReplicaID, which depends on the kind
-	copies    *Copies
+	copies    *LocalReplicas
 	members   *membership.Table
 	follower  *configuration.Follower
 	service   keyvalue.Client
@@ -70,7 +70,7 @@
 }
 
 // NewManager returns a manager that passes owned partitions to the handler of their kind.
-func NewManager(settings Settings, self partition.Holder, copies *Copies, members *membership.Table, follower *configuration.Follower,
+func NewManager(settings Settings, self partition.Holder, copies *LocalReplicas, members *membership.Table, follower *configuration.Follower,
 	service keyvalue.Client, directory *peers.Directory, handlers map[partition.Kind]Handler, unlisted func(string) bool, isolated func() bool, logger *log.Logger) *Manager {
 	return &Manager{
 		settings: settings, self: self, copies: copies, members: members, follower: follower, service: service,
@@ -248,7 +248,7 @@
 	if tracked.missingSince.IsZero() {
 		tracked.missingSince = time.Now()
 	}
-	belowTarget := len(assignment.Replicas) < partition.ReplicasWanted
+	belowTarget := len(assignment.Replicas) < partition.ReplicationFactor
 	return belowTarget || assignment.Name.Kind == partition.KindClaims || time.Since(tracked.missingSince) >= manager.settings.ReplaceAfter
 }
 
@@ -282,7 +282,7 @@
 // always false for replicas on disk, since their machines may return. Otherwise an operator ends the steps.
 func (manager *Manager) historyUnrecoverable(assignment partition.Assignment, candidates []partition.Candidate) bool {
 	since := manager.states[assignment.Name].failingSince
-	if since.IsZero() || assignment.Name.Kind != partition.KindClaims || time.Since(since) < manager.settings.HistoryPatience {
+	if since.IsZero() || assignment.Name.Kind != partition.KindClaims || time.Since(since) < manager.settings.HistoryRecoveryTimeout {
 		return false
 	}
 	left := 0
@@ -377,9 +377,9 @@
 	return true
 }
 
-// Held returns the number of partitions that this node owns or holds a replica in memory of, according to the newest
+// PartitionCount returns the number of partitions that this node owns or holds a replica in memory of, according to the newest
 // table.
-func (manager *Manager) Held() int {
+func (manager *Manager) PartitionCount() int {
 	held := 0
 	for _, assignment := range manager.follower.Table().Assignments {
 		if assignment.Owner.NodeID == manager.self.NodeID {
--- a/internal/partition/takeover.go
+++ b/internal/partition/takeover.go
@@ -7,8 +7,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/placement"
 )
 
-// ReplicasWanted is the replication factor of a partition, provided there are enough nodes.
-const ReplicasWanted = 3
+// ReplicationFactor is the replication factor of a partition, provided there are enough nodes.
+const ReplicationFactor = 3
 
 // Candidate is a live node that may hold a replica.
 type Candidate = Holder
@@ -65,7 +65,7 @@
 	// Round 0: zones without a chosen replica. Round 1: any zone except the owner's. Round 2: any zone.
 	for round := range 3 {
 		for _, candidate := range ranked {
-			if len(chosen) == ReplicasWanted {
+			if len(chosen) == ReplicationFactor {
 				return chosen
 			}
 			if holdsCopy(chosen, candidate) || candidate.NodeID == owner.NodeID || !zoneAllowed(round, chosen, candidate) {
@@ -88,7 +88,7 @@
 		return chosen
 	}
 	for _, holder := range present {
-		if len(chosen) < ReplicasWanted && !holdsCopy(chosen, holder) {
+		if len(chosen) < ReplicationFactor && !holdsCopy(chosen, holder) {
 			chosen = append(chosen, holder)
 		}
 	}
--- a/internal/quarantine/archive_test.go
+++ b/internal/quarantine/archive_test.go
@@ -50,7 +50,7 @@
 		recordThreeCrashes(book, "a")
 		archive.Persist(fingerprintOf("x"))
 		time.Sleep(3 * time.Second)
-		store.SetFaults(memstore.Faults{LoseAnswers: 1})
+		store.SetFaults(memstore.Faults{LoseResponses: 1})
 		time.Sleep(3 * time.Second)
 		_, later := newArchive(t.Context(), store, "b", false)
 		time.Sleep(time.Second)
@@ -85,7 +85,7 @@
 		store := memstore.New()
 		archive, book := newArchive(t.Context(), store, "a", false)
 		time.Sleep(time.Second)
-		store.SetFaults(memstore.Faults{LoseAnswers: 1, LateBy: 5 * time.Second})
+		store.SetFaults(memstore.Faults{LoseResponses: 1, CommitDelay: 5 * time.Second})
 		recordThreeCrashes(book, "a")
 		archive.Persist(fingerprintOf("x")) // the first write is executed late, its repetition at once
 		time.Sleep(3 * time.Second)
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -70,7 +70,7 @@
 }
 
 // Send implements backend.Sender. It returns a *backend.HeldError for a request that is withheld.
-func (guard *Guard) Send(ctx context.Context, replica *catalog.Replica, request *backend.Request) (*backend.Answer, error) {
+func (guard *Guard) Send(ctx context.Context, replica *catalog.Replica, request *backend.Request) (*backend.Response, error) {
 	if err := guard.admit(replica, request); err != nil {
 		return nil, err
 	}
@@ -80,7 +80,7 @@
 	}
 	answer, err := guard.Sender.Send(runCtx, replica, request)
 	switch {
-	case errors.Is(err, backend.ErrRefused):
+	case errors.Is(err, backend.ErrConnectionRefused):
 		guard.connectionRefused(replica)
 	case err != nil && !errors.Is(err, backend.ErrNotSent):
 		guard.answerLost(runCtx, replica, request)
@@ -108,7 +108,7 @@
 	run, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() {
 		left := lingerDuration - time.Since(begun)
-		if left <= 0 || errors.Is(context.Cause(ctx), backend.ErrUnneeded) {
+		if left <= 0 || errors.Is(context.Cause(ctx), backend.ErrSuperseded) {
 			cancel()
 			return
 		}
@@ -132,7 +132,7 @@
 		guard.Metrics.RequestHeld()
 		guard.Logger.Info("request held", "request", request.ID, "service", replica.Service, "fingerprint", fingerprint, "crashes", decision.Crashes,
 			"retry_after_ms", decision.RetryAfter.Milliseconds(), "put_down_to", decision.attributedTo())
-		return errors.Mark(&backend.HeldError{After: decision.RetryAfter}, backend.ErrNotSent)
+		return errors.Mark(&backend.HeldError{RetryAfter: decision.RetryAfter}, backend.ErrNotSent)
 	case decision.Crashes > 0:
 		guard.Logger.Info("suspected request sent", "request", request.ID, "service", replica.Service, "replica", replica.ID, "fingerprint", fingerprint,
 			"crashes", decision.Crashes, "trial", decision.Trial, "put_down_to", decision.attributedTo())
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -22,7 +22,7 @@
 
 // stubNetwork gives the same answer to each request and to each probe.
 type stubNetwork struct {
-	answer  *backend.Answer
+	answer  *backend.Response
 	err     error
 	refuses bool
 	// hangs blocks each request until its context ends.
@@ -31,7 +31,7 @@
 }
 
 // Send implements backend.Sender.
-func (network *stubNetwork) Send(ctx context.Context, _ *catalog.Replica, _ *backend.Request) (*backend.Answer, error) {
+func (network *stubNetwork) Send(ctx context.Context, _ *catalog.Replica, _ *backend.Request) (*backend.Response, error) {
 	if network.hangs {
 		<-ctx.Done()
 	}
@@ -47,11 +47,11 @@
 
 var (
 	errBroken  = errors.Mark(errors.New("connection closed"), backend.ErrBroken)
-	errRefused = errors.Mark(backend.ErrRefused, backend.ErrNotSent)
+	errRefused = errors.Mark(backend.ErrConnectionRefused, backend.ErrNotSent)
 )
 
-func answerOf(status int, body io.Reader) *backend.Answer {
-	return &backend.Answer{Status: status, Body: io.NopCloser(body)}
+func answerOf(status int, body io.Reader) *backend.Response {
+	return &backend.Response{Status: status, Body: io.NopCloser(body)}
 }
 
 // fixture is a guard over a stub network.
@@ -210,7 +210,7 @@
 	}{
 		{"caller leaves early", 30 * time.Millisecond, nil, false, 200 * time.Millisecond},
 		{"caller leaves late", 400 * time.Millisecond, nil, false, 400 * time.Millisecond},
-		{"answered by another replica", 30 * time.Millisecond, backend.ErrUnneeded, false, 30 * time.Millisecond},
+		{"answered by another replica", 30 * time.Millisecond, backend.ErrSuperseded, false, 30 * time.Millisecond},
 		{"batch request", 30 * time.Millisecond, nil, true, 30 * time.Millisecond},
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -234,7 +234,7 @@
 	refusal.NotExecuted = true
 	for _, check := range []struct {
 		name    string
-		answer  *backend.Answer
+		answer  *backend.Response
 		cleared bool
 	}{
 		{"an answer", answerOf(http.StatusOK, strings.NewReader("whole")), true},
@@ -270,7 +270,7 @@
 		must.True(t, backend.IsHeld(err))
 		var held *backend.HeldError
 		must.True(t, errors.As(err, &held))
-		must.Eq(t, holdDuration, held.After)
+		must.Eq(t, holdDuration, held.RetryAfter)
 		other := *requested
 		other.Body = []byte("y")
 		_, err = fixture.guard.Send(t.Context(), &target, &other)
--- a/internal/quarantine/history_test.go
+++ b/internal/quarantine/history_test.go
@@ -135,7 +135,7 @@
 		world.store.SetFaults(memstore.Faults{})
 	case loseResponses:
 		world.disturb(0)
-		world.store.SetFaults(memstore.Faults{LoseAnswers: 2, LateBy: time.Second})
+		world.store.SetFaults(memstore.Faults{LoseResponses: 2, CommitDelay: time.Second})
 	case compact:
 		world.store.Compact()
 	case lossyLinks:
--- a/internal/quarantine/world_test.go
+++ b/internal/quarantine/world_test.go
@@ -261,13 +261,13 @@
 }
 
 // Send implements backend.Sender. It simulates the network and the replica.
-func (node *node) Send(ctx context.Context, target *catalog.Replica, request *backend.Request) (*backend.Answer, error) {
+func (node *node) Send(ctx context.Context, target *catalog.Replica, request *backend.Request) (*backend.Response, error) {
 	world := node.world
 	world.mu.Lock()
 	known := world.replicas[target.ID]
 	if known == nil || known.gone {
 		world.mu.Unlock()
-		return nil, errors.Mark(backend.ErrRefused, backend.ErrNotSent)
+		return nil, errors.Mark(backend.ErrConnectionRefused, backend.ErrNotSent)
 	}
 	exited, reset := known.exited, known.reset
 	crashes := string(request.Body) == crashingBody
@@ -284,7 +284,7 @@
 	case <-exited:
 	case <-reset:
 	case <-time.After(work):
-		return &backend.Answer{Status: http.StatusOK, Body: io.NopCloser(strings.NewReader("whole"))}, nil
+		return &backend.Response{Status: http.StatusOK, Body: io.NopCloser(strings.NewReader("whole"))}, nil
 	}
 	return nil, errors.Mark(errors.New("connection reset"), backend.ErrBroken)
 }
@@ -332,7 +332,7 @@
 			return err
 		}
 		tried = target.ID
-		var answer *backend.Answer
+		var answer *backend.Response
 		answer, err = node.guard.Send(ctx, target, &backend.Request{ID: "q", Method: http.MethodPost, Target: "/book/1", Body: []byte(body)})
 		if err == nil {
 			_, err = io.Copy(io.Discard, answer.Body)
--- a/internal/role/front.go
+++ b/internal/role/front.go
@@ -32,7 +32,7 @@
 // FrontOptions are the settings and dependencies of a front.
 type FrontOptions struct {
 	Node, Zone, Role string
-	Life             int64
+	Incarnation      int64
 	// Cores is the CPU time, in cores, that the processes of the machine may use together; zero if unknown.
 	Cores float64
 	// PeerAddress is the address on which other nodes reach this front, by TCP and UDP.
@@ -103,22 +103,22 @@
 	options.Clock = clock.OrSteady(options.Clock)
 	ctx, cancel := context.WithCancel(context.Background())
 	loads := backend.NewLoads()
-	self := &clusterv1.NodeRecord{Name: options.Node, Address: options.PeerAddress, Zone: options.Zone, Role: options.Role, Life: options.Life, Cores: options.Cores, Capabilities: capability.Own()}
+	self := &clusterv1.NodeRecord{Name: options.Node, Address: options.PeerAddress, Zone: options.Zone, Role: options.Role, Life: options.Incarnation, Cores: options.Cores, Capabilities: capability.Own()}
 	front := &Front{FrontOptions: options, loads: loads, owners: newOwners(), health: metadata.NewHealth(options.Store, options.Logger), ctx: ctx, cancel: cancel}
 	front.Registry = cluster.NewRegistry(self, options.Store, options.PeerClient, options.Logger)
 	front.guard, front.archive = front.newGuard()
 	front.Forwarder = &forwarding.Forwarder{Catalog: options.Catalog, Loads: loads, Sender: front.guard, Zone: options.Zone, Logger: options.Logger, Metrics: options.Metrics, Clock: options.Clock}
 	front.Runner = batchrun.New(batchrun.Options{
-		Node: options.Node, Life: options.Life, Zone: options.Zone, Catalog: options.Catalog, Loads: loads, Sender: front.guard,
-		Decoder: options.Decoder, Log: &batchlog.Log{Store: options.Store, Health: front.health, Node: options.Node, Life: options.Life}, Peers: peers{front}, Logger: options.Logger, Metrics: options.Metrics,
-		Flush: batch.FlushPolicy{Spacing: flushInterval, Longest: flushMaxDelay, FinalSpacing: flushFinalInterval},
+		Node: options.Node, Incarnation: options.Incarnation, Zone: options.Zone, Catalog: options.Catalog, Loads: loads, Sender: front.guard,
+		Decoder: options.Decoder, Log: &batchlog.Log{Store: options.Store, Health: front.health, Node: options.Node, Incarnation: options.Incarnation}, Peers: peers{front}, Logger: options.Logger, Metrics: options.Metrics,
+		Flush: batch.FlushPolicy{MinInterval: flushInterval, MaxWait: flushMaxDelay, FinalMinInterval: flushFinalInterval},
 	})
 	front.health.Nodes = front.Registry.Count
 	front.health.OnRecovered = front.announceStoreAnswers
 	front.topics = newTopics(options.ConfigurationPrefix, options.ConfigurationHandler, options.ReplicaPrefix, options.ReplicaHandler, front.Registry, front.archive)
 	front.subscriber = front.newSubscriber()
 	front.health.ProbeNeeded, front.health.Urgent = front.storeNeeded, front.storeUrgent
-	front.Registry.LeftKey, front.Registry.Health = batchlog.LeftKey, front.health
+	front.Registry.LeftoverWorkKey, front.Registry.Health = batchlog.LeftoverWorkKey, front.health
 	if options.UsageWindow > 0 {
 		front.usage = front.newUsage(options.UsageWindow)
 		front.Forwarder.Meter = front.usage.meter
@@ -153,7 +153,7 @@
 	})
 	go monitor.Run(front.ctx)
 	go front.guard.Run(front.ctx)
-	go (&clock.Watch{Clock: front.Clock, Logger: front.Logger, Metrics: front.Metrics, Woken: front.handleResume}).Run(front.ctx)
+	go (&clock.Watch{Clock: front.Clock, Logger: front.Logger, Metrics: front.Metrics, OnResume: front.handleResume}).Run(front.ctx)
 	go subscriber.Run(front.ctx)
 	if front.StartOrderer != nil {
 		go front.standBy(front.ctx)
@@ -224,8 +224,8 @@
 // Stopping reports whether a planned stop has begun.
 func (front *Front) Stopping() bool { return front.stopping.Load() }
 
-// Counted wraps a handler so that Stop can wait for its calls in progress.
-func (front *Front) Counted(handler http.Handler) http.Handler {
+// CountCalls wraps a handler so that Stop can wait for its calls in progress.
+func (front *Front) CountCalls(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		front.activeCalls.Add(1)
 		defer front.activeCalls.Add(-1)
--- a/internal/role/front_test.go
+++ b/internal/role/front_test.go
@@ -59,7 +59,7 @@
 		Catalog: catalog.NewTable(), ConfigurationHandler: discardHandler{}, ReplicaHandler: discardHandler{},
 	})
 	must.NoError(t, front.Start())
-	server := &http.Server{Handler: front.Counted(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+	server := &http.Server{Handler: front.CountCalls(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		time.Sleep(400 * time.Millisecond)
 		_, _ = writer.Write([]byte("whole"))
 	}))}
--- a/internal/role/metering.go
+++ b/internal/role/metering.go
@@ -13,15 +13,15 @@
 type usage struct {
 	ledger      *metering.Ledger
 	meter       *metering.Meter
-	tallySender *metering.Teller
+	tallySender *metering.TallySender
 }
 
 // newUsage returns the usage components of a front for windows of the given length.
 func (front *Front) newUsage(window time.Duration) *usage {
 	windows, clock := metering.Windows{Length: window}, metering.NewClock(front.Clock)
 	ledger := metering.NewLedger(windows, clock)
-	meter := metering.NewMeter(front.Node, front.Life, windows, clock, ledger)
-	return &usage{ledger: ledger, meter: meter, tallySender: &metering.Teller{
+	meter := metering.NewMeter(front.Node, front.Incarnation, windows, clock, ledger)
+	return &usage{ledger: ledger, meter: meter, tallySender: &metering.TallySender{
 		Meter: meter, Listeners: &listeners{front: front, clients: make(map[string]meteringv1.Collector)}, Logger: front.Logger, Metrics: front.Metrics,
 	}}
 }
@@ -58,24 +58,24 @@
 }
 
 // Collector implements metering.Listeners.
-func (listeners *listeners) Collector() *metering.Listener {
+func (listeners *listeners) Collector() *metering.Recipient {
 	collector := listeners.front.subscriber.Collector()
 	if collector == nil {
 		return nil
 	}
-	return &metering.Listener{Name: collector.Node, Epoch: collector.Term, Client: listeners.client(collector.Address)}
+	return &metering.Recipient{Name: collector.Node, Epoch: collector.Term, Client: listeners.client(collector.Address)}
 }
 
 // Witness implements metering.Listeners.
-func (listeners *listeners) Witness() *metering.Listener {
+func (listeners *listeners) Witness() *metering.Recipient {
 	record := listeners.front.Registry.RemotePeer()
 	if record == nil {
 		return nil
 	}
-	return &metering.Listener{Name: record.GetName(), Epoch: record.GetLife(), Client: listeners.client(record.GetAddress())}
+	return &metering.Recipient{Name: record.GetName(), Epoch: record.GetLife(), Client: listeners.client(record.GetAddress())}
 }
 
-// Runs implements metering.Listeners.
-func (listeners *listeners) Runs(node string, incarnation int64) bool {
+// IsRunning implements metering.Listeners.
+func (listeners *listeners) IsRunning(node string, incarnation int64) bool {
 	return listeners.front.Registry.IsRegistered(node, incarnation)
 }
--- a/internal/role/orderer.go
+++ b/internal/role/orderer.go
@@ -25,13 +25,13 @@
 
 // RetireReporter notifies the operator that a machine is empty.
 type RetireReporter interface {
-	PutRetired(ctx context.Context, node string) error
+	ReportRetired(ctx context.Context, node string) error
 }
 
 // OrdererOptions are the settings and dependencies of an orderer.
 type OrdererOptions struct {
 	Node, Role  string
-	Life        int64
+	Incarnation int64
 	PeerAddress string
 	Store       metadata.Store
 	Replicas    weights.Replicas
@@ -97,7 +97,7 @@
 func NewOrderer(options OrdererOptions) *Orderer {
 	options.Clock = clock.OrSteady(options.Clock)
 	ctx, cancel := context.WithCancel(context.Background())
-	self := &clusterv1.NodeRecord{Name: options.Node, Address: options.PeerAddress, Role: options.Role, Life: options.Life}
+	self := &clusterv1.NodeRecord{Name: options.Node, Address: options.PeerAddress, Role: options.Role, Life: options.Incarnation}
 	weightsOrderer := weights.NewOrderer(options.Node, options.Catalog, options.Replicas, loadShare, options.Logger)
 	weightsOrderer.Metrics = options.Metrics
 	registry := cluster.NewRegistry(self, options.Store, options.PeerClient, options.Logger)
@@ -109,7 +109,7 @@
 		windows, clock := metering.Windows{Length: options.UsageWindow}, metering.NewClock(options.Clock)
 		orderer.reporter = &metering.Reporter{
 			Node: options.Node, Windows: windows, Clock: clock, Ledger: metering.NewLedger(windows, clock), Store: options.Store,
-			Sink: options.UsageSink, Logger: options.Logger, Metrics: options.Metrics, Overhang: options.CallOverhang,
+			Sink: options.UsageSink, Logger: options.Logger, Metrics: options.Metrics, CallGrace: options.CallOverhang,
 		}
 	}
 	return orderer
@@ -140,7 +140,7 @@
 	})
 	orderer.operator = operator
 	election := weights.NewElection(orderer.Store, orderer.Node, orderer.Election, orderer.Logger)
-	election.StandIn, election.Clock = orderer.standIn, orderer.Clock
+	election.OnEarlierIncarnation, election.Clock = orderer.standIn, orderer.Clock
 	orderer.done.Add(1)
 	go func() {
 		defer orderer.done.Done()
@@ -210,7 +210,7 @@
 	follow(metadata.Follower{Prefix: topics.nodes.Prefix(), Handler: topics.nodes, StartRevision: topics.nodes.Revision, MinInterval: ordererRegistryInterval}, nodesWait)
 	follow(metadata.Follower{Prefix: topics.quarantine.Prefix(), Handler: topics.quarantine, StartRevision: topics.quarantine.Revision}, quarantineWait)
 	publisher := &dissemination.Publisher{
-		Node: orderer.Node, Life: orderer.Life, Clock: orderer.Clock, Topics: topics.published(), Registry: orderer.registry, Relay: fence == noTerm, Term: fence, Address: orderer.PeerAddress,
+		Node: orderer.Node, Incarnation: orderer.Incarnation, Clock: orderer.Clock, Topics: topics.published(), Registry: orderer.registry, IsZoneReader: fence == noTerm, Term: fence, Address: orderer.PeerAddress,
 		Datagrams: orderer.datagrams, Health: health, Logger: orderer.Logger, Metrics: orderer.Metrics,
 	}
 	orderer.publisher.Store(publisher)
@@ -225,7 +225,7 @@
 // collectGarbage periodically removes jobs that ended longer than Retention ago, and quarantined requests that have
 // expired.
 func (orderer *Orderer) collectGarbage(ctx context.Context) {
-	jobs := &batchlog.Log{Store: orderer.Store, Node: orderer.Node, Life: orderer.Life}
+	jobs := &batchlog.Log{Store: orderer.Store, Node: orderer.Node, Incarnation: orderer.Incarnation}
 	ticker := time.NewTicker(collectInterval)
 	defer ticker.Stop()
 	for {
@@ -249,11 +249,11 @@
 
 const retireBackoff = 300 * time.Millisecond
 
-// Retired confirms a request to empty a machine, and retries until the confirmation succeeds.
-func (orderer *Orderer) Retired(node string) {
+// ConfirmRetired confirms a request to empty a machine, and retries until the confirmation succeeds.
+func (orderer *Orderer) ConfirmRetired(node string) {
 	go func() {
 		for orderer.ctx.Err() == nil {
-			err := orderer.Retire.PutRetired(orderer.ctx, node)
+			err := orderer.Retire.ReportRetired(orderer.ctx, node)
 			orderer.Logger.Info("retire", "node", node, "error", err)
 			if err == nil {
 				return
--- a/internal/role/subscription.go
+++ b/internal/role/subscription.go
@@ -21,7 +21,7 @@
 // itself.
 func (front *Front) newSubscriber() *dissemination.Subscriber {
 	return &dissemination.Subscriber{
-		Node: front.Node, Life: front.Life, Topics: front.topics.published(), Limits: front.Limits, Health: front.health,
+		Node: front.Node, Incarnation: front.Incarnation, Topics: front.topics.published(), Limits: front.Limits, Health: front.health,
 		Logger: front.Logger, Metrics: front.Metrics, Follow: front.followStore, Relay: front.publishToZone, Clock: front.Clock,
 		ReaderRank: func() int { return front.Registry.Rank(readerKey) },
 	}
@@ -30,7 +30,7 @@
 // startRelays lets publishers use this front as a relay.
 func (front *Front) startRelays() {
 	front.relays = &dissemination.Relays{
-		Node: front.Node, Life: front.Life, Address: front.PeerAddress, Topics: front.topics.published(), Registry: front.Registry, Datagrams: front.datagrams,
+		Node: front.Node, Incarnation: front.Incarnation, Address: front.PeerAddress, Topics: front.topics.published(), Registry: front.Registry, Datagrams: front.datagrams,
 		Logger: front.Logger, Metrics: front.Metrics,
 	}
 	front.relays.Start(front.ctx)
@@ -97,7 +97,7 @@
 	read(front.topics.nodes, registryInterval, metadata.LongWatchTimeout)
 	read(front.topics.quarantine, quarantineInterval, metadata.LongWatchTimeout)
 	if front.topics.replicas.Revision() == 0 {
-		snapshots := &dissemination.Snapshots{
+		snapshots := &dissemination.SnapshotFetcher{
 			Topic: dissemination.Topic{Mirror: front.topics.replicas}, Nodes: dissemination.Topic{Mirror: front.topics.nodes}, Registry: front.Registry,
 			Logger: front.Logger, Metrics: front.Metrics,
 		}
@@ -119,7 +119,7 @@
 // publishToZone publishes what this front reads from the store to the other fronts of its zone.
 func (front *Front) publishToZone(ctx context.Context) {
 	publisher := &dissemination.Publisher{
-		Node: front.Node, Life: front.Life, Clock: front.Clock, Topics: front.topics.published(), Registry: front.Registry, Nodes: front.Registry.Neighbours, Relay: true,
+		Node: front.Node, Incarnation: front.Incarnation, Clock: front.Clock, Topics: front.topics.published(), Registry: front.Registry, Nodes: front.Registry.Neighbours, IsZoneReader: true,
 		Address: front.PeerAddress, Datagrams: front.datagrams, Health: front.health, Logger: front.Logger, Metrics: front.Metrics,
 	}
 	front.zonePublisher.Store(publisher)
--- a/internal/role/topics.go
+++ b/internal/role/topics.go
@@ -33,7 +33,7 @@
 	return []dissemination.Topic{
 		{Mirror: topics.configuration},
 		{Mirror: topics.replicas, Bulk: true},
-		{Mirror: topics.nodes, Pace: nodesInterval, Bulk: true},
+		{Mirror: topics.nodes, MinInterval: nodesInterval, Bulk: true},
 		{Mirror: topics.quarantine},
 	}
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -12,21 +12,21 @@
 	"github.com/thistlewalk/thistlewalk/internal/placement"
 )
 
-// Wanted describes the rollout to route.
-type Wanted struct {
+// Requirements describes the rollout to route.
+type Requirements struct {
 	Arm experiment.Arm
-	// Newest is the target version of the policy. Replicas that run it are preferred.
-	Newest uint64
-	Zone   string
+	// TargetVersion is the target version of the policy. Replicas that run it are preferred.
+	TargetVersion uint64
+	Zone          string
 	// PrefixKey is equal for prompts that share a prefix worth caching; empty for none.
 	PrefixKey string
 	// Preferred is the replica that ran the previous turn of the rollout; empty for none.
 	Preferred string
 	// Excluded are the replicas that were already tried.
 	Excluded []string
-	// RoomShare excludes replicas whose load has reached this share of their capacity. The rollout then waits on this
+	// MaxBatchFill excludes replicas whose load has reached this share of their capacity. The rollout then waits on this
 	// node, where it can still go to whichever replica has capacity first. Zero disables the limit.
-	RoomShare float64
+	MaxBatchFill float64
 }
 
 // Candidate is the state of a replica at the time of the decision.
@@ -43,18 +43,18 @@
 
 // Filter decides whether a replica may run the rollout.
 type Filter interface {
-	Keep(wanted *Wanted, replica *loads.Replica, digest *loads.Digest) bool
+	Keep(wanted *Requirements, replica *loads.Replica, digest *loads.Digest) bool
 }
 
 // Scorer scores a candidate from 0, the worst, to 1, the best.
 type Scorer interface {
-	Score(wanted *Wanted, candidate *Candidate) float64
+	Score(wanted *Requirements, candidate *Candidate) float64
 }
 
 // Choices are the replicas to choose from. Filters and scorers run lazily, only for replicas that the picker examines.
 type Choices struct {
 	router        *Router
-	wanted        *Wanted
+	wanted        *Requirements
 	replicas      []*loads.Replica
 	prefixReplica *loads.Replica // the replica that the prompt's prefix hashes to; nil without a prefix
 }
@@ -110,7 +110,7 @@
 }
 
 // Route returns the replica for a rollout; nil if the filters accept none.
-func (router *Router) Route(wanted *Wanted, replicas []*loads.Replica) *loads.Replica {
+func (router *Router) Route(wanted *Requirements, replicas []*loads.Replica) *loads.Replica {
 	choices := Choices{router: router, wanted: wanted, replicas: replicas}
 	if wanted.PrefixKey != "" {
 		choices.prefixReplica = selectPrefixReplica(wanted.PrefixKey, replicas)
@@ -144,7 +144,7 @@
 }
 
 // Keep implements Filter.
-func (filter Serviceable) Keep(wanted *Wanted, replica *loads.Replica, digest *loads.Digest) bool {
+func (filter Serviceable) Keep(wanted *Requirements, replica *loads.Replica, digest *loads.Digest) bool {
 	if digest.Leaving || digest.Failed {
 		return false
 	}
@@ -164,31 +164,33 @@
 type HoldsVersion struct{}
 
 // Keep implements Filter.
-func (HoldsVersion) Keep(wanted *Wanted, _ *loads.Replica, digest *loads.Digest) bool {
+func (HoldsVersion) Keep(wanted *Requirements, _ *loads.Replica, digest *loads.Digest) bool {
 	held := digest.HeldVersion(wanted.Arm.Policy)
 	return held != nil && held.GetActive() != 0 && wanted.Arm.Allows(held.GetActive())
 }
 
-// HasRoom accepts replicas below the load limit of the rollout, Wanted.RoomShare.
-type HasRoom struct{}
+// HasCapacity accepts replicas below the load limit of the rollout, Wanted.RoomShare.
+type HasCapacity struct{}
 
 // Keep implements Filter.
-func (HasRoom) Keep(wanted *Wanted, replica *loads.Replica, digest *loads.Digest) bool {
-	return wanted.RoomShare == 0 || float64(replica.Estimate()) < wanted.RoomShare*float64(digest.Capacity)
+func (HasCapacity) Keep(wanted *Requirements, replica *loads.Replica, digest *loads.Digest) bool {
+	return wanted.MaxBatchFill == 0 || float64(replica.Estimate()) < wanted.MaxBatchFill*float64(digest.Capacity)
 }
 
 // LoadScorer prefers replicas with a low load relative to their capacity.
 type LoadScorer struct{}
 
 // Score implements Scorer.
-func (LoadScorer) Score(_ *Wanted, candidate *Candidate) float64 { return 1 / (1 + candidate.Load) }
+func (LoadScorer) Score(_ *Requirements, candidate *Candidate) float64 {
+	return 1 / (1 + candidate.Load)
+}
 
 // VersionScorer prefers replicas that run the target version.
 type VersionScorer struct{}
 
 // Score implements Scorer.
-func (VersionScorer) Score(wanted *Wanted, candidate *Candidate) float64 {
-	if candidate.Version >= wanted.Newest {
+func (VersionScorer) Score(wanted *Requirements, candidate *Candidate) float64 {
+	if candidate.Version >= wanted.TargetVersion {
 		return 1
 	}
 	return 0
@@ -198,7 +200,7 @@
 type ZoneScorer struct{}
 
 // Score implements Scorer.
-func (ZoneScorer) Score(wanted *Wanted, candidate *Candidate) float64 {
+func (ZoneScorer) Score(wanted *Requirements, candidate *Candidate) float64 {
 	if candidate.Digest.Zone == wanted.Zone {
 		return 1
 	}
@@ -210,7 +212,7 @@
 type AffinityScorer struct{}
 
 // Score implements Scorer.
-func (AffinityScorer) Score(wanted *Wanted, candidate *Candidate) float64 {
+func (AffinityScorer) Score(wanted *Requirements, candidate *Candidate) float64 {
 	if candidate.Load >= 1 {
 		return 0
 	}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-func wanted() *Wanted {
-	return &Wanted{Arm: experiment.Arm{Policy: "p", FirstVersion: 2}, Newest: 2, Zone: "zone-0"}
+func wanted() *Requirements {
+	return &Requirements{Arm: experiment.Arm{Policy: "p", FirstVersion: 2}, TargetVersion: 2, Zone: "zone-0"}
 }
 
 func TestFiltersKeepWorkOffReplicas(t *testing.T) {
@@ -62,7 +62,7 @@
 	for range 50 {
 		must.Eq(t, "engine-007", router(TwoChoices{}).Route(request, replicas).Digest().ID)
 	}
-	must.Nil(t, router(TwoChoices{}).Route(&Wanted{Arm: experiment.Arm{Policy: "other"}}, replicas))
+	must.Nil(t, router(TwoChoices{}).Route(&Requirements{Arm: experiment.Arm{Policy: "other"}}, replicas))
 }
 
 func TestScorers(t *testing.T) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -96,12 +96,12 @@
 
 // Ownership sets how nodes take over and replicate partitions.
 type Ownership struct {
-	SettleTime      time.Duration `koanf:"settle_time" validate:"min=0,max=10m" help:"wait after the start before partitions are taken"`
-	WriteTimeout    time.Duration `koanf:"write_timeout" validate:"min=10ms,max=1m" help:"wait for a copy to store a write"`
-	ReplaceAfter    time.Duration `koanf:"replace_after" validate:"min=0,max=168h" help:"absence of a sample store after which another takes its place"`
-	LeaseTime       time.Duration `koanf:"lease_time" validate:"min=100ms,max=10m" help:"life of an owner's lease"`
-	HistoryPatience time.Duration `koanf:"history_patience" validate:"min=100ms,max=24h" help:"failed recovery of claims after which lost history is given up"`
-	TickInterval    time.Duration `koanf:"tick_interval" validate:"min=10ms,max=1m" help:"how often partitions are looked at"`
+	SettleTime             time.Duration `koanf:"settle_time" validate:"min=0,max=10m" help:"wait after the start before partitions are taken"`
+	WriteTimeout           time.Duration `koanf:"write_timeout" validate:"min=10ms,max=1m" help:"wait for a copy to store a write"`
+	ReplaceAfter           time.Duration `koanf:"replace_after" validate:"min=0,max=168h" help:"absence of a sample store after which another takes its place"`
+	LeaseTime              time.Duration `koanf:"lease_time" validate:"min=100ms,max=10m" help:"life of an owner's lease"`
+	HistoryRecoveryTimeout time.Duration `koanf:"history_patience" validate:"min=100ms,max=24h" help:"failed recovery of claims after which lost history is given up"`
+	TickInterval           time.Duration `koanf:"tick_interval" validate:"min=10ms,max=1m" help:"how often partitions are looked at"`
 }
 
 // Replicas sets how replicas are polled and ordered to load weights.
@@ -134,7 +134,7 @@
 		Membership: Membership{ProbeInterval: time.Second, ProbeTimeout: 400 * time.Millisecond, SuspicionTime: 4 * time.Second,
 			ForgetTime: 10 * time.Minute, IndirectProbes: 3, ExchangePeers: 1, RelaysPerZone: 2},
 		Ownership: Ownership{SettleTime: 3 * time.Second, WriteTimeout: 2 * time.Second, ReplaceAfter: time.Minute,
-			LeaseTime: 15 * time.Second, HistoryPatience: 30 * time.Second, TickInterval: 500 * time.Millisecond},
+			LeaseTime: 15 * time.Second, HistoryRecoveryTimeout: 30 * time.Second, TickInterval: 500 * time.Millisecond},
 		Replicas: Replicas{PollInterval: time.Second, CallTimeout: 500 * time.Millisecond, FailedAfter: 2,
 			MaximumAge: 10 * time.Second, OrderRetry: 2 * time.Second, OrderAttempts: 5},
 		Log: Log{Level: "info"},
--- a/internal/tenancy/tenancy.go
+++ b/internal/tenancy/tenancy.go
@@ -13,8 +13,8 @@
 
 // Credentials holds the credentials that a caller presents.
 type Credentials struct {
-	// Given is true if the caller presented any credentials, even malformed ones.
-	Given bool
+	// Presented is true if the caller presented any credentials, even malformed ones.
+	Presented bool
 	// Key is the digest of the presented API key. It is zero, which is the key of no tenant, unless the caller presented exactly one key.
 	Key catalog.KeyDigest
 }
@@ -36,14 +36,14 @@
 // ForJobs identifies the caller of a request on existing batch jobs of a host. The route is not known yet, because it depends on the job. A
 // caller without credentials is accepted if the host has a public batch route, and has access only to jobs without a tenant.
 func ForJobs(configuration *catalog.Configuration, host string, credentials Credentials) (Caller, error) {
-	if !configuration.Multitenant || (!credentials.Given && configuration.HasPublicBatch(host)) {
+	if !configuration.Multitenant || (!credentials.Presented && configuration.HasPublicBatch(host)) {
 		return Caller{}, nil
 	}
 	return authenticate(configuration, credentials)
 }
 
 func authenticate(configuration *catalog.Configuration, credentials Credentials) (Caller, error) {
-	if !credentials.Given {
+	if !credentials.Presented {
 		return Caller{}, ErrUnauthenticated
 	}
 	tenant := configuration.TenantOf(credentials.Key)
--- a/internal/tenancy/tenancy_test.go
+++ b/internal/tenancy/tenancy_test.go
@@ -11,7 +11,7 @@
 )
 
 func key(text string) tenancy.Credentials {
-	return tenancy.Credentials{Given: true, Key: catalog.DigestKey(text)}
+	return tenancy.Credentials{Presented: true, Key: catalog.DigestKey(text)}
 }
 
 func configuration(multitenant bool) *catalog.Configuration {
@@ -51,7 +51,7 @@
 		{"the key of another tenant", true, false, key("a1"), "airport", false},
 		{"an unknown key", true, false, key("h3"), "", true},
 		{"no key", true, false, none, "", true},
-		{"malformed credentials", true, false, tenancy.Credentials{Given: true}, "", true},
+		{"malformed credentials", true, false, tenancy.Credentials{Presented: true}, "", true},
 		{"public, no key", true, true, none, "", false},
 		{"public, a key", true, true, key("h1"), "", false},
 		{"public, an unknown key", true, true, key("h3"), "", false},
--- a/internal/weights/election.go
+++ b/internal/weights/election.go
@@ -40,9 +40,9 @@
 	Node     string
 	Settings ElectionSettings
 	Logger   *log.Logger
-	// StandIn is called when an earlier incarnation of this node still holds the lease, which then has to expire. Its context ends
+	// OnEarlierIncarnation is called when an earlier incarnation of this node still holds the lease, which then has to expire. Its context ends
 	// when that holder is gone. This process gives no orders in the meantime. Nil disables the call.
-	StandIn func(context.Context)
+	OnEarlierIncarnation func(context.Context)
 	// Clock measures terms; nil selects the steady clock. It has to advance while the machine is suspended, as the lease in the
 	// store does.
 	Clock clock.Clock
@@ -161,11 +161,11 @@
 
 // standIn runs StandIn until the returned function is called.
 func (election *Election) standIn(ctx context.Context) (stop func()) {
-	if election.StandIn == nil {
+	if election.OnEarlierIncarnation == nil {
 		return func() {}
 	}
 	standCtx, cancel := context.WithCancel(ctx)
-	go election.StandIn(standCtx)
+	go election.OnEarlierIncarnation(standCtx)
 	return cancel
 }
 
@@ -315,7 +315,7 @@
 		callCtx, stop := context.WithTimeout(ctx, electionCallTimeout)
 		err := election.Store.RenewLease(callCtx, term.lease)
 		stop()
-		if errors.Is(err, metadata.ErrLeaseGone) {
+		if errors.Is(err, metadata.ErrLeaseExpired) {
 			election.vacate()
 			break
 		}
--- a/internal/weights/election_test.go
+++ b/internal/weights/election_test.go
@@ -104,7 +104,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		store, recorded := memstore.New(), &observations{}
-		store.SetFaults(memstore.Faults{LoseAnswers: 1})
+		store.SetFaults(memstore.Faults{LoseResponses: 1})
 		settings := electionSettings
 		settings.Lease = 6 * time.Second
 		candidatesWith(ctx, store, recorded, settings, "a")
@@ -230,7 +230,7 @@
 		candidatesWith(ctx, inner, recorded, settings, "b")
 		time.Sleep(time.Second)
 		first.cut.Store(true)
-		inner.SetFaults(memstore.Faults{LoseAnswers: 1})
+		inner.SetFaults(memstore.Faults{LoseResponses: 1})
 		time.Sleep(12 * time.Second)
 		must.Eq(t, "b", recorded.last().node)
 		recorded.check(t)
--- a/internal/weights/lead.go
+++ b/internal/weights/lead.go
@@ -251,7 +251,7 @@
 	switch {
 	case err == nil && reply == Started:
 		run.orderTaken(step, expected)
-	case err == nil && reply == Held:
+	case err == nil && reply == AlreadyLoaded:
 		run.orderTaken(step, expected)
 		run.queryState(ctx, step.Replica)
 	default:
--- a/internal/weights/order.go
+++ b/internal/weights/order.go
@@ -30,8 +30,8 @@
 const (
 	// Started means that the replica has begun to load the version.
 	Started Reply = iota
-	// Held means that the replica already has the version.
-	Held
+	// AlreadyLoaded means that the replica already has the version.
+	AlreadyLoaded
 	// Conflicting means that another order is in progress or that ExpectedOrders does not match.
 	Conflicting
 	// Rejected is any other answer; the replica has not taken the order.
--- a/internal/weights/standin_test.go
+++ b/internal/weights/standin_test.go
@@ -36,7 +36,7 @@
 				<-ctx.Done()
 				counter.Add(-1)
 			}
-			election.StandIn = func(ctx context.Context) { count(ctx, &standing) }
+			election.OnEarlierIncarnation = func(ctx context.Context) { count(ctx, &standing) }
 			ctx, cancel := context.WithCancel(t.Context())
 			go election.Run(ctx, func(ctx context.Context, _ *weights.Term) { count(ctx, &leading) })
 			time.Sleep(2 * time.Second)
--- a/internal/weights/suspension_test.go
+++ b/internal/weights/suspension_test.go
@@ -65,7 +65,7 @@
 // A term counts from before its renewal was sent, also if the machine is suspended until the answer arrives.
 func TestSuspensionDuringARenewalCounts(t *testing.T) {
 	withTerm(t, func(term *weights.Term, machine *suspendable, store *memstore.Store) {
-		store.SetFaults(memstore.Faults{Silent: true})
+		store.SetFaults(memstore.Faults{Hang: true})
 		time.Sleep(electionSettings.Renew + 50*time.Millisecond) // a renewal is in progress
 		machine.suspend(5 * time.Second)
 		store.SetFaults(memstore.Faults{})
