--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -130,7 +130,7 @@
 	_, err = committer.Commit(t.Context(), add("b"))
 	must.NoError(t, err)
 	s.item.Value = old.Value
-	must.ErrorIs(t, NewRelay(s, follower).Poll(t.Context(), time.Second), ErrOlder)
+	must.ErrorIs(t, NewRelay(s, follower).Poll(t.Context(), time.Second), ErrStaleService)
 	must.Eq(t, 2, follower.Document().Revision)
 	_, err = committer.Commit(t.Context(), add("c"))
 	must.Eq(t, result.InternalOlder, result.CodeOf(err))
--- a/internal/configuration/relay.go
+++ b/internal/configuration/relay.go
@@ -22,8 +22,8 @@
 	LeasePrefix = "owners/"
 )
 
-// ErrOlder means that the service holds an older revision than the one in force. The older document is rejected.
-var ErrOlder = errors.New("the key-value service holds an older revision")
+// ErrStaleService means that the service holds an older revision than the one in force. The older document is rejected.
+var ErrStaleService = errors.New("the key-value service holds an older revision")
 
 // Relay watches the key-value service and passes changes to a follower.
 type Relay struct {
@@ -46,7 +46,7 @@
 		return err
 	}
 	relay.revision = listing.Revision
-	if err := relay.offerListing(listing); !errors.Is(err, ErrOlder) {
+	if err := relay.offerListing(listing); !errors.Is(err, ErrStaleService) {
 		return err
 	}
 	if listing, err = relay.service.List(ctx, AllKeysPrefix); err != nil {
@@ -68,7 +68,7 @@
 	}
 	relay.follower.OfferTable(table)
 	if known := relay.follower.Document().Revision; document.Revision < known {
-		return errors.Wrapf(ErrOlder, "it holds %d, %d is in force", document.Revision, known)
+		return errors.Wrapf(ErrStaleService, "it holds %d, %d is in force", document.Revision, known)
 	}
 	relay.follower.Offer(document)
 	return nil
--- a/internal/delivery/calls.go
+++ b/internal/delivery/calls.go
@@ -16,19 +16,19 @@
 // PartitionOf returns the index of a step's partition.
 func PartitionOf(stepID string) uint32 { return uint32(xxhash.Sum64String(stepID) % partition.Count) }
 
-// CreateCall is the body of a call that creates a step.
-type CreateCall struct {
+// CreateRequest is the body of a call that creates a step.
+type CreateRequest struct {
 	Definition step.Definition `cbor:"1,keyasint"`
 }
 
-// CreateAnswer is the response to a CreateCall. Existed is true if the step already existed with the same content.
-type CreateAnswer struct {
+// CreateResponse is the response to a CreateCall. Existed is true if the step already existed with the same content.
+type CreateResponse struct {
 	Slots   int  `cbor:"1,keyasint"`
 	Existed bool `cbor:"2,keyasint"`
 }
 
-// FetchCall is the body of a call that fetches the samples at a cursor. Wait bounds the wait for samples.
-type FetchCall struct {
+// FetchRequest is the body of a call that fetches the samples at a cursor. Wait bounds the wait for samples.
+type FetchRequest struct {
 	StepID  string            `cbor:"1,keyasint"`
 	Cursor  uint64            `cbor:"2,keyasint"`
 	Number  uint64            `cbor:"3,keyasint"`
@@ -46,8 +46,8 @@
 	StalenessAge      time.Duration  `cbor:"5,keyasint"`
 }
 
-// FetchAnswer is the response to a FetchCall. NextCursor is the call's Cursor, plus one if Samples is not empty.
-type FetchAnswer struct {
+// FetchResponse is the response to a FetchCall. NextCursor is the call's Cursor, plus one if Samples is not empty.
+type FetchResponse struct {
 	Samples    []DeliveredSample `cbor:"1,keyasint"`
 	NextCursor uint64            `cbor:"2,keyasint"`
 	State      step.State        `cbor:"3,keyasint"`
@@ -55,14 +55,14 @@
 	Delivered  int               `cbor:"5,keyasint"`
 }
 
-// AcknowledgeCall is the body of a call that moves the cursor past a delivered batch.
-type AcknowledgeCall struct {
+// AcknowledgeRequest is the body of a call that moves the cursor past a delivered batch.
+type AcknowledgeRequest struct {
 	StepID string `cbor:"1,keyasint"`
 	Cursor uint64 `cbor:"2,keyasint"`
 }
 
-// EndCall is the body of a call that closes a step early.
-type EndCall struct {
+// EndRequest is the body of a call that closes a step early.
+type EndRequest struct {
 	StepID string `cbor:"1,keyasint"`
 }
 
@@ -90,8 +90,8 @@
 	Seconds  [4]float64 `cbor:"4,keyasint" json:"seconds"`
 }
 
-// ListAnswer lists the steps of the partitions that a node owns, and the staleness of the samples that it delivered.
-type ListAnswer struct {
+// ListResponse lists the steps of the partitions that a node owns, and the staleness of the samples that it delivered.
+type ListResponse struct {
 	Steps     []Summary          `cbor:"1,keyasint"`
 	Staleness []StalenessSummary `cbor:"2,keyasint"`
 }
--- a/internal/delivery/deposed_test.go
+++ b/internal/delivery/deposed_test.go
@@ -67,16 +67,16 @@
 		copies[id] = partition.NewReplica(testPartition, nil)
 	}
 	former := newOwner(t, copies, 1)
-	create := CreateCall{Definition: step.Definition{ID: testStepID, Experiment: "experiment", Prompts: []string{"prompt"}, GroupSize: 1, MaxTokens: 10}}
-	unknown := AcknowledgeCall{StepID: "other"}
+	create := CreateRequest{Definition: step.Definition{ID: testStepID, Experiment: "experiment", Prompts: []string{"prompt"}, GroupSize: 1, MaxTokens: 10}}
+	unknown := AcknowledgeRequest{StepID: "other"}
 	must.Eq(t, result.Done, sendCall(t, former.Create, create))
-	must.Eq(t, result.ConflictFetch, sendCall(t, former.Acknowledge, AcknowledgeCall{StepID: testStepID}))
+	must.Eq(t, result.ConflictFetch, sendCall(t, former.Acknowledge, AcknowledgeRequest{StepID: testStepID}))
 	must.Eq(t, result.InvalidNotFound, sendCall(t, former.Acknowledge, unknown))
 
 	successor := newOwner(t, copies, 2)
-	must.Eq(t, result.NotRunNoOwner, sendCall(t, former.Acknowledge, AcknowledgeCall{StepID: testStepID}))
-	must.Eq(t, result.NotRunNoOwner, sendCall(t, former.Fetch, FetchCall{StepID: testStepID, Cursor: 1, Number: 1, Maximum: 1}))
+	must.Eq(t, result.NotRunNoOwner, sendCall(t, former.Acknowledge, AcknowledgeRequest{StepID: testStepID}))
+	must.Eq(t, result.NotRunNoOwner, sendCall(t, former.Fetch, FetchRequest{StepID: testStepID, Cursor: 1, Number: 1, Maximum: 1}))
 	must.Eq(t, result.NotRunNoOwner, sendCall(t, former.Acknowledge, unknown))
-	must.Eq(t, result.ConflictFetch, sendCall(t, successor.Acknowledge, AcknowledgeCall{StepID: testStepID}))
+	must.Eq(t, result.ConflictFetch, sendCall(t, successor.Acknowledge, AcknowledgeRequest{StepID: testStepID}))
 	must.Eq(t, result.InvalidNotFound, sendCall(t, successor.Acknowledge, unknown))
 }
--- a/internal/delivery/dispatch.go
+++ b/internal/delivery/dispatch.go
@@ -52,7 +52,7 @@
 	now := time.Now()
 	for id, owned := range served.steps {
 		if closed := owned.step.Progress.Closed; !closed.IsZero() {
-			if now.Sub(closed) > served.service.settings.KeepClosed && served.log.Append(ctx, nil, []string{step.Prefix(id)}) == nil {
+			if now.Sub(closed) > served.service.settings.ClosedRetention && served.log.Append(ctx, nil, []string{step.Prefix(id)}) == nil {
 				delete(served.steps, id)
 			}
 			continue
--- a/internal/delivery/executor.go
+++ b/internal/delivery/executor.go
@@ -35,8 +35,8 @@
 	RenewInterval time.Duration
 	// CallTimeout bounds each call to an owner.
 	CallTimeout time.Duration
-	// SwapPatience is how long a rollout that is generated ahead waits for a replica with newer weights.
-	SwapPatience time.Duration
+	// SwapWaitTimeout is how long a rollout that is generated ahead waits for a replica with newer weights.
+	SwapWaitTimeout time.Duration
 	// MaxBatchFill and AheadMaxBatchFill are the shares of a replica's batch up to which rollouts are sent to the replica: MaxBatchFill for
 	// a step whose trainer is waiting, AheadMaxBatchFill for a step that is generated ahead. Zero means no limit, and rollouts queue
 	// at the replicas.
@@ -145,7 +145,7 @@
 	began := time.Now()
 	sample, err := backoff.Retry(ctx, func() (*rollout.Sample, error) {
 		margin := uint64(work.GetMargin())
-		if time.Since(began) > executor.settings.SwapPatience {
+		if time.Since(began) > executor.settings.SwapWaitTimeout {
 			margin = 0
 		}
 		sample, err := executor.attempt(ctx, key, work, margin)
--- a/internal/delivery/listing.go
+++ b/internal/delivery/listing.go
@@ -12,7 +12,7 @@
 
 // List implements the Twirp service.
 func (service *Service) List(ctx context.Context, _ *controlv1.StepCall) (*controlv1.StepAnswer, error) {
-	list := ListAnswer{Staleness: service.staleness.summaries()}
+	list := ListResponse{Staleness: service.staleness.summaries()}
 	for _, served := range service.servedPartitions() {
 		if err := served.changing.Acquire(ctx); err != nil {
 			return nil, twirp.DeadlineExceeded.Error(err.Error())
--- a/internal/delivery/service.go
+++ b/internal/delivery/service.go
@@ -30,8 +30,8 @@
 	// than StragglerTime. A zero StragglerTime disables second attempts.
 	StragglerShare float64
 	StragglerTime  time.Duration
-	// KeepClosed is how long a closed step is kept, so that a trainer can repeat its last calls.
-	KeepClosed time.Duration
+	// ClosedRetention is how long a closed step is kept, so that a trainer can repeat its last calls.
+	ClosedRetention time.Duration
 	// DispatchTimeout bounds each dispatch call.
 	DispatchTimeout time.Duration
 }
@@ -182,7 +182,7 @@
 
 // Create implements the Twirp service.
 func (service *Service) Create(ctx context.Context, call *controlv1.StepCall) (*controlv1.StepAnswer, error) {
-	return handleCall(ctx, service, call, func(served *servedPartition, request CreateCall) (CreateAnswer, error) {
+	return handleCall(ctx, service, call, func(served *servedPartition, request CreateRequest) (CreateResponse, error) {
 		return served.create(ctx, request)
 	})
 }
@@ -219,44 +219,44 @@
 	return refusal
 }
 
-func (served *servedPartition) create(ctx context.Context, request CreateCall) (CreateAnswer, error) {
+func (served *servedPartition) create(ctx context.Context, request CreateRequest) (CreateResponse, error) {
 	definition := request.Definition
 	if err := definition.Check(); err != nil {
-		return CreateAnswer{}, err
+		return CreateResponse{}, err
 	}
 	if _, ok := served.service.document().Experiment(definition.Experiment); !ok {
-		return CreateAnswer{}, result.New(result.InvalidNotFound, "experiment %q does not exist", definition.Experiment)
+		return CreateResponse{}, result.New(result.InvalidNotFound, "experiment %q does not exist", definition.Experiment)
 	}
 	if err := served.changing.Acquire(ctx); err != nil {
-		return CreateAnswer{}, unavailable(err)
+		return CreateResponse{}, unavailable(err)
 	}
 	defer served.changing.Release()
 	if present, ok := served.steps[definition.ID]; ok {
 		if present.step.Definition.ContentHash() != definition.ContentHash() {
-			return CreateAnswer{}, result.New(result.ConflictContent, "step %q exists with other content", definition.ID)
+			return CreateResponse{}, result.New(result.ConflictContent, "step %q exists with other content", definition.ID)
 		}
-		return CreateAnswer{Slots: definition.Slots(), Existed: true}, nil
+		return CreateResponse{Slots: definition.Slots(), Existed: true}, nil
 	}
 	definition.Created = time.Now()
 	created := &ownedStep{step: step.New(definition), attempts: step.NewAttempts()}
 	progress := created.step.Progress
 	if err := served.commit(ctx, created, step.Change{Definition: &definition, Progress: &progress}); err != nil {
-		return CreateAnswer{}, err
+		return CreateResponse{}, err
 	}
 	served.steps[definition.ID] = created
 	served.service.logger.Info("step created", "step", definition.ID, "slots", definition.Slots(), "partition", served.name)
-	return CreateAnswer{Slots: definition.Slots()}, nil
+	return CreateResponse{Slots: definition.Slots()}, nil
 }
 
 // Fetch implements the Twirp service.
 func (service *Service) Fetch(ctx context.Context, call *controlv1.StepCall) (*controlv1.StepAnswer, error) {
-	return handleCall(ctx, service, call, func(served *servedPartition, request FetchCall) (FetchAnswer, error) {
+	return handleCall(ctx, service, call, func(served *servedPartition, request FetchRequest) (FetchResponse, error) {
 		return served.fetch(ctx, request)
 	})
 }
 
 // fetch returns samples, or the state of a closed step, at once. Otherwise it waits for samples, for at most request.Wait.
-func (served *servedPartition) fetch(ctx context.Context, request FetchCall) (FetchAnswer, error) {
+func (served *servedPartition) fetch(ctx context.Context, request FetchRequest) (FetchResponse, error) {
 	deadline := time.NewTimer(request.Wait)
 	defer deadline.Stop()
 	for {
@@ -274,37 +274,37 @@
 	}
 }
 
-func (served *servedPartition) fetchNow(ctx context.Context, request FetchCall) (FetchAnswer, <-chan struct{}, error) {
+func (served *servedPartition) fetchNow(ctx context.Context, request FetchRequest) (FetchResponse, <-chan struct{}, error) {
 	if err := served.changing.Acquire(ctx); err != nil {
-		return FetchAnswer{}, nil, unavailable(err)
+		return FetchResponse{}, nil, unavailable(err)
 	}
 	defer served.changing.Release()
 	owned, err := served.step(request.StepID)
 	if err != nil {
-		return FetchAnswer{}, nil, err
+		return FetchResponse{}, nil, err
 	}
 	owned.lastFetch = time.Now()
 	document := served.service.document()
 	bound, err := boundOf(document, owned)
 	if err != nil {
-		return FetchAnswer{}, nil, err
+		return FetchResponse{}, nil, err
 	}
 	decided, err := owned.step.Fetch(step.Fetch{Cursor: request.Cursor, Number: request.Number, Maximum: request.Maximum},
 		bound, newest(document, request.Newest), time.Now())
 	if err != nil {
-		return FetchAnswer{}, nil, err
+		return FetchResponse{}, nil, err
 	}
 	if len(decided.Deliveries) > 0 || decided.Dropped > 0 {
 		if err := served.commit(ctx, owned, decided.Change); err != nil {
-			return FetchAnswer{}, nil, err
+			return FetchResponse{}, nil, err
 		}
 	}
 	return served.newFetchAnswer(owned, request, decided), served.changed, nil
 }
 
 // newFetchAnswer returns the answer to a fetch and records the staleness of its samples.
-func (served *servedPartition) newFetchAnswer(owned *ownedStep, request FetchCall, decided step.FetchResult) FetchAnswer {
-	answer := FetchAnswer{NextCursor: request.Cursor, State: owned.step.Progress.State, Slots: owned.step.Definition.Slots(), Delivered: owned.step.Delivered()}
+func (served *servedPartition) newFetchAnswer(owned *ownedStep, request FetchRequest, decided step.FetchResult) FetchResponse {
+	answer := FetchResponse{NextCursor: request.Cursor, State: owned.step.Progress.State, Slots: owned.step.Definition.Slots(), Delivered: owned.step.Delivered()}
 	for _, delivery := range decided.Deliveries {
 		answer.Samples = append(answer.Samples, DeliveredSample{
 			Slot: delivery.Slot, Generation: delivery.Generation, Sample: delivery.Sample,
@@ -336,7 +336,7 @@
 
 // Acknowledge implements the Twirp service.
 func (service *Service) Acknowledge(ctx context.Context, call *controlv1.StepCall) (*controlv1.StepAnswer, error) {
-	return handleCall(ctx, service, call, func(served *servedPartition, request AcknowledgeCall) (Summary, error) {
+	return handleCall(ctx, service, call, func(served *servedPartition, request AcknowledgeRequest) (Summary, error) {
 		return served.close(ctx, request.StepID, func(owned *ownedStep) (step.Change, error) {
 			return owned.step.Acknowledge(request.Cursor, time.Now())
 		})
@@ -345,7 +345,7 @@
 
 // End implements the Twirp service.
 func (service *Service) End(ctx context.Context, call *controlv1.StepCall) (*controlv1.StepAnswer, error) {
-	return handleCall(ctx, service, call, func(served *servedPartition, request EndCall) (Summary, error) {
+	return handleCall(ctx, service, call, func(served *servedPartition, request EndRequest) (Summary, error) {
 		return served.close(ctx, request.StepID, func(owned *ownedStep) (step.Change, error) {
 			return owned.step.End(time.Now()), nil
 		})
--- a/internal/gateway/steps.go
+++ b/internal/gateway/steps.go
@@ -101,7 +101,7 @@
 	if err := definition.Check(); err != nil {
 		return err
 	}
-	answer, err := callOwner[delivery.CreateAnswer](gateway, request.Context(), body.Step, delivery.CreateCall{Definition: definition}, 0, controlv1.Steps.Create)
+	answer, err := callOwner[delivery.CreateResponse](gateway, request.Context(), body.Step, delivery.CreateRequest{Definition: definition}, 0, controlv1.Steps.Create)
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 		return result.New(result.InvalidField, "wait_ms %d: want 0 to %d", body.WaitMilliseconds, maximumWait.Milliseconds())
 	}
 	stepID := request.PathValue("step")
-	answer, err := callOwner[delivery.FetchAnswer](gateway, request.Context(), stepID, delivery.FetchCall{
+	answer, err := callOwner[delivery.FetchResponse](gateway, request.Context(), stepID, delivery.FetchRequest{
 		StepID: stepID, Cursor: body.Cursor, Number: body.Fetch, Maximum: body.Maximum, Wait: wait, Newest: body.Versions,
 	}, wait, controlv1.Steps.Fetch)
 	if err != nil {
@@ -152,7 +152,7 @@
 		return err
 	}
 	stepID := request.PathValue("step")
-	answer, err := callOwner[delivery.Summary](gateway, request.Context(), stepID, delivery.AcknowledgeCall{StepID: stepID, Cursor: body.Cursor}, 0, controlv1.Steps.Acknowledge)
+	answer, err := callOwner[delivery.Summary](gateway, request.Context(), stepID, delivery.AcknowledgeRequest{StepID: stepID, Cursor: body.Cursor}, 0, controlv1.Steps.Acknowledge)
 	if err != nil {
 		return err
 	}
@@ -170,7 +170,7 @@
 }
 
 func (gateway *Gateway) end(ctx context.Context, stepID string) (delivery.Summary, error) {
-	return callOwner[delivery.Summary](gateway, ctx, stepID, delivery.EndCall{StepID: stepID}, 0, controlv1.Steps.End)
+	return callOwner[delivery.Summary](gateway, ctx, stepID, delivery.EndRequest{StepID: stepID}, 0, controlv1.Steps.End)
 }
 
 type ownerMethod func(owner controlv1.Steps, ctx context.Context, call *controlv1.StepCall) (*controlv1.StepAnswer, error)
--- a/internal/lab/scenario/run.go
+++ b/internal/lab/scenario/run.go
@@ -145,7 +145,7 @@
 				config.Steps.StragglerTime = 0
 			}
 			if scenario.side.Plain {
-				config.Steps.RoomShare, config.Steps.AheadShare, config.Steps.SwapPatience = 0, 0, 0
+				config.Steps.RoomShare, config.Steps.AheadShare, config.Steps.SwapWaitTimeout = 0, 0, 0
 			}
 		})
 	if err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -163,8 +163,8 @@
 	if err != nil {
 		return err
 	}
-	if store.Replaced != "" {
-		node.logger.Error("sample store was unreadable and is filled anew from the other copies", "moved", store.Replaced, "store", store.Identity())
+	if store.UnreadablePath != "" {
+		node.logger.Error("sample store was unreadable and is filled anew from the other copies", "moved", store.UnreadablePath, "store", store.Identity())
 	}
 	node.store = store
 	return nil
@@ -247,12 +247,12 @@
 		AttemptTimeout: config.Steps.AttemptSilence, AdoptTime: adoptRenewals * config.Steps.RenewInterval,
 		OutstandingSlots: config.Steps.OutstandingSlots, SlotsPerDispatch: config.Steps.SlotsPerDispatch,
 		StragglerShare: config.Steps.StragglerShare, StragglerTime: config.Steps.StragglerTime,
-		KeepClosed: config.Steps.KeepClosed, DispatchTimeout: config.Platform.Timeout,
+		ClosedRetention: config.Steps.ClosedRetention, DispatchTimeout: config.Platform.Timeout,
 	}, config.Node.ID, node.follower.Document, dispatcher{node}, node.logger)
 	scorer := scoring.NewHTTP(config.Platform.Scorer, node.client(node.networks.Data, controlConnections), config.Platform.Timeout)
 	node.executor = delivery.NewExecutor(delivery.ExecutorSettings{
 		MaximumSlots: config.Steps.MaximumSlots, RenewInterval: config.Steps.RenewInterval, CallTimeout: config.Platform.Timeout,
-		SwapPatience: config.Steps.SwapPatience, MaxBatchFill: config.Steps.RoomShare, AheadMaxBatchFill: config.Steps.AheadShare,
+		SwapWaitTimeout: config.Steps.SwapWaitTimeout, MaxBatchFill: config.Steps.RoomShare, AheadMaxBatchFill: config.Steps.AheadShare,
 	}, config.Node.ID, node.runner, scorer, node, node.follower.Document, node.logger)
 	node.buildOwnership()
 	node.buildGateway(processMetrics)
--- a/internal/node/query.go
+++ b/internal/node/query.go
@@ -197,9 +197,9 @@
 }
 
 // listOwners asks every owner of a steps partition for its steps. Owners that do not answer are named in the notes.
-func (node *Node) listOwners(ctx context.Context) ([]delivery.ListAnswer, []string) {
+func (node *Node) listOwners(ctx context.Context) ([]delivery.ListResponse, []string) {
 	asked := make(map[string]bool)
-	var answers []delivery.ListAnswer
+	var answers []delivery.ListResponse
 	var notes []string
 	single := 0
 	for index := range uint32(partition.Count) {
@@ -225,8 +225,8 @@
 	return answers, append(notes, replicationNotes(single)...)
 }
 
-func (node *Node) listOwner(ctx context.Context, index uint32) (delivery.ListAnswer, error) {
-	var list delivery.ListAnswer
+func (node *Node) listOwner(ctx context.Context, index uint32) (delivery.ListResponse, error) {
+	var list delivery.ListResponse
 	owner, err := node.Steps(index)
 	if err != nil {
 		return list, err
--- a/internal/node/spread.go
+++ b/internal/node/spread.go
@@ -257,7 +257,7 @@
 	err := spread.node.relay.Poll(ctx, watchWait)
 	switch {
 	case err == nil || ctx.Err() != nil:
-	case errors.Is(err, configuration.ErrOlder):
+	case errors.Is(err, configuration.ErrStaleService):
 		spread.reportOlder(err)
 		sleep(ctx, time.Second)
 	case errors.Is(err, keyvalue.ErrLimited):
--- a/internal/samplestore/store.go
+++ b/internal/samplestore/store.go
@@ -43,8 +43,8 @@
 	database *bolt.DB
 	identity string
 	path     string
-	// Replaced is the path that an unreadable file was renamed to, or empty if the file was readable.
-	Replaced string
+	// UnreadablePath is the path that an unreadable file was renamed to, or empty if the file was readable.
+	UnreadablePath string
 }
 
 // Open opens the store in a data folder, and creates the folder and the store if they do not exist.
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	store.Replaced = unreadablePath
+	store.UnreadablePath = unreadablePath
 	return store, nil
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -76,10 +76,10 @@
 	RenewInterval    time.Duration `koanf:"renew_interval" validate:"min=10ms,max=10m" help:"how often executors tell what they work on"`
 	StragglerShare   float64       `koanf:"straggler_share" validate:"min=0,max=1" help:"share of empty slots from which second attempts are run"`
 	StragglerTime    time.Duration `koanf:"straggler_time" validate:"min=0,max=24h" help:"age of an attempt from which a second is run; 0 for never"`
-	SwapPatience     time.Duration `koanf:"swap_patience" validate:"min=0,max=1h" help:"wait of a rollout generated ahead for a replica that runs newer weights"`
+	SwapWaitTimeout  time.Duration `koanf:"swap_patience" validate:"min=0,max=1h" help:"wait of a rollout generated ahead for a replica that runs newer weights"`
 	RoomShare        float64       `koanf:"room_share" validate:"min=0,max=10" help:"share of a replica's batch that a step's rollouts fill before they wait; 0 queues at replicas"`
 	AheadShare       float64       `koanf:"ahead_share" validate:"min=0,max=10" help:"the same for a step that its trainer does not wait for yet"`
-	KeepClosed       time.Duration `koanf:"keep_closed" validate:"min=0,max=168h" help:"how long a finished step is kept"`
+	ClosedRetention  time.Duration `koanf:"keep_closed" validate:"min=0,max=168h" help:"how long a finished step is kept"`
 	TickInterval     time.Duration `koanf:"tick_interval" validate:"min=10ms,max=1m" help:"how often empty slots are dispatched"`
 }
 
@@ -129,7 +129,7 @@
 		Rollout: Rollout{RouteWait: 2 * time.Second, StallTime: 15 * time.Second, MaximumAttempts: 6,
 			DefaultDeadline: 10 * time.Minute, Routing: "scored"},
 		Steps: Steps{MaximumSlots: 512, OutstandingSlots: 4096, SlotsPerDispatch: 64, AttemptSilence: 10 * time.Second,
-			RenewInterval: 2 * time.Second, StragglerShare: 0.05, StragglerTime: 30 * time.Second, SwapPatience: 15 * time.Second, RoomShare: 1, AheadShare: 0.5, KeepClosed: time.Hour,
+			RenewInterval: 2 * time.Second, StragglerShare: 0.05, StragglerTime: 30 * time.Second, SwapWaitTimeout: 15 * time.Second, RoomShare: 1, AheadShare: 0.5, ClosedRetention: time.Hour,
 			TickInterval: 200 * time.Millisecond},
 		Membership: Membership{ProbeInterval: time.Second, ProbeTimeout: 400 * time.Millisecond, SuspicionTime: 4 * time.Second,
 			ForgetTime: 10 * time.Minute, IndirectProbes: 3, ExchangePeers: 1, RelaysPerZone: 2},
