--- a/cmd/thistlewalk-rollout/front.go
+++ b/cmd/thistlewalk-rollout/front.go
@@ -40,7 +40,7 @@
 	settings := process.settings
 	table := catalog.NewTable()
 	replicas := platform.NewReplicas(dialer())
-	patience := dissemination.LimitsFor(settings.ChangeLimit(), settings.FirstStart)
+	patience := dissemination.LimitsFor(settings.ConfigurationDeadline(), settings.FirstStart)
 	front := role.NewFront(role.FrontOptions{
 		Node: settings.Node, Zone: settings.Zone, Role: settings.Role, Incarnation: process.life, Cores: settings.ProcessorCores(), PeerAddress: settings.PeerAddress(0),
 		Store: process.measuredStore(), Sender: replicas, Prober: replicas, Decoder: platform.EventDecoder{},
--- a/cmd/thistlewalk-rollout/main.go
+++ b/cmd/thistlewalk-rollout/main.go
@@ -153,7 +153,7 @@
 	if window := settings.UsageWindow(); window > 0 {
 		fmt.Println("duty: usage of tenants is reported each", window, "to", settings.Cloud.Address)
 	}
-	for _, duty := range settings.OtherDuties() {
+	for _, duty := range settings.UnsupportedDuties() {
 		fmt.Println("duty not done by this version:", duty)
 	}
 	return nil
--- a/cmd/thistlewalk-rollout/orderer.go
+++ b/cmd/thistlewalk-rollout/orderer.go
@@ -42,7 +42,7 @@
 		Retention:      settings.Retention() + retentionSlack,
 		UsageWindow:    settings.UsageWindow(), UsageSink: platform.NewCloud(settings.Cloud.Address, dialer()), CallOverhang: callOverhang, Clock: process.clock,
 		Election: weights.ElectionSettings{
-			Lease: max(ordererLease, settings.LeastLease()), Renew: ordererRenew, HandoverWait: settings.HolderPause() + handoverSlack,
+			Lease: max(ordererLease, settings.MinLease()), Renew: ordererRenew, HandoverWait: settings.HandoverWait() + handoverSlack,
 		},
 	})
 	operator := process.operator(table)
--- a/internal/configuration/follower.go
+++ b/internal/configuration/follower.go
@@ -105,8 +105,8 @@
 	return document, errors.Wrap(err, "configuration document")
 }
 
-// EncodeBetweenNodes encodes a value for messages between nodes as CBOR.
-func EncodeBetweenNodes(value any) ([]byte, error) { return cbor.Marshal(value) }
+// EncodeMessage encodes a value for messages between nodes as CBOR.
+func EncodeMessage(value any) ([]byte, error) { return cbor.Marshal(value) }
 
-// DecodeBetweenNodes decodes a value from a message between nodes.
-func DecodeBetweenNodes(content []byte, value any) error { return cbor.Unmarshal(content, value) }
+// DecodeMessage decodes a value from a message between nodes.
+func DecodeMessage(content []byte, value any) error { return cbor.Unmarshal(content, value) }
--- a/internal/node/spread.go
+++ b/internal/node/spread.go
@@ -110,7 +110,7 @@
 	var failure error
 	if content := answer.GetConfiguration(); len(content) > 0 {
 		var document experiment.Document
-		if err := configuration.DecodeBetweenNodes(content, &document); err != nil {
+		if err := configuration.DecodeMessage(content, &document); err != nil {
 			failure = errors.CombineErrors(failure, err)
 		} else if spread.node.follower.Offer(document) {
 			spread.node.logger.Info("configuration in force", "revision", document.Revision)
@@ -118,7 +118,7 @@
 	}
 	if content := answer.GetPartitions(); len(content) > 0 {
 		var table partition.Table
-		if err := configuration.DecodeBetweenNodes(content, &table); err != nil {
+		if err := configuration.DecodeMessage(content, &table); err != nil {
 			failure = errors.CombineErrors(failure, err)
 		} else {
 			spread.node.follower.OfferTable(table)
@@ -126,7 +126,7 @@
 	}
 	if content := answer.GetMachines(); len(content) > 0 {
 		var list machines.List
-		if err := configuration.DecodeBetweenNodes(content, &list); err != nil {
+		if err := configuration.DecodeMessage(content, &list); err != nil {
 			failure = errors.CombineErrors(failure, err)
 		} else {
 			spread.node.follower.OfferMachines(list)
@@ -142,13 +142,13 @@
 	response := &controlv1.PullResponse{}
 	var err error
 	if document := follower.Document(); document.Revision > known.GetConfiguration() {
-		response.Configuration, err = configuration.EncodeBetweenNodes(document)
+		response.Configuration, err = configuration.EncodeMessage(document)
 	}
 	if table := follower.Table(); err == nil && table.Revision > known.GetPartitions() {
-		response.Partitions, err = configuration.EncodeBetweenNodes(table)
+		response.Partitions, err = configuration.EncodeMessage(table)
 	}
 	if list := follower.Machines(); err == nil && list.Revision > known.GetMachines() {
-		response.Machines, err = configuration.EncodeBetweenNodes(list)
+		response.Machines, err = configuration.EncodeMessage(list)
 	}
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
