--- a/cmd/thistlewalk-rollout/front.go
+++ b/cmd/thistlewalk-rollout/front.go
@@ -54,7 +54,7 @@
 		Clock:                process.clock,
 	})
 	ingress := &platform.Ingress{
-		Catalog: table, Forwarder: front.Forwarder, Runner: front.Runner, Bodies: forwarding.NewBodies(), Logger: process.logger,
+		Catalog: table, Forwarder: front.Forwarder, Runner: front.Runner, BodyReader: forwarding.NewBodyReader(), Logger: process.logger,
 		Stopping: front.Stopping, UpToDate: front.UpToDate,
 	}
 	if err := front.Start(); err != nil {
--- a/cmd/thistlewalk-rollout/lives_test.go
+++ b/cmd/thistlewalk-rollout/lives_test.go
@@ -73,5 +73,5 @@
 		must.Zero(t, deployment.replicas["a1"].Ran(id))
 	}
 	deployment.replicas["a1"].OnChange()
-	eventually(t, 3*time.Second, "the next good entry names the replica again", func() bool { return front.front.Catalog.Replicas().FindNamed("a1") != nil })
+	eventually(t, 3*time.Second, "the next good entry names the replica again", func() bool { return front.front.Catalog.Replicas().FindByName("a1") != nil })
 }
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -106,8 +106,8 @@
 	entry.lastUsed = now
 }
 
-// Own returns this node's requests in flight, by replica.
-func (loads *Loads) Own() map[string]int {
+// LocalInFlight returns this node's requests in flight, by replica.
+func (loads *Loads) LocalInFlight() map[string]int {
 	counts := make(map[string]int)
 	for index := range loads.shards {
 		shard := &loads.shards[index]
@@ -178,8 +178,8 @@
 	}
 }
 
-// SetOthers stores the requests in flight, by replica, that another node has reported, and removes outdated reports.
-func (loads *Loads) SetOthers(node string, inFlight map[string]int, now time.Time) {
+// SetRemote stores the requests in flight, by replica, that another node has reported, and removes outdated reports.
+func (loads *Loads) SetRemote(node string, inFlight map[string]int, now time.Time) {
 	loads.mu.Lock()
 	defer loads.mu.Unlock()
 	for other, report := range loads.remote {
@@ -190,8 +190,8 @@
 	loads.remote[node] = remoteLoads{inFlight: inFlight, received: now}
 }
 
-// Telling returns the nodes whose reports are still valid. These nodes have requests in flight and need the reports of other nodes.
-func (loads *Loads) Telling(now time.Time) map[string]bool {
+// ReportingNodes returns the nodes whose reports are still valid. These nodes have requests in flight and need the reports of other nodes.
+func (loads *Loads) ReportingNodes(now time.Time) map[string]bool {
 	loads.mu.Lock()
 	defer loads.mu.Unlock()
 	nodes := make(map[string]bool, len(loads.remote))
--- a/internal/batch/progress.go
+++ b/internal/batch/progress.go
@@ -104,9 +104,9 @@
 	return true
 }
 
-// Require marks the group of an item as one that the trainer waits for, because it contains an item of an earlier job that the
+// RequireGroup marks the group of an item as one that the trainer waits for, because it contains an item of an earlier job that the
 // trainer submitted again.
-func (progress *Progress) Require(itemID string) {
+func (progress *Progress) RequireGroup(itemID string) {
 	group, known := progress.groupOf[itemID]
 	if known && progress.remaining[group] > 0 {
 		progress.required[group] = true
--- a/internal/batch/progress_test.go
+++ b/internal/batch/progress_test.go
@@ -53,15 +53,15 @@
 // A required group must complete before the wanted groups count as complete, even if enough other groups are complete.
 func TestBroughtBackGroupsAreRequired(t *testing.T) {
 	progress := batch.NewProgress(job(1, "a", "a", "b"))
-	progress.Require("item-0")
-	progress.Require("unknown")
+	progress.RequireGroup("item-0")
+	progress.RequireGroup("unknown")
 	must.True(t, progress.Finish("item-2"))
 	must.False(t, progress.WantedComplete())
 	must.True(t, progress.Finish("item-0"))
 	must.False(t, progress.WantedComplete())
 	must.True(t, progress.Finish("item-1"))
 	must.True(t, progress.WantedComplete())
-	progress.Require("item-0")
+	progress.RequireGroup("item-0")
 	must.True(t, progress.WantedComplete(), must.Sprint("the group is complete already"))
 }
 
--- a/internal/batchrun/capacity_bench_test.go
+++ b/internal/batchrun/capacity_bench_test.go
@@ -22,7 +22,7 @@
 	loads := backend.NewLoads()
 	now := time.Now()
 	for node := range nodes {
-		loads.SetOthers(fmt.Sprint("n", node), map[string]int{fmt.Sprint("r", node): 3}, now)
+		loads.SetRemote(fmt.Sprint("n", node), map[string]int{fmt.Sprint("r", node): 3}, now)
 	}
 	runner := &Runner{Options: Options{Catalog: table, Loads: loads, Zone: "z"}}
 	scheduler := newScheduler(runner)
--- a/internal/batchrun/directory_test.go
+++ b/internal/batchrun/directory_test.go
@@ -57,7 +57,7 @@
 	inWorld(t, 23, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition("job-1", 6, 1), jobRoute))
 		life := world.kill("a")
-		_, err := world.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: "owners/a/job-2"}, {Key: batchlog.LeftoverWorkKey("a")}}})
+		_, err := world.store.CommitIgnoringFaults(metadata.Txn{Puts: []metadata.Put{{Key: "owners/a/job-2"}, {Key: batchlog.LeftoverWorkKey("a")}}})
 		must.NoError(t, err)
 		world.refuse("b", true)
 		world.refuse("c", true)                                                                         // so that no node accepts it for b
--- a/internal/batchrun/share.go
+++ b/internal/batchrun/share.go
@@ -45,7 +45,7 @@
 
 // enginesInFlight returns this node's requests in flight at replicas that serve models.
 func (runner *Runner) enginesInFlight() map[string]int {
-	counts := runner.Loads.Own()
+	counts := runner.Loads.LocalInFlight()
 	replicas := runner.Catalog.Replicas()
 	maps.DeleteFunc(counts, func(id string, _ int) bool {
 		replica := replicas.Find(id)
--- a/internal/batchrun/submit.go
+++ b/internal/batchrun/submit.go
@@ -357,7 +357,7 @@
 	for _, created := range owned.tasks {
 		created.resubmitted = resubmitted[created.item.GetGroup()]
 		if created.resubmitted {
-			owned.progress.Require(created.item.GetId())
+			owned.progress.RequireGroup(created.item.GetId())
 		}
 	}
 }
--- a/internal/batchrun/world_test.go
+++ b/internal/batchrun/world_test.go
@@ -128,7 +128,7 @@
 // clearLeftKey removes the key that marks a node as possibly owning jobs. This is done after a complete handover and after a
 // takeover.
 func (world *world) clearLeftKey(name string) {
-	_, _ = world.store.CommitDirectly(metadata.Txn{Deletes: []string{batchlog.LeftoverWorkKey(name)}})
+	_, _ = world.store.CommitIgnoringFaults(metadata.Txn{Deletes: []string{batchlog.LeftoverWorkKey(name)}})
 }
 
 // kill ends a node's process without notice and returns its incarnation.
--- a/internal/catalog/replica.go
+++ b/internal/catalog/replica.go
@@ -57,9 +57,9 @@
 	return 0
 }
 
-// LoadedSince reports whether the replica differs from an earlier entry in nothing but the versions of its weights. It is false if
+// DiffersOnlyInVersions reports whether the replica differs from an earlier entry in nothing but the versions of its weights. It is false if
 // either entry is nil.
-func (replica *Replica) LoadedSince(earlier *Replica) bool {
+func (replica *Replica) DiffersOnlyInVersions(earlier *Replica) bool {
 	if replica == nil || earlier == nil || slices.Equal(replica.Models, earlier.Models) {
 		return false
 	}
--- a/internal/catalog/replicaset.go
+++ b/internal/catalog/replicaset.go
@@ -47,8 +47,8 @@
 // Find returns the replica with an identifier, or nil if it is not registered.
 func (set *ReplicaSet) Find(id string) *Replica { return set.all.Find(id) }
 
-// FindNamed returns the incarnation that is registered under a name, or nil.
-func (set *ReplicaSet) FindNamed(name string) *Replica {
+// FindByName returns the incarnation that is registered under a name, or nil.
+func (set *ReplicaSet) FindByName(name string) *Replica {
 	if replica := set.all.Find(name); replica != nil {
 		return replica
 	}
--- a/internal/catalog/replicaset_test.go
+++ b/internal/catalog/replicaset_test.go
@@ -157,11 +157,11 @@
 		}
 		table.SetReplicas(list, 1)
 		for name, id := range ids {
-			must.Eq(t, id, table.Replicas().FindNamed(name).ID)
+			must.Eq(t, id, table.Replicas().FindByName(name).ID)
 			must.Eq(t, name, catalog.ReplicaName(id))
 		}
 		for _, other := range []string{"", "i-", "i-701", "i-1@", "j"} {
-			must.Nil(t, table.Replicas().FindNamed(other))
+			must.Nil(t, table.Replicas().FindByName(other))
 		}
 	})
 }
--- a/internal/cluster/registry.go
+++ b/internal/cluster/registry.go
@@ -277,8 +277,8 @@
 	return record != nil && record.GetZone() == registry.self.GetZone()
 }
 
-// Life returns the incarnation of this node.
-func (registry *Registry) Life() int64 { return registry.self.GetLife() }
+// Incarnation returns the incarnation of this node.
+func (registry *Registry) Incarnation() int64 { return registry.self.GetLife() }
 
 // Count returns the number of registered nodes.
 func (registry *Registry) Count() int {
@@ -287,8 +287,8 @@
 	return len(registry.nodes)
 }
 
-// Named returns the records of those named nodes that are registered.
-func (registry *Registry) Named(names map[string]bool) []*clusterv1.NodeRecord {
+// Records returns the records of those named nodes that are registered.
+func (registry *Registry) Records(names map[string]bool) []*clusterv1.NodeRecord {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
 	list := make([]*clusterv1.NodeRecord, 0, len(names))
--- a/internal/dissemination/faults_test.go
+++ b/internal/dissemination/faults_test.go
@@ -95,7 +95,7 @@
 
 func (fleet *fleet) registerReplicas(replicas int) {
 	for index := range max(1, replicas) {
-		_, _ = fleet.store.CommitDirectly(registration(fmt.Sprint("servers/", index)))
+		_, _ = fleet.store.CommitIgnoringFaults(registration(fmt.Sprint("servers/", index)))
 	}
 }
 
@@ -165,7 +165,7 @@
 // anyUnsettled reports whether any node reads the store or misses beacons.
 func (fleet *fleet) anyUnsettled(nodes int) bool {
 	for index := range nodes {
-		if fleet.nodeAt(address(index)).subscriber.Doubts(time.Now()) {
+		if fleet.nodeAt(address(index)).subscriber.NeedsProbe(time.Now()) {
 			return true
 		}
 	}
--- a/internal/dissemination/fleet_test.go
+++ b/internal/dissemination/fleet_test.go
@@ -151,10 +151,10 @@
 // handleReport passes on the report of a relay of this node.
 func (node *node) handleReport(report *clusterv1.RelayReport) {
 	if publisher := node.publisher.Load(); publisher != nil {
-		publisher.Reported(report)
+		publisher.HandleReport(report)
 	}
 	if node.relays != nil {
-		node.relays.Reported(report)
+		node.relays.HandleReport(report)
 	}
 }
 
@@ -220,7 +220,7 @@
 		Follow: func(ctx context.Context) {
 			follow(ctx, store, health, []dissemination.Topic{topics[0], topics[2]})
 			if topics[1].Revision() == 0 {
-				(&dissemination.SnapshotFetcher{Topic: topics[1], Nodes: topics[2], Registry: registry, Logger: logger}).Take(ctx)
+				(&dissemination.SnapshotFetcher{Topic: topics[1], Nodes: topics[2], Registry: registry, Logger: logger}).Fetch(ctx)
 			}
 			follow(ctx, store, health, topics[1:2])
 		},
@@ -228,12 +228,12 @@
 			publish(ctx, created, registry, health, topics, registry.Neighbours)
 		},
 	}
-	health.ProbeNeeded = func() bool { return subscriber.Doubts(time.Now()) }
+	health.ProbeNeeded = func() bool { return subscriber.NeedsProbe(time.Now()) }
 	health.Urgent = func() bool { return registry.Rank("reader") == 0 }
 	health.Nodes = registry.Count
 	registry.Health = health
 	created.relays = &dissemination.Relays{
-		Node: created.name, Incarnation: registry.Life(), Address: created.address, Topics: topics, Registry: registry,
+		Node: created.name, Incarnation: registry.Incarnation(), Address: created.address, Topics: topics, Registry: registry,
 		Datagrams: &cluster.Datagrams{Conn: link{from: created}}, Logger: logger, FanOut: fleet.fanOut,
 	}
 	created.relays.Start(ctx)
@@ -271,7 +271,7 @@
 
 func publish(ctx context.Context, from *node, registry *cluster.Registry, health *metadata.Health, topics []dissemination.Topic, to func() []*clusterv1.NodeRecord) {
 	publisher := &dissemination.Publisher{
-		Node: from.name, Incarnation: registry.Life(), Clock: from.fleet.clock, Topics: topics, Registry: registry, Nodes: to, IsZoneReader: to != nil, Address: from.address,
+		Node: from.name, Incarnation: registry.Incarnation(), Clock: from.fleet.clock, Topics: topics, Registry: registry, Nodes: to, IsZoneReader: to != nil, Address: from.address,
 		Datagrams: &cluster.Datagrams{Conn: link{from: from}}, Health: health, Logger: log.New(io.Discard), FanOut: from.fleet.fanOut,
 	}
 	if from.former {
@@ -311,7 +311,7 @@
 	defer fleet.mu.Unlock()
 	number := int64(len(fleet.written) + 1)
 	fleet.written = append(fleet.written, version{number, time.Now()})
-	_, _ = fleet.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: "op/config", Value: fmt.Appendf(nil, "%*d", fleet.padding, number)}}})
+	_, _ = fleet.store.CommitIgnoringFaults(metadata.Txn{Puts: []metadata.Put{{Key: "op/config", Value: fmt.Appendf(nil, "%*d", fleet.padding, number)}}})
 }
 
 // dueVersion returns the newest version that has to be in effect.
@@ -366,7 +366,7 @@
 func (fleet *fleet) play(nodes int, steps []step) {
 	publisher, storeCalm := fleet.startPublisher(), time.Now()
 	fleet.configure()
-	_, _ = fleet.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: "servers/1"}}})
+	_, _ = fleet.store.CommitIgnoringFaults(metadata.Txn{Puts: []metadata.Put{{Key: "servers/1"}}})
 	fleet.startAll(nodes)
 	time.Sleep(3 * time.Second)
 	for _, step := range steps {
--- a/internal/dissemination/former_build_test.go
+++ b/internal/dissemination/former_build_test.go
@@ -52,7 +52,7 @@
 		return err
 	}
 	if beacon := datagram.GetBeacon(); beacon != nil {
-		node.subscriber.Heard(beacon, from)
+		node.subscriber.HandleBeacon(beacon, from)
 	}
 	return nil
 }
@@ -132,7 +132,7 @@
 		fleet.startPublisher()
 		time.Sleep(500 * time.Millisecond)
 		fleet.checkKnown(nodes, replicas)
-		_, _ = fleet.store.CommitDirectly(metadata.Txn{Deletes: []string{"servers/0"}})
+		_, _ = fleet.store.CommitIgnoringFaults(metadata.Txn{Deletes: []string{"servers/0"}})
 		fleet.configure()
 		time.Sleep(inForce + 100*time.Millisecond)
 		fleet.check(nodes, time.Now().Add(-time.Minute))
--- a/internal/dissemination/links_test.go
+++ b/internal/dissemination/links_test.go
@@ -89,8 +89,8 @@
 		return len(payload), to.receiveAsFormer(datagram, from)
 	}
 	if beacon := datagram.GetBeacon(); beacon != nil && to.subscriber != nil {
-		if to.subscriber.Heard(beacon, from) {
-			to.relays.Heard(beacon, from)
+		if to.subscriber.HandleBeacon(beacon, from) {
+			to.relays.HandleBeacon(beacon, from)
 		}
 	}
 	if report := datagram.GetRelayReport(); report != nil {
--- a/internal/dissemination/pause_test.go
+++ b/internal/dissemination/pause_test.go
@@ -35,7 +35,7 @@
 	subscriber.Clock = clock.Func(func() time.Duration { return time.Minute + subscriber.now.Sub(startedAt) + subscriber.suspended })
 	subscriber.lags = make(map[string]lag)
 	subscriber.startedAt, subscriber.lastCheckAt, subscriber.lastCheckElapsed = startedAt, startedAt, time.Minute
-	subscriber.Heard(&clusterv1.Beacon{}, nil)
+	subscriber.HandleBeacon(&clusterv1.Beacon{}, nil)
 	return subscriber
 }
 
@@ -69,7 +69,7 @@
 	must.False(t, subscriber.UpToDate("p", subscriber.now), must.Sprint("before anything else has run"))
 	subscriber.checkAfter(checkInterval, 0)
 	must.False(t, subscriber.UpToDate("p", subscriber.now), must.Sprint("without a beacon"))
-	subscriber.Heard(&clusterv1.Beacon{}, nil)
+	subscriber.HandleBeacon(&clusterv1.Beacon{}, nil)
 	must.True(t, subscriber.UpToDate("p", subscriber.now))
 
 	subscriber.reading, subscriber.readingSince = true, subscriber.now.Add(-time.Minute)
@@ -94,12 +94,12 @@
 		sent := func(ago time.Duration) *clusterv1.Beacon {
 			return &clusterv1.Beacon{Name: "publisher", Life: 1, SentUs: (time.Hour + subscriber.Clock.Elapsed() - ago).Microseconds()}
 		}
-		must.True(t, subscriber.Heard(sent(3*time.Millisecond), nil))
+		must.True(t, subscriber.HandleBeacon(sent(3*time.Millisecond), nil))
 		held := sent(0) // sent now, handled after the pause
 		subscriber.checkAfter(5*time.Second, suspended)
-		must.False(t, subscriber.Heard(held, nil), must.Sprint("suspended for ", suspended))
+		must.False(t, subscriber.HandleBeacon(held, nil), must.Sprint("suspended for ", suspended))
 		must.False(t, subscriber.UpToDate("p", subscriber.now), must.Sprint("no new data"))
-		must.True(t, subscriber.Heard(sent(200*time.Millisecond), nil), must.Sprint("slightly delayed"))
+		must.True(t, subscriber.HandleBeacon(sent(200*time.Millisecond), nil), must.Sprint("slightly delayed"))
 		must.True(t, subscriber.UpToDate("p", subscriber.now))
 	}
 }
--- a/internal/dissemination/publisher.go
+++ b/internal/dissemination/publisher.go
@@ -219,8 +219,8 @@
 	return publisher.Registry.Others()
 }
 
-// Reported handles a relay's answer to a beacon. It ignores answers to beacons of other origins.
-func (publisher *Publisher) Reported(report *clusterv1.RelayReport) {
+// HandleReport handles a relay's answer to a beacon. It ignores answers to beacons of other origins.
+func (publisher *Publisher) HandleReport(report *clusterv1.RelayReport) {
 	if originOf(report.GetOrigin()) != publisher.origin() {
 		return
 	}
--- a/internal/dissemination/receiver_test.go
+++ b/internal/dissemination/receiver_test.go
@@ -79,9 +79,9 @@
 	state.relay.assign([]*clusterv1.NodeRecord{{Name: "a"}}, now)
 	publisher.receivers[processOf(relay)] = state
 	for _, other := range []*clusterv1.Origin{nil, {Name: "publisher", Life: 1}, {Name: "reader", Life: 2}} {
-		publisher.Reported(&clusterv1.RelayReport{Node: "relay", Life: 1, Assignment: 1, Origin: other})
+		publisher.HandleReport(&clusterv1.RelayReport{Node: "relay", Life: 1, Assignment: 1, Origin: other})
 		must.False(t, state.relay.active())
 	}
-	publisher.Reported(&clusterv1.RelayReport{Node: "relay", Life: 1, Assignment: 1, Origin: &clusterv1.Origin{Name: "reader", Life: 1}})
+	publisher.HandleReport(&clusterv1.RelayReport{Node: "relay", Life: 1, Assignment: 1, Origin: &clusterv1.Origin{Name: "reader", Life: 1}})
 	must.True(t, state.relay.active())
 }
--- a/internal/dissemination/relay.go
+++ b/internal/dissemination/relay.go
@@ -83,7 +83,7 @@
 	ctx, stop := context.WithCancel(relays.ctx)
 	created := &relayedOrigin{stop: stop}
 	created.publisher = &Publisher{
-		Node: origin.node, Incarnation: origin.incarnation, Topics: withoutPace(relays.Topics), Registry: relays.Registry, Nodes: created.nodes, TreeVersion: created.treeVersion,
+		Node: origin.node, Incarnation: origin.incarnation, Topics: withoutMinInterval(relays.Topics), Registry: relays.Registry, Nodes: created.nodes, TreeVersion: created.treeVersion,
 		Address: relays.Address, Datagrams: relays.Datagrams, Logger: relays.Logger, Metrics: relays.Metrics, FanOut: relays.FanOut,
 	}
 	created.publisher.initialize()
@@ -131,8 +131,8 @@
 	return true
 }
 
-// Heard handles a beacon. A beacon of a sender for which this node relays is forwarded and answered with a report.
-func (relays *Relays) Heard(beacon *clusterv1.Beacon, from net.Addr) {
+// HandleBeacon handles a beacon. A beacon of a sender for which this node relays is forwarded and answered with a report.
+func (relays *Relays) HandleBeacon(beacon *clusterv1.Beacon, from net.Addr) {
 	if from == nil {
 		return
 	}
@@ -154,12 +154,12 @@
 	relays.Datagrams.SendTo(&clusterv1.Datagram{Kind: &clusterv1.Datagram_RelayReport{RelayReport: report}}, from)
 }
 
-// Reported handles the report of a relay to which this node has assigned nodes.
-func (relays *Relays) Reported(report *clusterv1.RelayReport) {
+// HandleReport handles the report of a relay to which this node has assigned nodes.
+func (relays *Relays) HandleReport(report *clusterv1.RelayReport) {
 	relays.mu.Lock()
 	relayed := relays.origins[originOf(report.GetOrigin())]
 	relays.mu.Unlock()
 	if relayed != nil {
-		relayed.publisher.Reported(report)
+		relayed.publisher.HandleReport(report)
 	}
 }
--- a/internal/dissemination/relays_test.go
+++ b/internal/dissemination/relays_test.go
@@ -42,7 +42,7 @@
 	failure := runFleet(t, func(fleet *fleet) {
 		fleet.startPublisher()
 		fleet.configure()
-		_, _ = fleet.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: "servers/1"}}})
+		_, _ = fleet.store.CommitIgnoringFaults(metadata.Txn{Puts: []metadata.Put{{Key: "servers/1"}}})
 		fleet.startAll(nodes)
 		time.Sleep(8 * time.Second)
 		upper, lower := fleet.stackedRelays(nodes)
@@ -58,7 +58,7 @@
 		for range 30 {
 			time.Sleep(100 * time.Millisecond)
 			for index := range nodes {
-				if fleet.nodeAt(address(index)).subscriber.Doubts(time.Now()) {
+				if fleet.nodeAt(address(index)).subscriber.NeedsProbe(time.Now()) {
 					fleet.fail("node %d receives no beacon after an assignment with a tree version changed by %+d", index, treeChange)
 				}
 			}
--- a/internal/dissemination/scale_test.go
+++ b/internal/dissemination/scale_test.go
@@ -66,7 +66,7 @@
 		publisher := fleet.startPublisher()
 		fleet.configure()
 		for index := range 100 {
-			_, _ = fleet.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: fmt.Sprint("servers/", index), Value: make([]byte, 400)}}})
+			_, _ = fleet.store.CommitIgnoringFaults(metadata.Txn{Puts: []metadata.Put{{Key: fmt.Sprint("servers/", index), Value: make([]byte, 400)}}})
 		}
 		fleet.startAll(nodes)
 		measured.measure(fleet, publisher, nodes, phaseStart, func() { time.Sleep(4 * time.Second) })
@@ -163,16 +163,16 @@
 		fleet.fanOut = 0
 		former := fleet.startPublisher()
 		fleet.configure()
-		_, _ = fleet.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: "servers/1"}}})
+		_, _ = fleet.store.CommitIgnoringFaults(metadata.Txn{Puts: []metadata.Put{{Key: "servers/1"}}})
 		fleet.startAll(nodes)
 		time.Sleep(4 * time.Second)
-		_, _ = fleet.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: "unrelated"}}})
+		_, _ = fleet.store.CommitIgnoringFaults(metadata.Txn{Puts: []metadata.Put{{Key: "unrelated"}}})
 		former.stop()
 		fleet.startPublisher()
 		for range 40 {
 			time.Sleep(100 * time.Millisecond)
 			for index := range nodes {
-				if fleet.nodeAt(address(index)).subscriber.Doubts(time.Now()) {
+				if fleet.nodeAt(address(index)).subscriber.NeedsProbe(time.Now()) {
 					fleet.fail("node %d reads the store", index)
 				}
 			}
@@ -194,7 +194,7 @@
 			fleet.fanOut = 0
 			fleet.startPublisher()
 			fleet.configure()
-			_, _ = fleet.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: "servers/1"}}})
+			_, _ = fleet.store.CommitIgnoringFaults(metadata.Txn{Puts: []metadata.Put{{Key: "servers/1"}}})
 			fleet.startAll(nodes)
 			time.Sleep(5 * time.Second)
 			fleet.store.SetFaults(memstore.Faults{Down: true})
--- a/internal/dissemination/snapshot.go
+++ b/internal/dissemination/snapshot.go
@@ -41,8 +41,8 @@
 	unpacker unpacker
 }
 
-// Take asks neighbours until one of them returns a snapshot, and reports whether the topic has data afterwards.
-func (snapshots *SnapshotFetcher) Take(ctx context.Context) bool {
+// Fetch asks neighbours until one of them returns a snapshot, and reports whether the topic has data afterwards.
+func (snapshots *SnapshotFetcher) Fetch(ctx context.Context) bool {
 	if !snapshots.awaitRegistry(ctx) {
 		return snapshots.Topic.Revision() > 0
 	}
--- a/internal/dissemination/snapshot_test.go
+++ b/internal/dissemination/snapshot_test.go
@@ -34,7 +34,7 @@
 			restarted := fleet.nodeAt(address(0))
 			must.Eq(t, replicas, restarted.subscriber.Topics[1].Count())
 			must.Eq(t, isolated, restarted.sent.storeCalls.Load() > replicas/itemsPerPage, must.Sprint(restarted.sent.storeCalls.Load(), " calls"))
-			_, _ = fleet.store.CommitDirectly(registration("servers/new"))
+			_, _ = fleet.store.CommitIgnoringFaults(registration("servers/new"))
 			time.Sleep(time.Second)
 			must.Eq(t, replicas+1, restarted.subscriber.Topics[1].Count(), must.Sprint("later changes follow"))
 		})
@@ -58,7 +58,7 @@
 		snapshots := &dissemination.SnapshotFetcher{Topic: unknown, Nodes: requester.subscriber.Topics[2], Registry: requester.registry, Logger: log.New(io.Discard)}
 		must.Eq(t, cluster.Prefix, snapshots.Nodes.Prefix())
 		started := time.Now()
-		must.False(t, snapshots.Take(context.Background()))
+		must.False(t, snapshots.Fetch(context.Background()))
 		must.LessEq(t, 810*time.Millisecond, time.Since(started))
 		must.GreaterEq(t, 400*time.Millisecond, time.Since(started))
 	})
--- a/internal/dissemination/spread_test.go
+++ b/internal/dissemination/spread_test.go
@@ -26,7 +26,7 @@
 		failure := runFleet(t, func(fleet *fleet) {
 			fleet.startPublisher()
 			fleet.configure()
-			_, _ = fleet.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: "servers/1"}}})
+			_, _ = fleet.store.CommitIgnoringFaults(metadata.Txn{Puts: []metadata.Put{{Key: "servers/1"}}})
 			fleet.startAll(nodes)
 			time.Sleep(5 * time.Second)
 			before := fleet.store.Calls()
@@ -84,7 +84,7 @@
 	failure := runFleet(t, func(fleet *fleet) {
 		former := fleet.startPublisher()
 		fleet.configure()
-		_, _ = fleet.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: "servers/1"}}})
+		_, _ = fleet.store.CommitIgnoringFaults(metadata.Txn{Puts: []metadata.Put{{Key: "servers/1"}}})
 		fleet.startAll(12)
 		time.Sleep(3 * time.Second)
 		former.setFaults(true, true)
@@ -95,13 +95,13 @@
 		fleet.configure()
 		time.Sleep(4 * time.Second)
 		fleet.store.Compact()
-		_, _ = fleet.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: "unrelated"}}})
+		_, _ = fleet.store.CommitIgnoringFaults(metadata.Txn{Puts: []metadata.Put{{Key: "unrelated"}}})
 		former.setFaults(false, false)
 		time.Sleep(150 * time.Millisecond)
 		former.stop()
 		time.Sleep(3 * time.Second)
 		for index := range 12 {
-			if subscriber := fleet.nodeAt(address(index)).subscriber; subscriber.Doubts(time.Now()) {
+			if subscriber := fleet.nodeAt(address(index)).subscriber; subscriber.NeedsProbe(time.Now()) {
 				fleet.fail("front %d reads the store", index)
 			}
 		}
--- a/internal/dissemination/subscriber.go
+++ b/internal/dissemination/subscriber.go
@@ -109,7 +109,7 @@
 	update, err := subscriber.unpacker.unpack(packed)
 	if err != nil {
 		subscriber.Logger.Error("update not readable", "prefix", packed.GetPrefix(), "revision", packed.GetRevision(), "error", err)
-		subscriber.Metrics.UpdateUnread(packed.GetPrefix())
+		subscriber.Metrics.UpdateUndecodable(packed.GetPrefix())
 		subscriber.recordLag(packed.GetPrefix(), metadata.Revision(packed.GetRevision()))
 		return err
 	}
@@ -134,7 +134,7 @@
 // logUpdate logs snapshots and packed updates. Updates of single changes are too frequent to log.
 func (subscriber *Subscriber) logUpdate(packed, update *clusterv1.PrefixUpdate, known metadata.Revision) {
 	isPacked := len(packed.GetPacked()) > 0
-	subscriber.Metrics.UpdateTaken(update.GetPrefix(), update.GetWhole(), isPacked)
+	subscriber.Metrics.UpdateApplied(update.GetPrefix(), update.GetWhole(), isPacked)
 	if !update.GetWhole() && !isPacked {
 		return
 	}
@@ -173,8 +173,8 @@
 	return &Collector{Node: subscriber.publisher, Address: subscriber.publisherAddress.String(), Term: subscriber.term}
 }
 
-// Silent returns the time since the last beacon of a publisher, or since the start of this process if none has arrived.
-func (subscriber *Subscriber) Silent(now time.Time) time.Duration {
+// PublisherSilence returns the time since the last beacon of a publisher, or since the start of this process if none has arrived.
+func (subscriber *Subscriber) PublisherSilence(now time.Time) time.Duration {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
 	if subscriber.startedAt.IsZero() {
@@ -183,8 +183,8 @@
 	return now.Sub(later(subscriber.lastPublisherBeaconAt, subscriber.startedAt))
 }
 
-// Doubts reports whether this node has to know if the store answers, because beacons are late or it reads the store.
-func (subscriber *Subscriber) Doubts(now time.Time) bool {
+// NeedsProbe reports whether this node has to know if the store answers, because beacons are late or it reads the store.
+func (subscriber *Subscriber) NeedsProbe(now time.Time) bool {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
 	switch {
@@ -229,14 +229,14 @@
 	return b
 }
 
-// Heard handles a beacon of a publisher, received directly or through a relay, and reports whether it is fresh. It ignores a beacon that
+// HandleBeacon handles a beacon of a publisher, received directly or through a relay, and reports whether it is fresh. It ignores a beacon that
 // was delayed while a process or machine stood still.
-func (subscriber *Subscriber) Heard(beacon *clusterv1.Beacon, from net.Addr) (fresh bool) {
+func (subscriber *Subscriber) HandleBeacon(beacon *clusterv1.Beacon, from net.Addr) (fresh bool) {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
 	elapsed := subscriber.elapsed()
 	if subscriber.delays.stale(beacon, elapsed) {
-		subscriber.Metrics.OldBeacon()
+		subscriber.Metrics.StaleBeacon()
 		return false
 	}
 	subscriber.lastBeaconAt, subscriber.lastBeaconElapsed = time.Now(), elapsed
@@ -278,7 +278,7 @@
 		switch {
 		case changed && reading:
 			subscriber.Logger.Warn("reading the store", "reason", reason)
-			subscriber.Metrics.Reading(reason)
+			subscriber.Metrics.StoreReadStarted(reason)
 			reader = subscriber.startReading(ctx)
 		case changed:
 			subscriber.Logger.Info("stopped reading the store", "store_answers", subscriber.Health.Good())
--- a/internal/dissemination/subscriber_test.go
+++ b/internal/dissemination/subscriber_test.go
@@ -96,7 +96,7 @@
 
 func (fixture *fixture) beacons(count int, prefix string, revision int64) {
 	for range count {
-		fixture.Heard(beacon(prefix, revision), nil)
+		fixture.HandleBeacon(beacon(prefix, revision), nil)
 		time.Sleep(400 * time.Millisecond)
 	}
 }
@@ -114,7 +114,7 @@
 func TestBeaconBeforeFirstCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		subscriber := newFixture()
-		subscriber.Heard(&clusterv1.Beacon{}, nil)
+		subscriber.HandleBeacon(&clusterv1.Beacon{}, nil)
 		ctx, cancel := context.WithCancel(t.Context())
 		go subscriber.Run(ctx)
 		time.Sleep(limits().BeaconTimeout + 200*time.Millisecond)
@@ -207,9 +207,9 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go subscriber.Run(ctx)
 		subscriber.beacons(3, prefixReplicas, 0)
-		must.False(t, subscriber.Doubts(time.Now()))
+		must.False(t, subscriber.NeedsProbe(time.Now()))
 		time.Sleep(700 * time.Millisecond)
-		must.True(t, subscriber.Doubts(time.Now()))
+		must.True(t, subscriber.NeedsProbe(time.Now()))
 		subscriber.Health.Observe(errors.New("refused"))
 		time.Sleep(6 * time.Second)
 		must.Eq(t, 0, subscriber.reading.Load())
@@ -259,13 +259,13 @@
 			for range 10 {
 				relayed := beacon(prefixReplicas, 5)
 				relayed.Relay = true
-				subscriber.Heard(relayed, nil)
+				subscriber.HandleBeacon(relayed, nil)
 				time.Sleep(400 * time.Millisecond)
 			}
 			must.Eq(t, reader, subscriber.reading.Load() == 1)
 			must.Eq(t, reader, relaying.Load() == 1)
 			must.Nil(t, subscriber.Publisher())
-			must.Greater(t, 3*time.Second, subscriber.Silent(time.Now()))
+			must.Greater(t, 3*time.Second, subscriber.PublisherSilence(time.Now()))
 			time.Sleep(2 * time.Second)
 			must.Eq(t, 1, subscriber.reading.Load())
 			subscriber.beacons(8, prefixReplicas, 5)
@@ -327,13 +327,13 @@
 		upToDate := func() bool { return fixture.UpToDate(prefixConfiguration, time.Now()) }
 		must.False(t, upToDate(), must.Sprint("before any beacon"))
 		fixture.publishSnapshot(t, prefixConfiguration, 5)
-		fixture.Heard(beacon(prefixConfiguration, 5), nil)
+		fixture.HandleBeacon(beacon(prefixConfiguration, 5), nil)
 		must.True(t, upToDate())
-		fixture.Heard(beacon(prefixConfiguration, 9), nil)
+		fixture.HandleBeacon(beacon(prefixConfiguration, 9), nil)
 		must.False(t, upToDate(), must.Sprint("a newer revision was announced"))
 		fixture.publishSnapshot(t, prefixConfiguration, 9)
 		must.True(t, upToDate())
-		fixture.Heard(beacon(prefixReplicas, 12), nil)
+		fixture.HandleBeacon(beacon(prefixReplicas, 12), nil)
 		must.True(t, upToDate(), must.Sprint("another topic"))
 		time.Sleep(limits().BeaconTimeout + 10*time.Millisecond)
 		must.False(t, upToDate(), must.Sprint("beacons stopped, nothing read yet"))
--- a/internal/dissemination/topic.go
+++ b/internal/dissemination/topic.go
@@ -93,9 +93,9 @@
 	return difference
 }
 
-// withoutPace returns topics as a relay pushes them: immediately. The origin already applies the pace. Applied again at each level of the
+// withoutMinInterval returns topics as a relay pushes them: immediately. The origin already applies the pace. Applied again at each level of the
 // tree it would add up, while a node is allowed the delay of one level.
-func withoutPace(topics []Topic) []Topic {
+func withoutMinInterval(topics []Topic) []Topic {
 	list := slices.Clone(topics)
 	for index := range list {
 		list[index].MinInterval = 0
--- a/internal/dissemination/unread_test.go
+++ b/internal/dissemination/unread_test.go
@@ -54,7 +54,7 @@
 			update = small
 		}
 		readable := encodeDifference(&metadata.Delta{Prefix: "op/config", IsSnapshot: true, Revision: 9, Items: []metadata.Item{{Key: "op/config", Revision: 9}}})
-		subscriber.Heard(&clusterv1.Beacon{Changed: []*clusterv1.PrefixRevision{{Prefix: "op/config", Revision: 9}}}, nil)
+		subscriber.HandleBeacon(&clusterv1.Beacon{Changed: []*clusterv1.PrefixRevision{{Prefix: "op/config", Revision: 9}}}, nil)
 		response, err := subscriber.Publish(t.Context(), &clusterv1.PublishRequest{Updates: []*clusterv1.PrefixUpdate{update, readable}})
 		must.NoError(t, err)
 		must.Eq(t, []string{"servers/"}, response.GetUnread())
--- a/internal/forwarding/bodies.go
+++ b/internal/forwarding/bodies.go
@@ -26,8 +26,8 @@
 // BodyReader reads request bodies and bounds the memory of the large ones. It is safe for concurrent use.
 type BodyReader struct{ free *semaphore.Weighted }
 
-// NewBodies returns a reader of bodies without reservations.
-func NewBodies() *BodyReader { return &BodyReader{free: semaphore.NewWeighted(bodyMemory)} }
+// NewBodyReader returns a reader of bodies without reservations.
+func NewBodyReader() *BodyReader { return &BodyReader{free: semaphore.NewWeighted(bodyMemory)} }
 
 // Reserve reserves size bytes and reports whether they were available. Release returns them.
 func (bodies *BodyReader) Reserve(size int64) bool { return bodies.free.TryAcquire(size) }
--- a/internal/forwarding/bodies_test.go
+++ b/internal/forwarding/bodies_test.go
@@ -14,7 +14,7 @@
 
 // No large body is accepted while the memory for bodies is exhausted.
 func TestBodiesAreBounded(t *testing.T) {
-	bodies := forwarding.NewBodies()
+	bodies := forwarding.NewBodyReader()
 	const size = 32 << 20
 	for range 3 {
 		must.True(t, bodies.Reserve(size))
@@ -26,7 +26,7 @@
 
 // Read returns the whole body or the matching error, and each reservation is released.
 func TestBodiesRead(t *testing.T) {
-	bodies := forwarding.NewBodies()
+	bodies := forwarding.NewBodyReader()
 	large := strings.Repeat("x", 2*forwarding.SmallBody)
 	broken := io.MultiReader(strings.NewReader(large), iotest.ErrReader(errors.New("cut off")))
 	for name, c := range map[string]struct {
--- a/internal/lab/platform/soak/world.go
+++ b/internal/lab/platform/soak/world.go
@@ -255,11 +255,11 @@
 
 // write puts a key as the platform itself does, which the store's faults do not meet.
 func (world *World) write(key string, value []byte) {
-	_, _ = world.Store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: key, Value: value}}}) // without conditions: it cannot fail
+	_, _ = world.Store.CommitIgnoringFaults(metadata.Txn{Puts: []metadata.Put{{Key: key, Value: value}}}) // without conditions: it cannot fail
 }
 
 func (world *World) remove(key string) {
-	_, _ = world.Store.CommitDirectly(metadata.Txn{Deletes: []string{key}}) // without conditions: it cannot fail
+	_, _ = world.Store.CommitIgnoringFaults(metadata.Txn{Deletes: []string{key}}) // without conditions: it cannot fail
 }
 
 func (world *World) addNode(name, role string) error {
--- a/internal/metadata/follow.go
+++ b/internal/metadata/follow.go
@@ -67,7 +67,7 @@
 func (follower *Follower) Run(ctx context.Context) {
 	retry := backoff.NewExponentialBackOff()
 	retry.InitialInterval, retry.MaxInterval = followRetryMin, followRetryMax
-	revision := follower.from()
+	revision := follower.startRevision()
 	known, lost := revision > 0, false
 	for ctx.Err() == nil {
 		next, err := follower.step(ctx, revision, known)
@@ -125,7 +125,7 @@
 	return max(changes.Revision, revision), nil
 }
 
-func (follower *Follower) from() Revision {
+func (follower *Follower) startRevision() Revision {
 	if follower.StartRevision == nil {
 		return 0
 	}
--- a/internal/metadata/memstore/store.go
+++ b/internal/metadata/memstore/store.go
@@ -184,8 +184,8 @@
 	return store.apply(txn)
 }
 
-// CommitDirectly applies a transaction regardless of the faults.
-func (store *Store) CommitDirectly(txn metadata.Txn) (metadata.Revision, error) {
+// CommitIgnoringFaults applies a transaction regardless of the faults.
+func (store *Store) CommitIgnoringFaults(txn metadata.Txn) (metadata.Revision, error) {
 	return store.apply(txn)
 }
 
--- a/internal/metering/cluster_test.go
+++ b/internal/metering/cluster_test.go
@@ -218,7 +218,7 @@
 	created.meter = metering.NewMeter(name, created.incarnation, windows, clock, created.ledger)
 	cluster.fronts[name] = created
 	cluster.mu.Unlock()
-	teller := &metering.TallySender{Meter: created.meter, Listeners: frontListeners{cluster, name, index}, Logger: log.New(io.Discard)}
+	teller := &metering.TallySender{Meter: created.meter, Recipients: frontListeners{cluster, name, index}, Logger: log.New(io.Discard)}
 	go teller.Run(ctx)
 }
 
--- a/internal/metering/teller.go
+++ b/internal/metering/teller.go
@@ -43,10 +43,10 @@
 
 // TallySender sends the tallies of a ledger to the collector and the witness, and retries until they are acknowledged.
 type TallySender struct {
-	Meter     *Meter
-	Listeners Recipients
-	Logger    *log.Logger
-	Metrics   *telemetry.Metrics
+	Meter      *Meter
+	Recipients Recipients
+	Logger     *log.Logger
+	Metrics    *telemetry.Metrics
 }
 
 // Run sends tallies until the context ends.
@@ -54,8 +54,8 @@
 	collector, witness := &sendState{teller: teller, role: "collector"}, &sendState{teller: teller, role: "witness"}
 	for ctx.Err() == nil {
 		var calls sync.WaitGroup
-		calls.Go(func() { collector.send(ctx, teller.Listeners.Collector(), teller.isForCollector) })
-		calls.Go(func() { witness.send(ctx, teller.Listeners.Witness(), teller.isOwn) })
+		calls.Go(func() { collector.send(ctx, teller.Recipients.Collector(), teller.isForCollector) })
+		calls.Go(func() { witness.send(ctx, teller.Recipients.Witness(), teller.isOwn) })
 		calls.Wait()
 		wait.Pause(ctx, sendInterval)
 		if collector.failed || witness.failed {
@@ -77,7 +77,7 @@
 // isForCollector reports whether this node sends a tally to the collector. A node sends its own tallies, and those of processes that no
 // longer run.
 func (teller *TallySender) isForCollector(tally *meteringv1.Tally) bool {
-	return teller.isOwn(tally) || !teller.Listeners.IsRunning(tally.GetNode(), tally.GetLife())
+	return teller.isOwn(tally) || !teller.Recipients.IsRunning(tally.GetNode(), tally.GetLife())
 }
 
 // sendState holds the current listener of one role and the sequences of the tallies that it has acknowledged.
@@ -107,7 +107,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	_, err := listener.Client.Tell(callCtx, &meteringv1.TellRequest{Tallies: tallies})
-	sendState.teller.Metrics.UsageTold(sendState.role, err == nil)
+	sendState.teller.Metrics.UsageTalliesSent(sendState.role, err == nil)
 	if err != nil {
 		sendState.failed = true
 		sendState.teller.Logger.Warn("usage tallies not sent", "role", sendState.role, "to", listener.Name, "tallies", len(tallies), "error", err)
--- a/internal/quarantine/archive.go
+++ b/internal/quarantine/archive.go
@@ -34,11 +34,11 @@
 // RecordStore stores quarantined requests in the metadata store and loads those that other nodes have stored. It implements
 // Keeper and metadata.Handler. It is safe for concurrent use.
 type RecordStore struct {
-	Store  metadata.Store
-	Health *metadata.Health
-	Book   *Tracker
-	Node   string
-	Logger *log.Logger
+	Store   metadata.Store
+	Health  *metadata.Health
+	Tracker *Tracker
+	Node    string
+	Logger  *log.Logger
 	// IsDeputy reports whether this node stores the record of a request if its reporter does not.
 	IsDeputy func(Fingerprint) bool
 
@@ -58,7 +58,7 @@
 // NewRecordStore returns an archive that runs until the context ends.
 func NewRecordStore(ctx context.Context, store metadata.Store, health *metadata.Health, book *Tracker, node string, logger *log.Logger) *RecordStore {
 	return &RecordStore{
-		Store: store, Health: health, Book: book, Node: node, Logger: logger, IsDeputy: func(Fingerprint) bool { return false },
+		Store: store, Health: health, Tracker: book, Node: node, Logger: logger, IsDeputy: func(Fingerprint) bool { return false },
 		ctx: ctx, stored: make(map[Fingerprint]storedRecord), writing: make(map[Fingerprint]bool),
 	}
 }
@@ -67,7 +67,7 @@
 // do not store it. It does not block.
 func (archive *RecordStore) Persist(fingerprint Fingerprint) {
 	delay := time.Duration(0)
-	if archive.Book.Suspected(fingerprint).Reporter != archive.Node {
+	if archive.Tracker.Suspected(fingerprint).Reporter != archive.Node {
 		if !archive.IsDeputy(fingerprint) {
 			return
 		}
@@ -102,7 +102,7 @@
 	defer archive.endWrite(fingerprint)
 	wait.Pause(archive.ctx, delay)
 	for archive.ctx.Err() == nil {
-		known := archive.Book.Suspected(fingerprint)
+		known := archive.Tracker.Suspected(fingerprint)
 		stored := archive.record(fingerprint)
 		if known.Crashes < quarantineThreshold || stored.crashes >= known.Crashes {
 			return
@@ -138,7 +138,7 @@
 func (archive *RecordStore) deleteRecord(fingerprint Fingerprint) {
 	for archive.ctx.Err() == nil {
 		stored := archive.record(fingerprint)
-		if archive.Book.Suspected(fingerprint).Crashes > 0 || stored.revision == 0 {
+		if archive.Tracker.Suspected(fingerprint).Crashes > 0 || stored.revision == 0 {
 			return
 		}
 		key := Prefix + fingerprint.String()
@@ -248,7 +248,7 @@
 		suspicion.Events = append(suspicion.Events, CrashEvent{Replica: replica})
 	}
 	archive.setRecord(fingerprint, storedRecord{item.Revision, suspicion.Crashes})
-	archive.Book.Restore(fingerprint, suspicion, time.Now())
+	archive.Tracker.Restore(fingerprint, suspicion, time.Now())
 	archive.Logger.Info("quarantine loaded", "fingerprint", fingerprint, "crashes", suspicion.Crashes, "reporter", record.GetReporter(), "revision", int64(item.Revision))
 }
 
@@ -256,7 +256,7 @@
 // answered it.
 func (archive *RecordStore) dropRecord(fingerprint Fingerprint) {
 	archive.setRecord(fingerprint, storedRecord{})
-	archive.Book.Clear(fingerprint)
+	archive.Tracker.Clear(fingerprint)
 	archive.Logger.Info("quarantine ended", "fingerprint", fingerprint)
 }
 
--- a/internal/quarantine/archive_test.go
+++ b/internal/quarantine/archive_test.go
@@ -134,7 +134,7 @@
 		value, err := proto.Marshal(&clusterv1.QuarantineRecord{Crashes: 3, UntilUnixMs: now.Add(time.Duration(number-2) * time.Minute).UnixMilli()})
 		must.NoError(t, err)
 		key := quarantine.Prefix + fmt.Sprintf("%04d", number)
-		revision, err := store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: key, Value: value}}})
+		revision, err := store.CommitIgnoringFaults(metadata.Txn{Puts: []metadata.Put{{Key: key, Value: value}}})
 		must.NoError(t, err)
 		items = append(items, metadata.Item{Key: key, Value: value, Revision: revision})
 	}
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -38,7 +38,7 @@
 type Guard struct {
 	Sender  backend.Sender
 	Prober  Prober
-	Book    *Tracker
+	Tracker *Tracker
 	Catalog *catalog.Table
 	// Broadcaster and Keeper may be nil.
 	Broadcaster Broadcaster
@@ -122,11 +122,11 @@
 
 // admit returns an error if a request must not be sent now.
 func (guard *Guard) admit(replica *catalog.Replica, request *backend.Request) error {
-	if !guard.Book.MayBeSuspected(replica.Service, request) {
+	if !guard.Tracker.MayBeSuspected(replica.Service, request) {
 		return nil
 	}
 	fingerprint := FingerprintOf(replica.Service, request)
-	decision := guard.Book.Admit(fingerprint, Claim{Exclusive: request.Exclusive, Deputy: guard.IsDeputy(fingerprint)}, time.Now())
+	decision := guard.Tracker.Admit(fingerprint, Claim{Exclusive: request.Exclusive, Deputy: guard.IsDeputy(fingerprint)}, time.Now())
 	switch {
 	case !decision.Allowed:
 		guard.Metrics.RequestHeld()
@@ -153,7 +153,7 @@
 	again := guard.unanswered.add(lost)
 	switch {
 	case ctx.Err() != nil:
-	case again || guard.Book.Suspected(fingerprint).Crashes > 0:
+	case again || guard.Tracker.Suspected(fingerprint).Crashes > 0:
 		guard.probeReplicas(ctx, fingerprint)
 	default:
 		time.AfterFunc(probeDelay, func() { guard.probeReplicas(context.Background(), fingerprint) })
@@ -196,15 +196,15 @@
 
 // recordCrash records a crash that this node has detected.
 func (guard *Guard) recordCrash(lost unansweredRequest, evidence string) {
-	crashes, fresh := guard.Book.RecordCrash(lost.fingerprint, lost.replica, guard.Node, lost.at, time.Now())
+	crashes, fresh := guard.Tracker.RecordCrash(lost.fingerprint, lost.replica, guard.Node, lost.at, time.Now())
 	if !fresh {
 		return
 	}
-	guard.Metrics.ReplicaEnded()
-	guard.Metrics.Quarantined(guard.Book.Quarantined())
+	guard.Metrics.ReplicaCrashed()
+	guard.Metrics.Quarantined(guard.Tracker.Quarantined())
 	guard.Logger.Warn("replica crashed while running a request", "request", lost.request, "service", lost.service, "replica", lost.replica,
 		"fingerprint", lost.fingerprint, "crashes", crashes, "evidence", evidence, "after_ms", time.Since(lost.at).Milliseconds())
-	guard.outbox.addCrashes(lost.fingerprint, guard.Book.Suspected(lost.fingerprint).Events)
+	guard.outbox.addCrashes(lost.fingerprint, guard.Tracker.Suspected(lost.fingerprint).Events)
 	guard.persistIfQuarantined(lost.fingerprint, crashes)
 }
 
@@ -217,17 +217,17 @@
 
 // answerCompleted clears a request that a replica has answered in full, unless the replica reported a failure of its own.
 func (guard *Guard) answerCompleted(replica *catalog.Replica, request *backend.Request, status int) {
-	if status >= http.StatusInternalServerError || !(guard.unanswered.mayContain(replica.Service, request) || guard.Book.MayBeSuspected(replica.Service, request)) {
+	if status >= http.StatusInternalServerError || !(guard.unanswered.mayContain(replica.Service, request) || guard.Tracker.MayBeSuspected(replica.Service, request)) {
 		return
 	}
 	fingerprint := FingerprintOf(replica.Service, request)
 	guard.unanswered.drop(fingerprint)
-	crashes := guard.Book.Suspected(fingerprint).Crashes
-	if !guard.Book.Clear(fingerprint) {
+	crashes := guard.Tracker.Suspected(fingerprint).Crashes
+	if !guard.Tracker.Clear(fingerprint) {
 		return
 	}
 	guard.Metrics.SuspicionCleared()
-	guard.Metrics.Quarantined(guard.Book.Quarantined())
+	guard.Metrics.Quarantined(guard.Tracker.Quarantined())
 	guard.Logger.Info("suspicion cleared", "request", request.ID, "service", replica.Service, "replica", replica.ID, "fingerprint", fingerprint,
 		"crashes", crashes, "status", status)
 	guard.outbox.addCleared(fingerprint)
@@ -244,7 +244,7 @@
 // HandleNotice handles a notice from another node.
 func (guard *Guard) HandleNotice(notice Notice) {
 	for _, crash := range notice.Crashes {
-		crashes, fresh := guard.Book.RecordCrash(crash.Fingerprint, crash.Replica, notice.Reporter, crash.InterruptedAt, time.Now())
+		crashes, fresh := guard.Tracker.RecordCrash(crash.Fingerprint, crash.Replica, notice.Reporter, crash.InterruptedAt, time.Now())
 		if !fresh {
 			continue
 		}
@@ -252,8 +252,8 @@
 		guard.persistIfQuarantined(crash.Fingerprint, crashes)
 	}
 	for _, fingerprint := range notice.Cleared {
-		known := guard.Book.Suspected(fingerprint)
-		if !guard.Book.Clear(fingerprint) {
+		known := guard.Tracker.Suspected(fingerprint)
+		if !guard.Tracker.Clear(fingerprint) {
 			continue
 		}
 		guard.Logger.Info("suspicion cleared by another node", "reporter", notice.Reporter, "fingerprint", fingerprint, "crashes", known.Crashes)
@@ -261,7 +261,7 @@
 			guard.liftIfQuarantined(fingerprint, known.Crashes)
 		}
 	}
-	guard.Metrics.Quarantined(guard.Book.Quarantined())
+	guard.Metrics.Quarantined(guard.Tracker.Quarantined())
 }
 
 // watchedBody detects whether an answer is read to its end.
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -67,7 +67,7 @@
 func newFixture(t *testing.T) *fixture {
 	network, table := &stubNetwork{}, catalog.NewTable()
 	fixture := &fixture{network: network, table: table, guard: &quarantine.Guard{
-		Sender: network, Prober: network, Book: quarantine.NewTracker("node", time.Now()), Catalog: table, Node: "node", Logger: log.New(io.Discard),
+		Sender: network, Prober: network, Tracker: quarantine.NewTracker("node", time.Now()), Catalog: table, Node: "node", Logger: log.New(io.Discard),
 		IsDeputy: func(quarantine.Fingerprint) bool { return false },
 	}}
 	fixture.register(target)
@@ -94,7 +94,7 @@
 }
 
 func (fixture *fixture) crashes() int {
-	return fixture.guard.Book.Suspected(quarantine.FingerprintOf(service, requested)).Crashes
+	return fixture.guard.Tracker.Suspected(quarantine.FingerprintOf(service, requested)).Crashes
 }
 
 // Only evidence of a crash may count against a request: not planned exits, answers cut short by a live replica, or
@@ -246,7 +246,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			fixture := newFixture(t)
 			fingerprint := quarantine.FingerprintOf(service, requested)
-			fixture.guard.Book.RecordCrash(fingerprint, "r0", "other", time.Now(), time.Now())
+			fixture.guard.Tracker.RecordCrash(fingerprint, "r0", "other", time.Now(), time.Now())
 			fixture.network.answer = check.answer
 			_ = fixture.send(t.Context())
 			must.Eq(t, check.cleared, fixture.crashes() == 0, must.Sprint(check.name))
--- a/internal/quarantine/outbox.go
+++ b/internal/quarantine/outbox.go
@@ -112,7 +112,7 @@
 	guard.Broadcaster.Broadcast(notice)
 	time.AfterFunc(resendDelay, func() {
 		notice.Crashes = slices.DeleteFunc(slices.Clone(notice.Crashes), func(crash CrashReport) bool {
-			return guard.Book.Suspected(crash.Fingerprint).Crashes == 0
+			return guard.Tracker.Suspected(crash.Fingerprint).Crashes == 0
 		})
 		guard.Broadcaster.Broadcast(notice)
 	})
--- a/internal/quarantine/world_test.go
+++ b/internal/quarantine/world_test.go
@@ -100,7 +100,7 @@
 	archive := quarantine.NewRecordStore(ctx, world.store, health, book, name, logger)
 	archive.IsDeputy = func(fingerprint quarantine.Fingerprint) bool { return world.isDeputy(fingerprint, name) }
 	started := &node{world: world, name: name, started: time.Now(), ctx: ctx, cancel: cancel}
-	started.guard = &quarantine.Guard{Sender: started, Prober: world, Book: book, Catalog: world.table, Broadcaster: started, Persister: archive, IsDeputy: archive.IsDeputy, Node: name, Logger: logger}
+	started.guard = &quarantine.Guard{Sender: started, Prober: world, Tracker: book, Catalog: world.table, Broadcaster: started, Persister: archive, IsDeputy: archive.IsDeputy, Node: name, Logger: logger}
 	follower := &metadata.Follower{Store: world.store, Prefix: quarantine.Prefix, Handler: archive, Logger: logger, Health: health}
 	go health.Run(ctx)
 	go follower.Run(ctx)
--- a/internal/role/front.go
+++ b/internal/role/front.go
@@ -204,11 +204,11 @@
 	replicas := front.Catalog.Replicas()
 	inFlight := make(map[string]int, len(loads.GetReplicas()))
 	for _, load := range loads.GetReplicas() {
-		if replica := replicas.FindNamed(load.GetId()); replica != nil {
+		if replica := replicas.FindByName(load.GetId()); replica != nil {
 			inFlight[replica.ID] = int(load.GetInFlight())
 		}
 	}
-	front.loads.SetOthers(loads.GetNode(), inFlight, time.Now())
+	front.loads.SetRemote(loads.GetNode(), inFlight, time.Now())
 }
 
 // Ready reports whether this front can serve callers.
--- a/internal/role/metering.go
+++ b/internal/role/metering.go
@@ -22,7 +22,7 @@
 	ledger := metering.NewLedger(windows, clock)
 	meter := metering.NewMeter(front.Node, front.Incarnation, windows, clock, ledger)
 	return &usage{ledger: ledger, meter: meter, tallySender: &metering.TallySender{
-		Meter: meter, Listeners: &listeners{front: front, clients: make(map[string]meteringv1.Collector)}, Logger: front.Logger, Metrics: front.Metrics,
+		Meter: meter, Recipients: &recipients{front: front, clients: make(map[string]meteringv1.Collector)}, Logger: front.Logger, Metrics: front.Metrics,
 	}}
 }
 
@@ -32,8 +32,8 @@
 	return server.PathPrefix(), server
 }
 
-// listeners selects the nodes that receive a front's tallies. It implements metering.Listeners.
-type listeners struct {
+// recipients selects the nodes that receive a front's tallies. It implements metering.Listeners.
+type recipients struct {
 	front *Front
 
 	mu      sync.Mutex
@@ -43,7 +43,7 @@
 // maxClients bounds the number of cached clients; a full cache is cleared.
 const maxClients = 16
 
-func (listeners *listeners) client(address string) meteringv1.Collector {
+func (listeners *recipients) client(address string) meteringv1.Collector {
 	listeners.mu.Lock()
 	defer listeners.mu.Unlock()
 	if client := listeners.clients[address]; client != nil {
@@ -58,7 +58,7 @@
 }
 
 // Collector implements metering.Listeners.
-func (listeners *listeners) Collector() *metering.Recipient {
+func (listeners *recipients) Collector() *metering.Recipient {
 	collector := listeners.front.subscriber.Collector()
 	if collector == nil {
 		return nil
@@ -67,7 +67,7 @@
 }
 
 // Witness implements metering.Listeners.
-func (listeners *listeners) Witness() *metering.Recipient {
+func (listeners *recipients) Witness() *metering.Recipient {
 	record := listeners.front.Registry.RemotePeer()
 	if record == nil {
 		return nil
@@ -76,6 +76,6 @@
 }
 
 // IsRunning implements metering.Listeners.
-func (listeners *listeners) IsRunning(node string, incarnation int64) bool {
+func (listeners *recipients) IsRunning(node string, incarnation int64) bool {
 	return listeners.front.Registry.IsRegistered(node, incarnation)
 }
--- a/internal/role/orderer.go
+++ b/internal/role/orderer.go
@@ -129,11 +129,11 @@
 	go orderer.datagrams.Receive(orderer.ctx, cluster.Handlers{
 		RelayReport: func(report *clusterv1.RelayReport) {
 			if publisher := orderer.publisher.Load(); publisher != nil {
-				publisher.Reported(report)
+				publisher.HandleReport(report)
 			}
 		},
 		Demand: func(demand *clusterv1.Demand) {
-			orderer.Weights.SetDemand(weights.Demand{
+			orderer.Weights.RecordDemand(weights.Demand{
 				Job: demand.GetJobId(), Model: demand.GetModel(), Minimum: demand.GetMinimumVersion(), Work: demand.GetWork(), Items: int(demand.GetItems()),
 			})
 		},
@@ -180,7 +180,7 @@
 	if orderer.reporter != nil {
 		reporting.Go(func() { orderer.reporter.Run(ctx, term.Fence, term) })
 	}
-	orderer.Weights.Lead(ctx, term)
+	orderer.Weights.RunTerm(ctx, term)
 	reporting.Wait() // the next term must not begin before the reporter has stopped
 }
 
--- a/internal/role/peers.go
+++ b/internal/role/peers.go
@@ -66,7 +66,7 @@
 		loads.Replicas = append(loads.Replicas, &clusterv1.ReplicaLoad{Id: catalog.ReplicaName(id), InFlight: int32(count)})
 	}
 	names := front.owners.recent(now)
-	maps.Copy(names, front.loads.Telling(now))
+	maps.Copy(names, front.loads.ReportingNodes(now))
 	delete(names, front.Node)
-	front.datagrams.Send(&clusterv1.Datagram{Kind: &clusterv1.Datagram_Loads{Loads: loads}}, front.Registry.Named(names))
+	front.datagrams.Send(&clusterv1.Datagram{Kind: &clusterv1.Datagram_Loads{Loads: loads}}, front.Registry.Records(names))
 }
--- a/internal/role/quarantine.go
+++ b/internal/role/quarantine.go
@@ -16,7 +16,7 @@
 		return front.Registry.PreferredAnywhere(fingerprint.String()) == front.Node
 	}
 	return &quarantine.Guard{
-		IsDeputy: archive.IsDeputy, Sender: front.Sender, Prober: front.Prober, Book: book, Catalog: front.Catalog, Broadcaster: noticeBroadcaster{front}, Persister: archive,
+		IsDeputy: archive.IsDeputy, Sender: front.Sender, Prober: front.Prober, Tracker: book, Catalog: front.Catalog, Broadcaster: noticeBroadcaster{front}, Persister: archive,
 		Node: front.Node, Logger: front.Logger, Metrics: front.Metrics,
 	}, archive
 }
--- a/internal/role/standby.go
+++ b/internal/role/standby.go
@@ -32,7 +32,7 @@
 			}
 		}
 		orderer, err := front.StartOrderer()
-		front.Logger.Warn("standing for orderer", "silent_ms", front.subscriber.Silent(time.Now()).Milliseconds(), "error", err)
+		front.Logger.Warn("standing for orderer", "silent_ms", front.subscriber.PublisherSilence(time.Now()).Milliseconds(), "error", err)
 		if err != nil {
 			continue
 		}
@@ -43,5 +43,5 @@
 }
 
 func (front *Front) shouldStandBy(now time.Time) bool {
-	return front.subscriber.Silent(now) > standbyAfter && front.health.GoodFor(standbyStoreStable) && front.Registry.Preferred(standbyKey) == front.Node
+	return front.subscriber.PublisherSilence(now) > standbyAfter && front.health.GoodFor(standbyStoreStable) && front.Registry.Preferred(standbyKey) == front.Node
 }
--- a/internal/role/subscription.go
+++ b/internal/role/subscription.go
@@ -38,8 +38,8 @@
 }
 
 func (front *Front) handleBeacon(beacon *clusterv1.Beacon, from net.Addr) {
-	if front.subscriber.Heard(beacon, from) {
-		front.relays.Heard(beacon, from)
+	if front.subscriber.HandleBeacon(beacon, from) {
+		front.relays.HandleBeacon(beacon, from)
 	}
 }
 
@@ -47,9 +47,9 @@
 // zone or as a relay itself.
 func (front *Front) handleRelayReport(report *clusterv1.RelayReport) {
 	if publisher := front.zonePublisher.Load(); publisher != nil {
-		publisher.Reported(report)
+		publisher.HandleReport(report)
 	}
-	front.relays.Reported(report)
+	front.relays.HandleReport(report)
 }
 
 // announceStoreAnswers informs all other nodes that the metadata store answers again.
@@ -68,7 +68,7 @@
 // storeNeeded reports whether this front must detect an outage of the store quickly, because work depends on the store
 // or the publisher's beacons are late.
 func (front *Front) storeNeeded() bool {
-	return front.hasStoreWork() || front.subscriber.Doubts(time.Now())
+	return front.hasStoreWork() || front.subscriber.NeedsProbe(time.Now())
 }
 
 // hasStoreWork reports whether this front has work that an unavailable store blocks.
@@ -101,7 +101,7 @@
 			Topic: dissemination.Topic{Mirror: front.topics.replicas}, Nodes: dissemination.Topic{Mirror: front.topics.nodes}, Registry: front.Registry,
 			Logger: front.Logger, Metrics: front.Metrics,
 		}
-		snapshots.Take(ctx)
+		snapshots.Fetch(ctx)
 	}
 	read(front.topics.replicas, replicaInterval, metadata.ShortWatchTimeout)
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -140,22 +140,22 @@
 	}
 }
 
-// UpdateTaken counts an update received from another node and applied.
-func (metrics *Metrics) UpdateTaken(topic string, whole, packed bool) {
+// UpdateApplied counts an update received from another node and applied.
+func (metrics *Metrics) UpdateApplied(topic string, whole, packed bool) {
 	if metrics != nil {
 		metrics.updatesApplied.WithLabelValues(topic, strconv.FormatBool(whole), strconv.FormatBool(packed)).Inc()
 	}
 }
 
-// UpdateUnread counts an update received from another node that this build can't decode.
-func (metrics *Metrics) UpdateUnread(topic string) {
+// UpdateUndecodable counts an update received from another node that this build can't decode.
+func (metrics *Metrics) UpdateUndecodable(topic string) {
 	if metrics != nil {
 		metrics.updatesUnreadable.WithLabelValues(topic).Inc()
 	}
 }
 
-// EntryNotUsable counts an invalid replica entry.
-func (metrics *Metrics) EntryNotUsable() {
+// InvalidEntry counts an invalid replica entry.
+func (metrics *Metrics) InvalidEntry() {
 	if metrics != nil {
 		metrics.entriesUnusable.Inc()
 	}
@@ -189,22 +189,22 @@
 	}
 }
 
-// OldBeacon counts a beacon, which is a publisher's heartbeat, that was ignored because it was in transit for too long.
-func (metrics *Metrics) OldBeacon() {
+// StaleBeacon counts a beacon, which is a publisher's heartbeat, that was ignored because it was in transit for too long.
+func (metrics *Metrics) StaleBeacon() {
 	if metrics != nil {
 		metrics.oldBeacons.Inc()
 	}
 }
 
-// Reading counts a switch of this node to reading the metadata store directly.
-func (metrics *Metrics) Reading(reason string) {
+// StoreReadStarted counts a switch of this node to reading the metadata store directly.
+func (metrics *Metrics) StoreReadStarted(reason string) {
 	if metrics != nil {
 		metrics.storeReads.WithLabelValues(reason).Inc()
 	}
 }
 
-// UsageTold counts a call that sends usage tallies to a node with the given role.
-func (metrics *Metrics) UsageTold(role string, ok bool) {
+// UsageTalliesSent counts a call that sends usage tallies to a node with the given role.
+func (metrics *Metrics) UsageTalliesSent(role string, ok bool) {
 	if metrics != nil {
 		metrics.usageSent.WithLabelValues(role, outcomeOf(ok)).Inc()
 	}
@@ -217,8 +217,8 @@
 	}
 }
 
-// ReplicaEnded counts a replica that crashed while it ran a request of this node.
-func (metrics *Metrics) ReplicaEnded() {
+// ReplicaCrashed counts a replica that crashed while it ran a request of this node.
+func (metrics *Metrics) ReplicaCrashed() {
 	if metrics != nil {
 		metrics.replicaCrashes.Inc()
 	}
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -18,7 +18,7 @@
 	metrics.StoreCall("commit", "conflict", time.Millisecond)
 	metrics.Order("started")
 	metrics.Published("ok", time.Millisecond)
-	metrics.Reading("no_beacon")
+	metrics.StoreReadStarted("no_beacon")
 	recorder := httptest.NewRecorder()
 	metrics.Handler().ServeHTTP(recorder, httptest.NewRequest("GET", "/metrics", nil))
 	for _, line := range []string{
@@ -39,5 +39,5 @@
 	metrics.StoreCall("get", "ok", 0)
 	metrics.Order("held")
 	metrics.Published("failed", 0)
-	metrics.Reading("behind")
+	metrics.StoreReadStarted("behind")
 }
--- a/internal/weights/election.go
+++ b/internal/weights/election.go
@@ -133,7 +133,7 @@
 			standingIn = earlier
 			stopStandIn()
 			if earlier {
-				stopStandIn = election.standIn(ctx)
+				stopStandIn = election.startOnEarlierIncarnation(ctx)
 			}
 		}
 		if !election.awaitVacancy(ctx) {
@@ -159,8 +159,8 @@
 	return strings.HasPrefix(election.holder, election.Node+" ")
 }
 
-// standIn runs StandIn until the returned function is called.
-func (election *Election) standIn(ctx context.Context) (stop func()) {
+// startOnEarlierIncarnation runs StandIn until the returned function is called.
+func (election *Election) startOnEarlierIncarnation(ctx context.Context) (stop func()) {
 	if election.OnEarlierIncarnation == nil {
 		return func() {}
 	}
--- a/internal/weights/lead.go
+++ b/internal/weights/lead.go
@@ -33,8 +33,8 @@
 	ordersTaken map[string]int64            // number of orders that each replica has taken
 }
 
-// Lead gives orders until the term ends.
-func (orderer *Orderer) Lead(ctx context.Context, lease *Term) {
+// RunTerm gives orders until the term ends.
+func (orderer *Orderer) RunTerm(ctx context.Context, lease *Term) {
 	run := &termRun{
 		orderer: orderer, lease: lease, planners: make(map[string]*Planner), started: time.Now(), plannedCounts: make(map[string]int),
 		loads: make(map[string]*load), pausedUntil: make(map[string]time.Time), versions: make(map[string]map[string]int64), ordersTaken: make(map[string]int64),
--- a/internal/weights/orderer.go
+++ b/internal/weights/orderer.go
@@ -91,8 +91,8 @@
 	return max(minInterval, slices.Sorted(slices.Values(intervals))[len(intervals)/2])
 }
 
-// SetDemand records an open job of a model.
-func (orderer *Orderer) SetDemand(demand Demand) {
+// RecordDemand records an open job of a model.
+func (orderer *Orderer) RecordDemand(demand Demand) {
 	orderer.mu.Lock()
 	target := orderer.targets[demand.Model]
 	if lag := min(maxLag, max(0, target.Version-demand.Minimum)); target.Version > 0 && lag != target.Lag {
--- a/internal/weights/orderer_test.go
+++ b/internal/weights/orderer_test.go
@@ -156,7 +156,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		orderer := weights.NewOrderer("node", engines.table, engines, loadShare, log.New(io.Discard))
 		election := weights.NewElection(memstore.New(), "node", electionSettings, log.New(io.Discard))
-		go election.Run(ctx, orderer.Lead)
+		go election.Run(ctx, orderer.RunTerm)
 		time.Sleep(2 * time.Second)
 		run(t, engines, orderer)
 		cancel()
@@ -171,7 +171,7 @@
 		orderer.SetTarget("m", 2)
 		time.Sleep(5 * time.Second)
 		must.Eq(t, 2, engines.countAt(2))
-		orderer.SetDemand(weights.Demand{Model: "m", Minimum: 2})
+		orderer.RecordDemand(weights.Demand{Model: "m", Minimum: 2})
 		time.Sleep(3 * time.Second)
 		must.Eq(t, 4, engines.countAt(2))
 	})
@@ -185,7 +185,7 @@
 		}
 		for version := int64(2); version < 6; version++ {
 			orderer.SetTarget("m", version)
-			orderer.SetDemand(weights.Demand{Model: "m", Minimum: version})
+			orderer.RecordDemand(weights.Demand{Model: "m", Minimum: version})
 			time.Sleep(4 * time.Second)
 		}
 		time.Sleep(8 * time.Second)
@@ -205,7 +205,7 @@
 	for _, row := range []struct{ replicas, loading int }{{1, 1}, {8, 2}, {9, 2}, {35, 7}} {
 		withOrdererOf(t, row.replicas, 0.2, func(t *testing.T, engines *engines, orderer *weights.Orderer) {
 			orderer.SetTarget("m", 2)
-			orderer.SetDemand(weights.Demand{Model: "m", Minimum: 2})
+			orderer.RecordDemand(weights.Demand{Model: "m", Minimum: 2})
 			time.Sleep(500 * time.Millisecond)
 			must.Eq(t, row.loading, engines.loading())
 		})
@@ -218,8 +218,8 @@
 		engines.addService("other", "n", 4)
 		orderer.SetTarget("m", 2)
 		orderer.SetTarget("n", 2)
-		orderer.SetDemand(weights.Demand{Model: "m", Minimum: 2})
-		orderer.SetDemand(weights.Demand{Model: "n", Minimum: 2})
+		orderer.RecordDemand(weights.Demand{Model: "m", Minimum: 2})
+		orderer.RecordDemand(weights.Demand{Model: "n", Minimum: 2})
 		time.Sleep(6 * time.Second)
 		must.Eq(t, 8, engines.countAt(2))
 		must.Eq(t, 8, len(engines.accepted()))
@@ -232,7 +232,7 @@
 		orderer.SetTarget("m", 2)
 		time.Sleep(200 * time.Millisecond)
 		orderer.SetTarget("m", 3)
-		orderer.SetDemand(weights.Demand{Model: "m", Minimum: 2})
+		orderer.RecordDemand(weights.Demand{Model: "m", Minimum: 2})
 		time.Sleep(8 * time.Second)
 		must.GreaterEq(t, 10, engines.countAt(2)+engines.countAt(3))
 	})
--- a/internal/weights/suspension_test.go
+++ b/internal/weights/suspension_test.go
@@ -82,7 +82,7 @@
 		store := &nodeStore{Store: memstore.New()}
 		election := weights.NewElection(store, "node", electionSettings, log.New(io.Discard))
 		election.Clock = machine
-		go election.Run(ctx, orderer.Lead)
+		go election.Run(ctx, orderer.RunTerm)
 		time.Sleep(2 * time.Second)
 		before := len(engines.accepted())
 		machine.suspend(5 * time.Second)
