--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -284,10 +284,10 @@
 //
 // For more than maxSampled replicas, Pick compares those with an idle connection and a random sample, so that its work per request does
 // not grow with the fleet. If each of these is excluded, draining or ejected, Pick compares all replicas.
-func (choice *Picker) Pick(replicas catalog.ReplicaList, excluded []string, now time.Time) *catalog.Replica {
-	selection := &selection{choice: choice, excluded: excluded, now: now}
+func (picker *Picker) Pick(replicas catalog.ReplicaList, excluded []string, now time.Time) *catalog.Replica {
+	selection := &selection{picker: picker, excluded: excluded, now: now}
 	if replicas.Len() > maxSampled {
-		for _, id := range choice.Loads.idle(now) {
+		for _, id := range picker.Loads.idle(now) {
 			if replica := replicas.Find(id); replica != nil {
 				selection.consider(replica)
 			}
@@ -309,7 +309,7 @@
 
 // selection holds the best replica compared so far.
 type selection struct {
-	choice   *Picker
+	picker   *Picker
 	excluded []string
 	now      time.Time
 	best     *catalog.Replica
@@ -320,7 +320,7 @@
 	if replica.Draining || contains(selection.excluded, replica.ID) {
 		return
 	}
-	cost := selection.choice.cost(replica, selection.now)
+	cost := selection.picker.cost(replica, selection.now)
 	if selection.best == nil || cost < selection.cost {
 		selection.best, selection.cost = replica, cost
 	}
@@ -337,8 +337,8 @@
 
 // cost rates a replica by the fraction of its slots that all nodes use. Ejection, zone and idle connections change the cost, and a random
 // amount up to tieBreak spreads requests over equal replicas.
-func (choice *Picker) cost(replica *catalog.Replica, now time.Time) float64 {
-	reading := choice.Loads.Read(replica.ID, now)
+func (picker *Picker) cost(replica *catalog.Replica, now time.Time) float64 {
+	reading := picker.Loads.Read(replica.ID, now)
 	cost := float64(reading.InFlight)/float64(max(replica.Slots, 1)) + tieBreak*rand.Float64()
 	if reading.Ejected {
 		cost += ejectedCost
@@ -346,7 +346,7 @@
 	if reading.Idle {
 		cost -= idleBonus
 	}
-	if replica.Zone != choice.Zone {
+	if replica.Zone != picker.Zone {
 		cost += zoneCost
 	}
 	return cost
--- a/internal/backend/load_test.go
+++ b/internal/backend/load_test.go
@@ -23,9 +23,9 @@
 // still go to different replicas.
 func TestIdleConnectionsAreUsedFirst(t *testing.T) {
 	loads, now, list := backend.NewLoads(), time.Now(), replicas(15)
-	choice := backend.Picker{Loads: loads, Zone: "z"}
+	picker := backend.Picker{Loads: loads, Zone: "z"}
 	call := func(outcome backend.Outcome) string {
-		chosen := choice.Pick(list, nil, now)
+		chosen := picker.Pick(list, nil, now)
 		loads.Begin(chosen.ID, now)
 		now = now.Add(50 * time.Millisecond)
 		loads.End(chosen.ID, outcome, now)
@@ -37,13 +37,13 @@
 		must.Eq(t, first, call(backend.Served))
 	}
 	loads.Begin(first, now)
-	must.NotEq(t, first, choice.Pick(list, nil, now).ID, must.Sprint("the connection is in use"))
+	must.NotEq(t, first, picker.Pick(list, nil, now).ID, must.Sprint("the connection is in use"))
 	loads.End(first, backend.Failed, now)
 	must.False(t, loads.Read(first, now).Idle, must.Sprint("the connection of a failed request is closed"))
 	later := now.Add(time.Minute)
 	chosen := make(map[string]bool)
 	for range 200 {
-		chosen[choice.Pick(list, nil, later).ID] = true
+		chosen[picker.Pick(list, nil, later).ID] = true
 	}
 	must.Greater(t, 10, len(chosen), must.Sprint("idle connections expire"))
 }
@@ -53,9 +53,9 @@
 	for _, count := range []int{60, 2142, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			list := replicas(count)
-			choice := backend.Picker{Loads: backend.NewLoads(), Zone: "z"}
+			picker := backend.Picker{Loads: backend.NewLoads(), Zone: "z"}
 			for b.Loop() {
-				choice.Pick(list, nil, time.Now())
+				picker.Pick(list, nil, time.Now())
 			}
 		})
 	}
--- a/internal/batch/progress.go
+++ b/internal/batch/progress.go
@@ -130,14 +130,14 @@
 type FlushPolicy struct {
 	// MinInterval is the minimum time between two writes.
 	MinInterval time.Duration
-	// MaxWait is the maximum time that a finished result waits, unless Spacing requires more.
+	// MaxWait is the maximum time that a finished result waits, unless MinInterval requires more.
 	MaxWait time.Duration
 	// FinalMinInterval is the minimum time between two writes once the groups that the trainer waits for are complete.
 	FinalMinInterval time.Duration
 }
 
-// Delay returns how long the pending results wait from now on: until Longest after the oldest of them was finished, or not at
-// all once the groups that the trainer waits for are complete; but always until the spacing after the last write has passed.
+// Delay returns how long the pending results wait from now on: until MaxWait after the oldest of them was finished, or not at
+// all once the groups that the trainer waits for are complete; but always until the minimum interval after the last write has passed.
 func (policy FlushPolicy) Delay(progress *Progress, now, oldestPending, lastWrite time.Time) time.Duration {
 	due, spacing := oldestPending.Add(policy.MaxWait), policy.MinInterval
 	if progress.WantedComplete() || progress.Done() {
--- a/internal/batchlog/log.go
+++ b/internal/batchlog/log.go
@@ -39,7 +39,7 @@
 	Store metadata.Store
 	// Health delays attempts while the store is unreachable. It may be nil.
 	Health *metadata.Health
-	// Node is the name under which this node owns jobs. Life is the incarnation of its process.
+	// Node is the name under which this node owns jobs. Incarnation is that of its process.
 	Node        string
 	Incarnation int64
 }
--- a/internal/batchrun/generate.go
+++ b/internal/batchrun/generate.go
@@ -148,7 +148,7 @@
 	runner.scheduler.cancelWith(current, cancel)
 	watchdog := time.AfterFunc(stallLimit, func() { cancel(errStalled) })
 	defer watchdog.Stop()
-	answer, err := runner.Sender.Send(ctx, replica, newItemRequest(running, route))
+	response, err := runner.Sender.Send(ctx, replica, newItemRequest(running, route))
 	switch {
 	case backend.IsHeld(err):
 		runner.scheduler.cancelProbe(replica.ID)
@@ -157,25 +157,25 @@
 		runner.scheduler.clearRefusal(replica.ID)
 		return interruptedOutcome(ctx, running), 0
 	}
-	defer answer.Body.Close()
-	if answer.NotExecuted {
+	defer response.Body.Close()
+	if response.NotExecuted {
 		runner.scheduler.recordRefusal(replica.ID, time.Now())
-		return outcomeRefused, answer.Status
+		return outcomeRefused, response.Status
 	}
 	runner.scheduler.clearRefusal(replica.ID)
 	switch {
-	case answer.Status == http.StatusUnprocessableEntity:
+	case response.Status == http.StatusUnprocessableEntity:
 		running.rejected++
-		return outcomeRejected, answer.Status
-	case answer.Status == http.StatusInternalServerError:
+		return outcomeRejected, response.Status
+	case response.Status == http.StatusInternalServerError:
 		running.failures++
 		runner.scheduler.recordFailure(replica.ID, time.Now())
-		return outcomeFailed, answer.Status
-	case answer.Status >= http.StatusMultipleChoices:
-		return outcomeBroken, answer.Status
+		return outcomeFailed, response.Status
+	case response.Status >= http.StatusMultipleChoices:
+		return outcomeBroken, response.Status
 	}
-	stream := &itemStream{runner: runner, attempt: current, task: running, replica: replica, route: route, version: answer.WeightVersion, lastEventAt: time.Now()}
-	return stream.consume(ctx, runner.Decoder.Events(answer.Body), watchdog), answer.Status
+	stream := &itemStream{runner: runner, attempt: current, task: running, replica: replica, route: route, version: response.WeightVersion, lastEventAt: time.Now()}
+	return stream.consume(ctx, runner.Decoder.Events(response.Body), watchdog), response.Status
 }
 
 // interruptedOutcome returns the outcome of an attempt without a complete answer; ctx is the context of the attempt.
--- a/internal/batchrun/scheduler.go
+++ b/internal/batchrun/scheduler.go
@@ -207,8 +207,8 @@
 
 // chooseService returns the service chosen earlier if the route still has it, and otherwise a service drawn by weight.
 func chooseService(route *catalog.Route, drawn string) string {
-	for _, part := range route.Targets {
-		if part.Service == drawn && part.Weight > 0 {
+	for _, target := range route.Targets {
+		if target.Service == drawn && target.Weight > 0 {
 			return drawn
 		}
 	}
--- a/internal/batchrun/score.go
+++ b/internal/batchrun/score.go
@@ -110,9 +110,9 @@
 	if route == nil {
 		return nil, nil
 	}
-	choice := backend.Picker{Loads: runner.Loads, Zone: runner.Zone}
+	picker := backend.Picker{Loads: runner.Loads, Zone: runner.Zone}
 	service := forwarding.PickPart(route.Targets)
-	return route, choice.Pick(runner.Catalog.Replicas().Service(service), tried, time.Now())
+	return route, picker.Pick(runner.Catalog.Replicas().Service(service), tried, time.Now())
 }
 
 // scoreOnce sends one scoring request and returns the status and the signature. It returns status 0 and an error without a
@@ -127,7 +127,7 @@
 	runner.Loads.Begin(replica.ID, time.Now())
 	ended := backend.Failed
 	defer func() { runner.Loads.End(replica.ID, ended, time.Now()) }()
-	answer, err := runner.Sender.Send(ctx, replica, &backend.Request{
+	response, err := runner.Sender.Send(ctx, replica, &backend.Request{
 		ID: scorer.GetId(), Method: http.MethodPost, Host: scorer.GetHost(), Target: scorer.GetPath(), Header: http.Header{},
 		Body: scorer.GetBody(), Deadline: limit, Priority: -1, Exclusive: true,
 	})
@@ -137,13 +137,13 @@
 		}
 		return 0, "", err
 	}
-	defer answer.Body.Close()
-	if _, err := io.Copy(io.Discard, io.LimitReader(answer.Body, scoreReadLimit)); err != nil {
+	defer response.Body.Close()
+	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, scoreReadLimit)); err != nil {
 		return 0, "", err
 	}
 	ended = backend.Served
-	if answer.NotExecuted {
+	if response.NotExecuted {
 		return http.StatusServiceUnavailable, "", nil
 	}
-	return answer.Status, answer.Signature, nil
+	return response.Status, response.Signature, nil
 }
--- a/internal/catalog/replicaset_test.go
+++ b/internal/catalog/replicaset_test.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// FindNamed finds incarnations with and without a start time, also among names with a common prefix.
+// FindByName finds incarnations with and without a start time, also among names with a common prefix.
 func TestFindNamed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, ids := catalog.NewTable(), make(map[string]string)
--- a/internal/delivery/calls.go
+++ b/internal/delivery/calls.go
@@ -21,7 +21,7 @@
 	Definition step.Definition `cbor:"1,keyasint"`
 }
 
-// CreateResponse is the response to a CreateCall. Existed is true if the step already existed with the same content.
+// CreateResponse is the response to a CreateRequest. Existed is true if the step already existed with the same content.
 type CreateResponse struct {
 	Slots   int  `cbor:"1,keyasint"`
 	Existed bool `cbor:"2,keyasint"`
@@ -37,7 +37,7 @@
 	Newest  map[string]uint64 `cbor:"6,keyasint"` // by policy: the newest version that the trainer has
 }
 
-// DeliveredSample is one sample of a FetchAnswer, with its staleness at delivery.
+// DeliveredSample is one sample of a FetchResponse, with its staleness at delivery.
 type DeliveredSample struct {
 	Slot              uint32         `cbor:"1,keyasint"`
 	Generation        uint32         `cbor:"2,keyasint"`
@@ -46,7 +46,7 @@
 	StalenessAge      time.Duration  `cbor:"5,keyasint"`
 }
 
-// FetchResponse is the response to a FetchCall. NextCursor is the call's Cursor, plus one if Samples is not empty.
+// FetchResponse is the response to a FetchRequest. NextCursor is the request's Cursor, plus one if Samples is not empty.
 type FetchResponse struct {
 	Samples    []DeliveredSample `cbor:"1,keyasint"`
 	NextCursor uint64            `cbor:"2,keyasint"`
--- a/internal/delivery/service.go
+++ b/internal/delivery/service.go
@@ -260,16 +260,16 @@
 	deadline := time.NewTimer(request.Wait)
 	defer deadline.Stop()
 	for {
-		answer, changed, err := served.fetchNow(ctx, request)
-		if err != nil || len(answer.Samples) > 0 || answer.State != step.StateOpen {
-			return answer, err
+		response, changed, err := served.fetchNow(ctx, request)
+		if err != nil || len(response.Samples) > 0 || response.State != step.StateOpen {
+			return response, err
 		}
 		select {
 		case <-changed:
 		case <-deadline.C:
-			return answer, nil
+			return response, nil
 		case <-ctx.Done():
-			return answer, nil
+			return response, nil
 		}
 	}
 }
@@ -302,20 +302,20 @@
 	return served.newFetchAnswer(owned, request, decided), served.changed, nil
 }
 
-// newFetchAnswer returns the answer to a fetch and records the staleness of its samples.
+// newFetchResponse returns the answer to a fetch and records the staleness of its samples.
 func (served *servedPartition) newFetchAnswer(owned *ownedStep, request FetchRequest, decided step.FetchResult) FetchResponse {
-	answer := FetchResponse{NextCursor: request.Cursor, State: owned.step.Progress.State, Slots: owned.step.Definition.Slots(), Delivered: owned.step.Delivered()}
+	response := FetchResponse{NextCursor: request.Cursor, State: owned.step.Progress.State, Slots: owned.step.Definition.Slots(), Delivered: owned.step.Delivered()}
 	for _, delivery := range decided.Deliveries {
-		answer.Samples = append(answer.Samples, DeliveredSample{
+		response.Samples = append(response.Samples, DeliveredSample{
 			Slot: delivery.Slot, Generation: delivery.Generation, Sample: delivery.Sample,
 			StalenessVersions: delivery.Staleness.Versions, StalenessAge: delivery.Staleness.Age,
 		})
 		served.service.staleness.record(delivery.Sample.Policy, delivery.Staleness)
 	}
-	if len(answer.Samples) > 0 {
-		answer.NextCursor++
+	if len(response.Samples) > 0 {
+		response.NextCursor++
 	}
-	return answer
+	return response
 }
 
 func boundOf(document *experiment.Document, owned *ownedStep) (experiment.Bound, error) {
--- a/internal/dissemination/limits.go
+++ b/internal/dissemination/limits.go
@@ -7,7 +7,7 @@
 	// BeaconTimeout is how long beacons may be missing before the reader of a zone reads the store and relays the result to the nodes of
 	// its zone. RelayTimeout is how much longer those nodes wait for the reader before they read the store themselves.
 	BeaconTimeout, RelayTimeout time.Duration
-	// MaxLag is how long a node may lack a revision that a beacon announced, in addition to the pace of the topic.
+	// MaxLag is how long a node may lack a revision that a beacon announced, in addition to the minimum interval of the topic.
 	MaxLag time.Duration
 	// StartTimeout is how long a new process waits for a publisher.
 	StartTimeout time.Duration
--- a/internal/dissemination/pace_test.go
+++ b/internal/dissemination/pace_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against relays that apply the pace of the registry again: delays would add up along the tree, and nodes would read the store.
+// Guards against relays that apply the minimum interval of the registry again: delays would add up along the tree, and nodes would read the store.
 func TestPaceDoesNotAddUpAlongTheTree(t *testing.T) {
 	const nodes = 300
 	for _, fanOut := range []int{4, 8, 16} {
@@ -35,7 +35,7 @@
 }
 
 // callsOfPublisher counts the publisher's calls: watches of the registry at registryPace in twelve seconds and one more, and watches of the
-// two other topics, which end after metadata.ShortWait without a change.
+// two other topics, which end after metadata.ShortWatchTimeout without a change.
 const callsOfPublisher = 12*4 + 1 + 2*8
 
 // rollingRestart restarts all nodes one after the other within a given time.
--- a/internal/dissemination/packing.go
+++ b/internal/dissemination/packing.go
@@ -120,14 +120,14 @@
 	return unpacked, checkUnknownFields(unpacked)
 }
 
-// updateCache encodes each difference once for all nodes that lack the same revisions. It is safe for concurrent use.
+// updateCache encodes each delta once for all nodes that lack the same revisions. It is safe for concurrent use.
 type updateCache struct {
 	mu      sync.Mutex
 	packer  packer
 	encoded map[updateKey]encodedUpdate
 }
 
-// updateKey identifies a difference of a topic in one encoding.
+// updateKey identifies a delta of a topic in one encoding.
 type updateKey struct {
 	prefix   string
 	base     metadata.Revision
@@ -151,8 +151,8 @@
 	if known, ok := updates.encoded[key]; ok && known.changedAt == changedAt && metadata.Revision(known.update.GetRevision()) >= wanted {
 		return known.update, nil
 	}
-	difference := topic.Delta(base)
-	update := encodeDifference(&difference)
+	delta := topic.Delta(base)
+	update := encodeDifference(&delta)
 	if encoding == packed {
 		var err error
 		if update, err = updates.packer.pack(update); err != nil {
--- a/internal/dissemination/packing_test.go
+++ b/internal/dissemination/packing_test.go
@@ -34,8 +34,8 @@
 
 // Guards against large snapshots, which many nodes load when they start at the same time.
 func TestSnapshotIsSmall(t *testing.T) {
-	difference := replicaSnapshot(10_001)
-	plain := encodeDifference(&difference)
+	delta := replicaSnapshot(10_001)
+	plain := encodeDifference(&delta)
 	packed, err := (&packer{}).pack(plain)
 	must.NoError(t, err)
 	t.Logf("%d bytes, %d packed", proto.Size(plain), proto.Size(packed))
@@ -47,11 +47,11 @@
 	var packer packer
 	var unpacker unpacker
 	rapid.Check(t, func(t *rapid.T) {
-		difference := replicaSnapshot(rapid.IntRange(0, 40).Draw(t, "items"))
+		delta := replicaSnapshot(rapid.IntRange(0, 40).Draw(t, "items"))
 		for removal := range rapid.IntRange(0, 60).Draw(t, "removals") {
-			difference.Removals = append(difference.Removals, metadata.Removal{Key: fmt.Sprint("servers/", removal), Revision: metadata.Revision(removal)})
+			delta.Removals = append(delta.Removals, metadata.Removal{Key: fmt.Sprint("servers/", removal), Revision: metadata.Revision(removal)})
 		}
-		plain := encodeDifference(&difference)
+		plain := encodeDifference(&delta)
 		small, err := packer.pack(plain)
 		must.NoError(t, err)
 		must.LessEq(t, proto.Size(plain), proto.Size(small))
@@ -87,8 +87,8 @@
 func BenchmarkTakeSnapshot(b *testing.B) {
 	for _, count := range []int{1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			difference := replicaSnapshot(count)
-			packed, err := (&packer{}).pack(encodeDifference(&difference))
+			delta := replicaSnapshot(count)
+			packed, err := (&packer{}).pack(encodeDifference(&delta))
 			must.NoError(b, err)
 			var unpacker unpacker
 			for b.Loop() {
@@ -104,9 +104,9 @@
 func BenchmarkSnapshot(b *testing.B) {
 	for _, count := range []int{1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			difference := replicaSnapshot(count)
+			delta := replicaSnapshot(count)
 			for b.Loop() {
-				_, err := (&packer{}).pack(encodeDifference(&difference))
+				_, err := (&packer{}).pack(encodeDifference(&delta))
 				must.NoError(b, err)
 			}
 		})
--- a/internal/dissemination/snapshot.go
+++ b/internal/dissemination/snapshot.go
@@ -42,31 +42,31 @@
 }
 
 // Fetch asks neighbours until one of them returns a snapshot, and reports whether the topic has data afterwards.
-func (snapshots *SnapshotFetcher) Fetch(ctx context.Context) bool {
-	if !snapshots.awaitRegistry(ctx) {
-		return snapshots.Topic.Revision() > 0
+func (fetcher *SnapshotFetcher) Fetch(ctx context.Context) bool {
+	if !fetcher.awaitRegistry(ctx) {
+		return fetcher.Topic.Revision() > 0
 	}
-	neighbours := slices.DeleteFunc(slices.Clone(snapshots.Registry.Neighbours()), func(neighbour *clusterv1.NodeRecord) bool {
+	neighbours := slices.DeleteFunc(slices.Clone(fetcher.Registry.Neighbours()), func(neighbour *clusterv1.NodeRecord) bool {
 		return !capability.Has(neighbour, clusterv1.Capability_CAPABILITY_SNAPSHOTS)
 	})
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
 	rand.Shuffle(len(neighbours), func(a, b int) { neighbours[a], neighbours[b] = neighbours[b], neighbours[a] })
 	for _, neighbour := range neighbours[:min(len(neighbours), maxSnapshotAttempts)] {
-		if ctx.Err() != nil || snapshots.Topic.Revision() > 0 || snapshots.fetchFrom(ctx, neighbour) {
+		if ctx.Err() != nil || fetcher.Topic.Revision() > 0 || fetcher.fetchFrom(ctx, neighbour) {
 			break
 		}
 	}
-	return snapshots.Topic.Revision() > 0
+	return fetcher.Topic.Revision() > 0
 }
 
 // awaitRegistry waits until the registry has been read, and reports whether it has.
-func (snapshots *SnapshotFetcher) awaitRegistry(ctx context.Context) bool {
+func (fetcher *SnapshotFetcher) awaitRegistry(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
 	for {
-		changed := snapshots.Nodes.Changed()
-		if snapshots.Nodes.Revision() > 0 {
+		changed := fetcher.Nodes.Changed()
+		if fetcher.Nodes.Revision() > 0 {
 			return true
 		}
 		select {
@@ -78,29 +78,29 @@
 }
 
 // fetchFrom copies the topic from a neighbour, and reports whether the neighbour returned a readable snapshot.
-func (snapshots *SnapshotFetcher) fetchFrom(ctx context.Context, neighbour *clusterv1.NodeRecord) bool {
+func (fetcher *SnapshotFetcher) fetchFrom(ctx context.Context, neighbour *clusterv1.NodeRecord) bool {
 	started := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, snapshotCallTimeout)
 	defer cancel()
-	prefix := snapshots.Topic.Prefix()
-	response, err := snapshots.Registry.ClientOf(neighbour).Snapshot(ctx, &clusterv1.SnapshotRequest{Prefix: prefix, Capabilities: capability.Own()})
+	prefix := fetcher.Topic.Prefix()
+	response, err := fetcher.Registry.ClientOf(neighbour).Snapshot(ctx, &clusterv1.SnapshotRequest{Prefix: prefix, Capabilities: capability.Own()})
 	if err == nil && response.GetUpdate() == nil {
-		snapshots.Metrics.Snapshot("unknown")
-		snapshots.Logger.Info("neighbour has no snapshot", "prefix", prefix, "from", neighbour.GetName(), "took_ms", time.Since(started).Milliseconds())
+		fetcher.Metrics.Snapshot("unknown")
+		fetcher.Logger.Info("neighbour has no snapshot", "prefix", prefix, "from", neighbour.GetName(), "took_ms", time.Since(started).Milliseconds())
 		return false
 	}
 	var update *clusterv1.PrefixUpdate
 	if err == nil {
-		update, err = snapshots.unpacker.unpack(response.GetUpdate())
+		update, err = fetcher.unpacker.unpack(response.GetUpdate())
 	}
 	if err != nil {
-		snapshots.Metrics.Snapshot("failed")
-		snapshots.Logger.Warn("snapshot not taken", "prefix", prefix, "from", neighbour.GetName(), "error", err)
+		fetcher.Metrics.Snapshot("failed")
+		fetcher.Logger.Warn("snapshot not taken", "prefix", prefix, "from", neighbour.GetName(), "error", err)
 		return false
 	}
-	snapshots.Topic.ApplyDelta(decodeDifference(update))
-	snapshots.Metrics.Snapshot("ok")
-	snapshots.Logger.Info("snapshot taken", "prefix", prefix, "from", neighbour.GetName(), "revision", update.GetRevision(), "items", len(update.GetItems()),
+	fetcher.Topic.ApplyDelta(decodeDifference(update))
+	fetcher.Metrics.Snapshot("ok")
+	fetcher.Logger.Info("snapshot taken", "prefix", prefix, "from", neighbour.GetName(), "revision", update.GetRevision(), "items", len(update.GetItems()),
 		"took_ms", time.Since(started).Milliseconds())
 	return true
 }
@@ -121,5 +121,5 @@
 	return &clusterv1.SnapshotResponse{}, nil
 }
 
-// noRevision is the base of a difference that holds everything.
+// noRevision is the base of a delta that holds everything.
 const noRevision = metadata.Revision(0)
--- a/internal/dissemination/snapshot_test.go
+++ b/internal/dissemination/snapshot_test.go
@@ -55,10 +55,10 @@
 		}
 		requester := fleet.nodeAt(address(0))
 		unknown := dissemination.Topic{Mirror: metadata.NewMirror("servers/", metadata.Handlers{})}
-		snapshots := &dissemination.SnapshotFetcher{Topic: unknown, Nodes: requester.subscriber.Topics[2], Registry: requester.registry, Logger: log.New(io.Discard)}
-		must.Eq(t, cluster.Prefix, snapshots.Nodes.Prefix())
+		fetcher := &dissemination.SnapshotFetcher{Topic: unknown, Nodes: requester.subscriber.Topics[2], Registry: requester.registry, Logger: log.New(io.Discard)}
+		must.Eq(t, cluster.Prefix, fetcher.Nodes.Prefix())
 		started := time.Now()
-		must.False(t, snapshots.Fetch(context.Background()))
+		must.False(t, fetcher.Fetch(context.Background()))
 		must.LessEq(t, 810*time.Millisecond, time.Since(started))
 		must.GreaterEq(t, 400*time.Millisecond, time.Since(started))
 	})
--- a/internal/dissemination/subscriber_test.go
+++ b/internal/dissemination/subscriber_test.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// Guards against reading the store within the pace of a topic, and against lagging for longer.
+// Guards against reading the store within the minimum interval of a topic, and against lagging for longer.
 func TestPacedTopicMayLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		subscriber := newFixture()
--- a/internal/dissemination/topic.go
+++ b/internal/dissemination/topic.go
@@ -66,34 +66,34 @@
 	return list
 }
 
-func encodeDifference(difference *metadata.Delta) *clusterv1.PrefixUpdate {
+func encodeDifference(delta *metadata.Delta) *clusterv1.PrefixUpdate {
 	update := &clusterv1.PrefixUpdate{
-		Prefix: difference.Prefix, Revision: int64(difference.Revision), Whole: difference.IsSnapshot, BaseRevision: int64(difference.Base),
+		Prefix: delta.Prefix, Revision: int64(delta.Revision), Whole: delta.IsSnapshot, BaseRevision: int64(delta.Base),
 	}
-	for _, item := range difference.Items {
+	for _, item := range delta.Items {
 		update.Items = append(update.Items, &clusterv1.StoredItem{Key: item.Key, Value: item.Value, Revision: int64(item.Revision)})
 	}
-	for _, removal := range difference.Removals {
+	for _, removal := range delta.Removals {
 		update.Removals = append(update.Removals, &clusterv1.Removal{Key: removal.Key, Revision: int64(removal.Revision)})
 	}
 	return update
 }
 
 func decodeDifference(update *clusterv1.PrefixUpdate) *metadata.Delta {
-	difference := &metadata.Delta{
+	delta := &metadata.Delta{
 		Prefix: update.GetPrefix(), IsSnapshot: update.GetWhole(), Base: metadata.Revision(update.GetBaseRevision()),
 		Revision: metadata.Revision(update.GetRevision()),
 	}
 	for _, item := range update.GetItems() {
-		difference.Items = append(difference.Items, metadata.Item{Key: item.GetKey(), Value: item.GetValue(), Revision: metadata.Revision(item.GetRevision())})
+		delta.Items = append(delta.Items, metadata.Item{Key: item.GetKey(), Value: item.GetValue(), Revision: metadata.Revision(item.GetRevision())})
 	}
 	for _, removal := range update.GetRemovals() {
-		difference.Removals = append(difference.Removals, metadata.Removal{Key: removal.GetKey(), Revision: metadata.Revision(removal.GetRevision())})
+		delta.Removals = append(delta.Removals, metadata.Removal{Key: removal.GetKey(), Revision: metadata.Revision(removal.GetRevision())})
 	}
-	return difference
+	return delta
 }
 
-// withoutMinInterval returns topics as a relay pushes them: immediately. The origin already applies the pace. Applied again at each level of the
+// withoutMinInterval returns topics as a relay pushes them: immediately. The origin already applies the minimum interval. Applied again at each level of the
 // tree it would add up, while a node is allowed the delay of one level.
 func withoutMinInterval(topics []Topic) []Topic {
 	list := slices.Clone(topics)
--- a/internal/execution/runner.go
+++ b/internal/execution/runner.go
@@ -160,11 +160,11 @@
 func (run *run) route() *loads.Replica {
 	runner := run.runner
 	policy, _ := runner.document().Policy(run.request.Arm.Policy)
-	wanted := routing.Requirements{
+	requirements := routing.Requirements{
 		Arm: run.request.Arm, TargetVersion: policy.Target, Zone: runner.zone,
 		PrefixKey: run.request.PrefixKey, Preferred: run.request.Preferred, Excluded: run.excluded, MaxBatchFill: run.request.MaxBatchFill,
 	}
-	return runner.router.Route(&wanted, runner.loads.List())
+	return runner.router.Route(&requirements, runner.loads.List())
 }
 
 // waitForReplica pauses before the next selection, or returns the final result if the wait has ended.
--- a/internal/forwarding/answer.go
+++ b/internal/forwarding/answer.go
@@ -32,9 +32,9 @@
 func (run *run) deliver(result attemptResult) Result {
 	length := int64(len(result.body))
 	if result.rest != nil {
-		length = result.answer.Length
+		length = result.response.Length
 	}
-	return Result{Status: result.answer.Status, Header: result.answer.Header, Body: result.body, Length: length, Rest: result.rest, Reason: "replica"}
+	return Result{Status: result.response.Status, Header: result.response.Header, Body: result.body, Length: length, Rest: result.rest, Reason: "replica"}
 }
 
 // refuse returns a 503 result for a request that has not run and may be retried after RetryAfter.
--- a/internal/forwarding/bodies.go
+++ b/internal/forwarding/bodies.go
@@ -30,14 +30,14 @@
 func NewBodyReader() *BodyReader { return &BodyReader{free: semaphore.NewWeighted(bodyMemory)} }
 
 // Reserve reserves size bytes and reports whether they were available. Release returns them.
-func (bodies *BodyReader) Reserve(size int64) bool { return bodies.free.TryAcquire(size) }
+func (bodyReader *BodyReader) Reserve(size int64) bool { return bodyReader.free.TryAcquire(size) }
 
 // Release returns size bytes taken by Reserve.
-func (bodies *BodyReader) Release(size int64) { bodies.free.Release(size) }
+func (bodyReader *BodyReader) Release(size int64) { bodyReader.free.Release(size) }
 
 // Read reads a whole body of at most limit bytes. announced is the length that the caller declared, negative if it declared none.
 // release must be called once the body is no longer used, also after an error.
-func (bodies *BodyReader) Read(source io.Reader, announced, limit int64) (body []byte, release func(), err error) {
+func (bodyReader *BodyReader) Read(source io.Reader, announced, limit int64) (body []byte, release func(), err error) {
 	release = func() {}
 	if limit <= 0 {
 		limit = defaultBodyLimit
@@ -52,10 +52,10 @@
 		if size < 0 {
 			size = limit
 		}
-		if !bodies.Reserve(size) {
+		if !bodyReader.Reserve(size) {
 			return nil, release, ErrNoMemory
 		}
-		release = func() { bodies.Release(size) }
+		release = func() { bodyReader.Release(size) }
 		var rest []byte
 		rest, err = io.ReadAll(bounded)
 		body = append(body, rest...)
--- a/internal/forwarding/bodies_test.go
+++ b/internal/forwarding/bodies_test.go
@@ -14,19 +14,19 @@
 
 // No large body is accepted while the memory for bodies is exhausted.
 func TestBodiesAreBounded(t *testing.T) {
-	bodies := forwarding.NewBodyReader()
+	bodyReader := forwarding.NewBodyReader()
 	const size = 32 << 20
 	for range 3 {
-		must.True(t, bodies.Reserve(size))
+		must.True(t, bodyReader.Reserve(size))
 	}
-	must.False(t, bodies.Reserve(forwarding.SmallBody))
-	bodies.Release(size)
-	must.True(t, bodies.Reserve(size))
+	must.False(t, bodyReader.Reserve(forwarding.SmallBody))
+	bodyReader.Release(size)
+	must.True(t, bodyReader.Reserve(size))
 }
 
 // Read returns the whole body or the matching error, and each reservation is released.
 func TestBodiesRead(t *testing.T) {
-	bodies := forwarding.NewBodyReader()
+	bodyReader := forwarding.NewBodyReader()
 	large := strings.Repeat("x", 2*forwarding.SmallBody)
 	broken := io.MultiReader(strings.NewReader(large), iotest.ErrReader(errors.New("cut off")))
 	for name, c := range map[string]struct {
@@ -45,14 +45,14 @@
 		"large over the limit": {strings.NewReader(large), -1, int64(len(large)) - 1, 0, forwarding.ErrTooLarge},
 		"large, truncated":     {broken, -1, 1 << 20, 0, forwarding.ErrIncompleteBody},
 	} {
-		body, release, err := bodies.Read(c.source, c.announced, c.limit)
+		body, release, err := bodyReader.Read(c.source, c.announced, c.limit)
 		release()
 		must.True(t, errors.Is(err, c.failure), must.Sprint(name, err))
 		must.Len(t, c.length, body, must.Sprint(name))
 	}
 	const bodyMemory = 96 << 20
-	must.True(t, bodies.Reserve(bodyMemory), must.Sprint("a reservation was not released"))
-	_, release, err := bodies.Read(strings.NewReader(large), -1, 1<<20)
+	must.True(t, bodyReader.Reserve(bodyMemory), must.Sprint("a reservation was not released"))
+	_, release, err := bodyReader.Read(strings.NewReader(large), -1, 1<<20)
 	release()
 	must.ErrorIs(t, err, forwarding.ErrNoMemory)
 }
--- a/internal/forwarding/forwarding.go
+++ b/internal/forwarding/forwarding.go
@@ -78,19 +78,19 @@
 }
 
 // PickPart picks a part of a route at random by weight and returns its service; empty if no part has a weight.
-func PickPart(parts []catalog.RouteTarget) string {
+func PickPart(targets []catalog.RouteTarget) string {
 	total := 0
-	for _, part := range parts {
-		total += part.Weight
+	for _, target := range targets {
+		total += target.Weight
 	}
 	if total <= 0 {
 		return ""
 	}
 	drawn := rand.IntN(total)
-	for _, part := range parts {
-		drawn -= part.Weight
+	for _, target := range targets {
+		drawn -= target.Weight
 		if drawn < 0 {
-			return part.Service
+			return target.Service
 		}
 	}
 	return ""
--- a/internal/forwarding/forwarding_test.go
+++ b/internal/forwarding/forwarding_test.go
@@ -188,10 +188,10 @@
 
 // PickPart distributes requests over the parts of a route in proportion to their weights.
 func TestPickPart(t *testing.T) {
-	parts := []catalog.RouteTarget{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}
+	targets := []catalog.RouteTarget{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}
 	counts := make(map[string]int)
 	for range 10000 {
-		counts[forwarding.PickPart(parts)]++
+		counts[forwarding.PickPart(targets)]++
 	}
 	must.Between(t, 8800, counts["a"], 9200)
 	must.Eq(t, 0, counts["c"])
--- a/internal/forwarding/run.go
+++ b/internal/forwarding/run.go
@@ -38,11 +38,11 @@
 }
 
 type attemptResult struct {
-	replica string
-	answer  *backend.Response
-	body    []byte
-	rest    io.ReadCloser
-	err     error
+	replica  string
+	response *backend.Response
+	body     []byte
+	rest     io.ReadCloser
+	err      error
 }
 
 // hasNotRun reports whether the replica is known not to have started the request.
@@ -50,7 +50,7 @@
 	if result.err != nil {
 		return errors.Is(result.err, backend.ErrNotSent)
 	}
-	return result.answer.NotExecuted
+	return result.response.NotExecuted
 }
 
 // held returns the error of a request that was not sent because it is held; nil otherwise.
@@ -111,8 +111,8 @@
 		return false
 	}
 	now := time.Now()
-	choice := backend.Picker{Loads: run.forwarder.Loads, Zone: run.forwarder.Zone}
-	replica := choice.Pick(run.forwarder.Catalog.Replicas().Service(run.service), run.tried, now)
+	picker := backend.Picker{Loads: run.forwarder.Loads, Zone: run.forwarder.Zone}
+	replica := picker.Pick(run.forwarder.Catalog.Replicas().Service(run.service), run.tried, now)
 	if replica == nil {
 		return false
 	}
@@ -133,12 +133,12 @@
 	loads.Begin(replica.ID, time.Now())
 	withdraw := run.forwarder.countRun(request.Tenant)
 	result := attemptResult{replica: replica.ID}
-	result.answer, result.err = run.forwarder.Sender.Send(ctx, replica, request)
+	result.response, result.err = run.forwarder.Sender.Send(ctx, replica, request)
 	if result.hasNotRun() {
 		withdraw()
 	}
 	if result.err == nil {
-		result.body, result.rest, result.err = readBody(result.answer, run.route.Kind == catalog.Stream)
+		result.body, result.rest, result.err = readBody(result.response, run.route.Kind == catalog.Stream)
 	}
 	outcome := backend.Served
 	switch {
@@ -153,23 +153,23 @@
 
 // readBody buffers an answer up to the buffer limit. The returned reader is nil if nothing is left to read; otherwise it yields the rest of a
 // longer answer, or a whole stream.
-func readBody(answer *backend.Response, stream bool) ([]byte, io.ReadCloser, error) {
-	if stream && answer.Status < http.StatusMultipleChoices {
-		return nil, answer.Body, nil
+func readBody(response *backend.Response, stream bool) ([]byte, io.ReadCloser, error) {
+	if stream && response.Status < http.StatusMultipleChoices {
+		return nil, response.Body, nil
 	}
 	var buffer bytes.Buffer
-	if answer.Length > 0 && answer.Length <= bufferLimit {
-		buffer.Grow(int(answer.Length) + bytes.MinRead)
+	if response.Length > 0 && response.Length <= bufferLimit {
+		buffer.Grow(int(response.Length) + bytes.MinRead)
 	}
-	_, err := io.Copy(&buffer, io.LimitReader(answer.Body, bufferLimit))
+	_, err := io.Copy(&buffer, io.LimitReader(response.Body, bufferLimit))
 	if err != nil {
-		answer.Body.Close()
+		response.Body.Close()
 		return nil, nil, errors.Mark(err, backend.ErrBroken)
 	}
 	if buffer.Len() == bufferLimit {
-		return buffer.Bytes(), answer.Body, nil
+		return buffer.Bytes(), response.Body, nil
 	}
-	answer.Body.Close()
+	response.Body.Close()
 	return buffer.Bytes(), nil, nil
 }
 
@@ -177,9 +177,9 @@
 func (run *run) handleResult(ctx context.Context, result attemptResult) (Result, bool) {
 	run.logFailure(result)
 	switch {
-	case result.err == nil && result.answer.NotExecuted:
+	case result.err == nil && result.response.NotExecuted:
 		closeRest(result)
-	case result.err == nil && (result.answer.Status < http.StatusInternalServerError || !run.route.Idempotent()):
+	case result.err == nil && (result.response.Status < http.StatusInternalServerError || !run.route.Idempotent()):
 		return run.deliver(result), true
 	case result.err == nil:
 		run.keepFailure(result)
@@ -209,9 +209,9 @@
 	case result.err != nil:
 		run.forwarder.Logger.Info("attempt failed", "request", run.call.Request.ID, "replica", result.replica, "sent", !errors.Is(result.err, backend.ErrNotSent),
 			"after_ms", time.Since(run.started).Milliseconds(), "fingerprint", run.fingerprint(result), "error", result.err)
-	case result.answer.NotExecuted || result.answer.Status >= http.StatusInternalServerError:
-		run.forwarder.Logger.Info("attempt failed", "request", run.call.Request.ID, "replica", result.replica, "status", result.answer.Status,
-			"not_executed", result.answer.NotExecuted, "after_ms", time.Since(run.started).Milliseconds())
+	case result.response.NotExecuted || result.response.Status >= http.StatusInternalServerError:
+		run.forwarder.Logger.Info("attempt failed", "request", run.call.Request.ID, "replica", result.replica, "status", result.response.Status,
+			"not_executed", result.response.NotExecuted, "after_ms", time.Since(run.started).Milliseconds())
 	}
 }
 
--- a/internal/gateway/steps.go
+++ b/internal/gateway/steps.go
@@ -101,15 +101,15 @@
 	if err := definition.Check(); err != nil {
 		return err
 	}
-	answer, err := callOwner[delivery.CreateResponse](gateway, request.Context(), body.Step, delivery.CreateRequest{Definition: definition}, 0, controlv1.Steps.Create)
+	response, err := callOwner[delivery.CreateResponse](gateway, request.Context(), body.Step, delivery.CreateRequest{Definition: definition}, 0, controlv1.Steps.Create)
 	if err != nil {
 		return err
 	}
 	code := result.Done
-	if answer.Existed {
+	if response.Existed {
 		code = result.DoneAlready
 	}
-	writeJSON(writer, http.StatusOK, StepResponse{Step: body.Step, Slots: answer.Slots, Existed: answer.Existed, Code: int(code)})
+	writeJSON(writer, http.StatusOK, StepResponse{Step: body.Step, Slots: response.Slots, Existed: response.Existed, Code: int(code)})
 	return nil
 }
 
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -234,24 +234,24 @@
 
 // nextOrder returns the next order that brings a replica closer to the configuration of a policy, and whether an order is due.
 func nextOrder(policy experiment.Policy, report engine.Report) (engine.Order, bool) {
-	held := engine.LoadedPolicy{}
+	loaded := engine.LoadedPolicy{}
 	for _, candidate := range report.Policies {
 		if candidate.Policy == policy.Name {
-			held = candidate
+			loaded = candidate
 		}
 	}
 	order := engine.Order{Policy: policy.Name}
 	switch {
 	case policy.State == experiment.PolicyRetired:
 		order.Action = engine.ActionDiscard
-		return order, held.Active != 0 || held.Staged != 0
-	case held.Active != policy.Target && held.Staged == policy.Target:
+		return order, loaded.Active != 0 || loaded.Staged != 0
+	case loaded.Active != policy.Target && loaded.Staged == policy.Target:
 		order.Action, order.Version = engine.ActionActivate, policy.Target
 		return order, true
-	case held.Active != policy.Target:
+	case loaded.Active != policy.Target:
 		order.Action, order.Version = engine.ActionStage, policy.Target
 		return order, true
-	case policy.Published > policy.Target && held.Staged != policy.Published:
+	case policy.Published > policy.Target && loaded.Staged != policy.Published:
 		order.Action, order.Version = engine.ActionStage, policy.Published
 		return order, true
 	default:
--- a/internal/home/home_test.go
+++ b/internal/home/home_test.go
@@ -19,7 +19,7 @@
 	policy := experiment.Policy{Name: "p", State: experiment.PolicyActive, Target: 2, Published: 3}
 	cases := []struct {
 		name   string
-		held   engine.LoadedPolicy
+		loaded engine.LoadedPolicy
 		state  experiment.PolicyState
 		action engine.Action
 		number uint64
@@ -35,9 +35,9 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			test.held.Policy = "p"
+			test.loaded.Policy = "p"
 			policy.State = test.state
-			order, due := nextOrder(policy, engine.Report{Policies: []engine.LoadedPolicy{test.held}})
+			order, due := nextOrder(policy, engine.Report{Policies: []engine.LoadedPolicy{test.loaded}})
 			must.Eq(t, test.due, due)
 			if due {
 				must.Eq(t, test.action, order.Action)
--- a/internal/membership/prober.go
+++ b/internal/membership/prober.go
@@ -43,13 +43,13 @@
 // Prober runs the membership protocol: it probes one member per tick, answers probes, and joins through seeds. It
 // implements the Twirp service Membership.
 type Prober struct {
-	settings  ProberSettings
-	table     *Table
-	directory *peers.Directory
-	spread    RevisionExchange
-	seeds     func() []string
-	logger    *log.Logger
-	health    health
+	settings         ProberSettings
+	table            *Table
+	directory        *peers.Directory
+	revisionExchange RevisionExchange
+	seeds            func() []string
+	logger           *log.Logger
+	health           health
 
 	mu         sync.Mutex // guards the fields below
 	random     *rand.Rand
@@ -58,8 +58,8 @@
 }
 
 // NewProber returns a prober. The function seeds returns the control addresses through which this node joins.
-func NewProber(settings ProberSettings, table *Table, directory *peers.Directory, spread RevisionExchange, seeds func() []string, seed uint64, logger *log.Logger) *Prober {
-	return &Prober{settings: settings, table: table, directory: directory, spread: spread, seeds: seeds, logger: logger,
+func NewProber(settings ProberSettings, table *Table, directory *peers.Directory, revisionExchange RevisionExchange, seeds func() []string, seed uint64, logger *log.Logger) *Prober {
+	return &Prober{settings: settings, table: table, directory: directory, revisionExchange: revisionExchange, seeds: seeds, logger: logger,
 		random: rand.New(rand.NewPCG(seed, seed))}
 }
 
@@ -172,12 +172,12 @@
 }
 
 func (prober *Prober) revisions() *controlv1.Revisions {
-	known := prober.spread.Revisions()
+	known := prober.revisionExchange.Revisions()
 	return &controlv1.Revisions{Configuration: known.Configuration, Partitions: known.Partitions, Machines: known.Machines}
 }
 
 func (prober *Prober) handleRevisions(address string, message *controlv1.Revisions) {
-	prober.spread.HandleRevisions(address, Revisions{
+	prober.revisionExchange.HandleRevisions(address, Revisions{
 		Configuration: message.GetConfiguration(), Partitions: message.GetPartitions(), Machines: message.GetMachines(),
 	})
 }
--- a/internal/metadata/follow.go
+++ b/internal/metadata/follow.go
@@ -54,7 +54,7 @@
 	Logger  *log.Logger
 	// Health restarts watches after an outage of the store. It may be nil.
 	Health *Health
-	// Wait returns how long the next watch waits. Nil means LongWait.
+	// Wait returns how long the next watch waits. Nil means LongWatchTimeout.
 	Wait func() time.Duration
 	// MinInterval is the pause after a watch that returned events, so that changes in quick succession share a call.
 	MinInterval time.Duration
--- a/internal/metadata/health.go
+++ b/internal/metadata/health.go
@@ -37,7 +37,7 @@
 	store  Store
 	logger *log.Logger
 	// Nodes returns the number of nodes that share the probes of a lost store, or zero if it is not known yet. The more nodes there are,
-	// the less often each of them probes. A node that gets a response again notifies the others through OnRegained. If Nodes is nil, this
+	// the less often each of them probes. A node that gets a response again notifies the others through OnRecovered. If Nodes is nil, this
 	// node does not share probes. It must be set before Run.
 	Nodes func() int
 	// ProbeNeeded reports whether this node has to detect the loss of the store soon. While it returns false, a store that is not known to be
@@ -68,7 +68,7 @@
 
 // Run probes the store until the context ends.
 func (health *Health) Run(ctx context.Context) {
-	notified := false // whether the next probe was requested by Told or Doubt
+	notified := false // whether the next probe was requested by NotifyRecovered or RequestProbe
 	for ctx.Err() == nil {
 		if health.Good() && !notified && !health.needed() {
 			notified = health.await(ctx, needCheckInterval)
--- a/internal/metadata/memstore/store.go
+++ b/internal/metadata/memstore/store.go
@@ -73,7 +73,7 @@
 	return store.calls
 }
 
-// enter counts a call and applies the Down and Silent faults. It returns the faults in effect.
+// enter counts a call and applies the Down and Hang faults. It returns the faults in effect.
 func (store *Store) enter(ctx context.Context) (Faults, error) {
 	store.mu.Lock()
 	store.calls++
--- a/internal/metadata/mirror.go
+++ b/internal/metadata/mirror.go
@@ -18,7 +18,7 @@
 	Revision Revision
 }
 
-// Delta is a delta that brings a mirror of Prefix from revision Base to Revision. If Whole is set, it is a snapshot: Items holds all
+// Delta is a delta that brings a mirror of Prefix from revision Base to Revision. If IsSnapshot is set, it is a snapshot: Items holds all
 // keys, and Base is ignored.
 type Delta struct {
 	Prefix     string
@@ -30,7 +30,7 @@
 }
 
 // Mirror holds a copy of the keys under a prefix as of a revision, and passes changes on to a handler. It receives changes as the Handler
-// of a Follower, and as differences from the mirrors of other nodes. These may arrive concurrently and in any order: changes that the
+// of a Follower, and as deltas from the mirrors of other nodes. These may arrive concurrently and in any order: changes that the
 // mirror already has are ignored, so its revision never decreases. It is safe for concurrent use.
 type Mirror struct {
 	prefix  string
@@ -249,15 +249,15 @@
 	mirror.notifyAdvanced()
 }
 
-// Delta returns the difference that brings a mirror at revision base up to date. It holds all items if base is zero or older than the
+// Delta returns the delta that brings a mirror at revision base up to date. It holds all items if base is zero or older than the
 // change log. Otherwise its size and cost depend on the number of changes since base, not on the number of keys.
 func (mirror *Mirror) Delta(base Revision) Delta {
 	mirror.mu.Lock()
 	defer mirror.mu.Unlock()
-	difference := Delta{Prefix: mirror.prefix, Base: base, Revision: mirror.revision, IsSnapshot: base == 0 || base < mirror.logStart}
-	if difference.IsSnapshot {
-		difference.Items = slices.Collect(maps.Values(mirror.items))
-		return difference
+	delta := Delta{Prefix: mirror.prefix, Base: base, Revision: mirror.revision, IsSnapshot: base == 0 || base < mirror.logStart}
+	if delta.IsSnapshot {
+		delta.Items = slices.Collect(maps.Values(mirror.items))
+		return delta
 	}
 	included := make(map[string]bool)
 	for _, change := range mirror.changesAfter(base) {
@@ -266,36 +266,36 @@
 		}
 		included[change.key] = true
 		if item, found := mirror.items[change.key]; found {
-			difference.Items = append(difference.Items, item)
+			delta.Items = append(delta.Items, item)
 			continue
 		}
-		difference.Removals = append(difference.Removals, Removal{change.key, mirror.tombstones[change.key]})
+		delta.Removals = append(delta.Removals, Removal{change.key, mirror.tombstones[change.key]})
 	}
-	return difference
+	return delta
 }
 
-// ApplyDelta applies a difference and returns the mirror's revision afterwards. It ignores a difference that is not newer than the mirror, and
+// ApplyDelta applies a delta and returns the mirror's revision afterwards. It ignores a delta that is not newer than the mirror, and
 // one whose base the mirror has not reached.
-func (mirror *Mirror) ApplyDelta(difference *Delta) Revision {
+func (mirror *Mirror) ApplyDelta(delta *Delta) Revision {
 	mirror.mu.Lock()
 	defer mirror.mu.Unlock()
 	switch {
-	case mirror.loaded && difference.Revision <= mirror.revision:
+	case mirror.loaded && delta.Revision <= mirror.revision:
 		return mirror.revision
-	case difference.IsSnapshot:
-		mirror.replace(difference.Items, difference.Revision)
+	case delta.IsSnapshot:
+		mirror.replace(delta.Items, delta.Revision)
 		return mirror.revision
-	case !mirror.loaded || mirror.revision < difference.Base:
+	case !mirror.loaded || mirror.revision < delta.Base:
 		return mirror.revision
 	}
-	events := make([]Event, 0, len(difference.Items)+len(difference.Removals))
-	for _, item := range difference.Items {
+	events := make([]Event, 0, len(delta.Items)+len(delta.Removals))
+	for _, item := range delta.Items {
 		events = append(events, Event{Item: item})
 	}
-	for _, removal := range difference.Removals {
+	for _, removal := range delta.Removals {
 		events = append(events, Event{Item: Item{Key: removal.Key, Revision: removal.Revision}, Deleted: true})
 	}
 	slices.SortFunc(events, func(a, b Event) int { return cmp.Compare(a.Revision, b.Revision) })
-	mirror.apply(events, difference.Revision)
+	mirror.apply(events, delta.Revision)
 	return mirror.revision
 }
--- a/internal/metadata/mirror_test.go
+++ b/internal/metadata/mirror_test.go
@@ -87,8 +87,8 @@
 	return &testMirror{Mirror: metadata.NewMirror("nodes/", view), view: view}
 }
 
-// Mirrors must never go back to an older revision, whatever listings, events and late, repeated or stale differences they receive.
-// A difference from an up-to-date mirror must bring each of them to the state of the store.
+// Mirrors must never go back to an older revision, whatever listings, events and late, repeated or stale deltas they receive.
+// A delta from an up-to-date mirror must bring each of them to the state of the store.
 func TestMirrorsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &history{current: make(map[string]metadata.Item)}
@@ -114,7 +114,7 @@
 				}
 			case 4: // a process restarts
 				mirrors[0] = newTestMirror(t)
-			case 5: // another mirror creates a difference, from a base that may not be the receiver's revision
+			case 5: // another mirror creates a delta, from a base that may not be the receiver's revision
 				from := mirrors[rapid.IntRange(0, 2).Draw(t, "from")]
 				base := metadata.Revision(rapid.Int64Range(0, int64(store.revision())).Draw(t, "base"))
 				if rapid.Bool().Draw(t, "asked") {
@@ -123,10 +123,10 @@
 				if from.Revision() > 0 {
 					late = append(late, from.Delta(base))
 				}
-			case 6: // the mirror receives one of the differences
+			case 6: // the mirror receives one of the deltas
 				if len(late) > 0 {
-					difference := late[rapid.IntRange(0, len(late)-1).Draw(t, "difference")]
-					known := mirror.ApplyDelta(&difference)
+					delta := late[rapid.IntRange(0, len(late)-1).Draw(t, "difference")]
+					known := mirror.ApplyDelta(&delta)
 					must.Eq(t, known, mirror.Revision())
 				}
 			}
@@ -134,8 +134,8 @@
 		store.change(t)
 		source.Apply(store.events, store.revision())
 		for _, mirror := range append(mirrors, source) {
-			difference := source.Delta(mirror.Revision())
-			must.Eq(t, store.revision(), mirror.ApplyDelta(&difference))
+			delta := source.Delta(mirror.Revision())
+			must.Eq(t, store.revision(), mirror.ApplyDelta(&delta))
 			must.MapLen(t, len(store.current), mirror.view.revisions)
 			for key, item := range store.current {
 				must.Eq(t, item.Revision, mirror.view.revisions[key])
@@ -144,7 +144,7 @@
 	})
 }
 
-// A difference must hold only the changed keys, also after the source has listed all keys again, and must hold all keys if its base is older
+// A delta must hold only the changed keys, also after the source has listed all keys again, and must hold all keys if its base is older
 // than the change log.
 func TestDifferencesAreSmall(t *testing.T) {
 	mirror := metadata.NewMirror("nodes/", discardHandler{})
@@ -155,10 +155,10 @@
 	mirror.Reset(items, 6)
 	items[7].Revision = 8
 	mirror.Reset(items[1:], 9)
-	difference := mirror.Delta(6)
-	must.False(t, difference.IsSnapshot)
-	must.Eq(t, []metadata.Item{items[7]}, difference.Items)
-	must.Eq(t, []metadata.Removal{{Key: "nodes/0", Revision: 9}}, difference.Removals)
+	delta := mirror.Delta(6)
+	must.False(t, delta.IsSnapshot)
+	must.Eq(t, []metadata.Item{items[7]}, delta.Items)
+	must.Eq(t, []metadata.Removal{{Key: "nodes/0", Revision: 9}}, delta.Removals)
 	whole := mirror.Delta(5)
 	must.True(t, whole.IsSnapshot)
 	must.Len(t, 2999, whole.Items)
@@ -235,7 +235,7 @@
 	must.Eq(t, 1, mirror.Revision())
 }
 
-// A difference from any base must bring a mirror to the source's state, also after the oldest changes have been trimmed from the log.
+// A delta from any base must bring a mirror to the source's state, also after the oldest changes have been trimmed from the log.
 func TestDifferencesOfLongHistories(t *testing.T) {
 	const changes, keys = 12_000, 40
 	discard := func() *metadata.Mirror { return metadata.NewMirror("nodes/", metadata.Handlers{}) }
@@ -263,11 +263,11 @@
 			list = append(list, metadata.Item{Key: key, Revision: revision})
 		}
 		receiver.Reset(list, base)
-		difference := source.Delta(base)
-		if difference.IsSnapshot {
+		delta := source.Delta(base)
+		if delta.IsSnapshot {
 			whole++
 		}
-		receiver.ApplyDelta(&difference)
+		receiver.ApplyDelta(&delta)
 		got := make(map[string]metadata.Revision)
 		for _, item := range receiver.Delta(0).Items {
 			got[item.Key] = item.Revision
@@ -277,7 +277,7 @@
 	must.Between(t, 1, whole, len(held)-1)
 }
 
-// The cost of a difference of one change must not depend on the number of keys.
+// The cost of a delta of one change must not depend on the number of keys.
 func BenchmarkDifferenceOfOneChange(b *testing.B) {
 	for _, count := range []int{100, 10_000, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/internal/metering/cluster_test.go
+++ b/internal/metering/cluster_test.go
@@ -165,7 +165,7 @@
 	return metering.Service{Ledger: client.ledger}.Tell(ctx, request)
 }
 
-// frontListeners provides the listeners of a front.
+// frontRecipients provides the recipients of a front.
 type frontListeners struct {
 	cluster *cluster
 	name    string
@@ -218,8 +218,8 @@
 	created.meter = metering.NewMeter(name, created.incarnation, windows, clock, created.ledger)
 	cluster.fronts[name] = created
 	cluster.mu.Unlock()
-	teller := &metering.TallySender{Meter: created.meter, Recipients: frontListeners{cluster, name, index}, Logger: log.New(io.Discard)}
-	go teller.Run(ctx)
+	sender := &metering.TallySender{Meter: created.meter, Recipients: frontListeners{cluster, name, index}, Logger: log.New(io.Discard)}
+	go sender.Run(ctx)
 }
 
 func (cluster *cluster) killFront(index int) {
--- a/internal/metering/reporter.go
+++ b/internal/metering/reporter.go
@@ -228,7 +228,7 @@
 }
 
 // callContext returns the context of a report call. A call may take longer than the remaining lease at its start, so the context does not end
-// while the lease is renewed. It ends after reportTimeout, or when Overhang has passed since the expiry of the lease.
+// while the lease is renewed. It ends after reportTimeout, or when CallGrace has passed since the expiry of the lease.
 func (work *termWork) callContext(parent context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(parent, reportTimeout)
 	go func() {
--- a/internal/metering/teller.go
+++ b/internal/metering/tally_sender.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// sendInterval is the least time between two calls to a listener. Changes of tallies within it share a call.
+	// sendInterval is the least time between two calls to a recipient. Changes of tallies within it share a call.
 	sendInterval = 100 * time.Millisecond
 	// sendRetryDelay is the additional delay after a failed call.
 	sendRetryDelay = 300 * time.Millisecond
-	// pollInterval is how often a Teller checks for a new collector or witness, and for tallies of processes that no longer run.
+	// pollInterval is how often a TallySender checks for a new collector or witness, and for tallies of processes that no longer run.
 	pollInterval = 500 * time.Millisecond
 	sendTimeout  = 400 * time.Millisecond
 )
@@ -25,7 +25,7 @@
 // Recipient is a node to which tallies are sent.
 type Recipient struct {
 	Name string
-	// Epoch changes when the listener may have lost the tallies that it acknowledged.
+	// Epoch changes when the recipient may have lost the tallies that it acknowledged.
 	Epoch  int64
 	Client meteringv1.Collector
 }
@@ -50,12 +50,12 @@
 }
 
 // Run sends tallies until the context ends.
-func (teller *TallySender) Run(ctx context.Context) {
-	collector, witness := &sendState{teller: teller, role: "collector"}, &sendState{teller: teller, role: "witness"}
+func (sender *TallySender) Run(ctx context.Context) {
+	collector, witness := &sendState{sender: sender, role: "collector"}, &sendState{sender: sender, role: "witness"}
 	for ctx.Err() == nil {
 		var calls sync.WaitGroup
-		calls.Go(func() { collector.send(ctx, teller.Recipients.Collector(), teller.isForCollector) })
-		calls.Go(func() { witness.send(ctx, teller.Recipients.Witness(), teller.isOwn) })
+		calls.Go(func() { collector.send(ctx, sender.Recipients.Collector(), sender.isForCollector) })
+		calls.Go(func() { witness.send(ctx, sender.Recipients.Witness(), sender.isOwn) })
 		calls.Wait()
 		wait.Pause(ctx, sendInterval)
 		if collector.failed || witness.failed {
@@ -64,25 +64,25 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-teller.Meter.changed:
+		case <-sender.Meter.changed:
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
-func (teller *TallySender) isOwn(tally *meteringv1.Tally) bool {
-	return tally.GetNode() == teller.Meter.node && tally.GetLife() == teller.Meter.incarnation
+func (sender *TallySender) isOwn(tally *meteringv1.Tally) bool {
+	return tally.GetNode() == sender.Meter.node && tally.GetLife() == sender.Meter.incarnation
 }
 
 // isForCollector reports whether this node sends a tally to the collector. A node sends its own tallies, and those of processes that no
 // longer run.
-func (teller *TallySender) isForCollector(tally *meteringv1.Tally) bool {
-	return teller.isOwn(tally) || !teller.Recipients.IsRunning(tally.GetNode(), tally.GetLife())
+func (sender *TallySender) isForCollector(tally *meteringv1.Tally) bool {
+	return sender.isOwn(tally) || !sender.Recipients.IsRunning(tally.GetNode(), tally.GetLife())
 }
 
-// sendState holds the current listener of one role and the sequences of the tallies that it has acknowledged.
+// sendState holds the current recipient of one role and the sequences of the tallies that it has acknowledged.
 type sendState struct {
-	teller *TallySender
+	sender *TallySender
 	role   string
 	name   string
 	epoch  int64
@@ -90,33 +90,33 @@
 	failed bool
 }
 
-// send sends the tallies that the listener has not acknowledged. A new listener or epoch starts without acknowledged tallies.
-func (sendState *sendState) send(ctx context.Context, listener *Recipient, include func(*meteringv1.Tally) bool) {
+// send sends the tallies that the recipient has not acknowledged. A new recipient or epoch starts without acknowledged tallies.
+func (sendState *sendState) send(ctx context.Context, recipient *Recipient, include func(*meteringv1.Tally) bool) {
 	sendState.failed = false
-	if listener == nil {
+	if recipient == nil {
 		return
 	}
-	if sendState.acked == nil || listener.Name != sendState.name || listener.Epoch != sendState.epoch {
-		sendState.name, sendState.epoch, sendState.acked = listener.Name, listener.Epoch, make(map[tallyKey]int64)
-		sendState.teller.Logger.Info("sending usage tallies to another node", "role", sendState.role, "to", listener.Name, "epoch", listener.Epoch)
+	if sendState.acked == nil || recipient.Name != sendState.name || recipient.Epoch != sendState.epoch {
+		sendState.name, sendState.epoch, sendState.acked = recipient.Name, recipient.Epoch, make(map[tallyKey]int64)
+		sendState.sender.Logger.Info("sending usage tallies to another node", "role", sendState.role, "to", recipient.Name, "epoch", recipient.Epoch)
 	}
-	tallies := sendState.teller.Meter.ledger.Unacknowledged(sendState.acked, include)
+	tallies := sendState.sender.Meter.ledger.Unacknowledged(sendState.acked, include)
 	if len(tallies) == 0 {
 		return
 	}
 	callCtx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	_, err := listener.Client.Tell(callCtx, &meteringv1.TellRequest{Tallies: tallies})
-	sendState.teller.Metrics.UsageTalliesSent(sendState.role, err == nil)
+	_, err := recipient.Client.Tell(callCtx, &meteringv1.TellRequest{Tallies: tallies})
+	sendState.sender.Metrics.UsageTalliesSent(sendState.role, err == nil)
 	if err != nil {
 		sendState.failed = true
-		sendState.teller.Logger.Warn("usage tallies not sent", "role", sendState.role, "to", listener.Name, "tallies", len(tallies), "error", err)
+		sendState.sender.Logger.Warn("usage tallies not sent", "role", sendState.role, "to", recipient.Name, "tallies", len(tallies), "error", err)
 		return
 	}
 	sendState.acknowledge(tallies)
 }
 
-// acknowledge records the tallies that the listener has acknowledged, and drops the entries of windows that no ledger retains.
+// acknowledge records the tallies that the recipient has acknowledged, and drops the entries of windows that no ledger retains.
 func (sendState *sendState) acknowledge(tallies []*meteringv1.Tally) {
 	newest := int64(0)
 	for _, tally := range tallies {
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -50,7 +50,7 @@
 }
 
 // Holder implements gateway.Cluster.
-func (node *Node) Holder() (string, uint64) { return node.settings.Node.ID, node.life }
+func (node *Node) Holder() (string, uint64) { return node.settings.Node.ID, node.processNumber }
 
 // dispatcher hands slots to the executors of live nodes.
 type dispatcher struct{ node *Node }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -59,31 +59,31 @@
 
 // Node is one running node.
 type Node struct {
-	settings settings.Settings
-	networks Networks
-	logger   *log.Logger
-	life     uint64
+	settings      settings.Settings
+	networks      Networks
+	logger        *log.Logger
+	processNumber uint64
 
-	follower  *configuration.Follower
-	committer *configuration.Committer
-	service   keyvalue.Client
-	source    machines.Source
-	relay     *configuration.Relay
-	directory *peers.Directory
-	members   *membership.Table
-	prober    *membership.Prober
-	loads     *loads.Table
-	homes     *home.Home
-	store     *samplestore.Store // nil without a data folder
-	copies    *ownership.LocalReplicas
-	manager   *ownership.Manager
-	steps     *delivery.Service
-	executor  *delivery.Executor
-	claims    *claim.Service
-	runner    *execution.Runner
-	gateway   *gateway.Gateway
-	limiter   *admission.Limiter
-	security  *security.Reloader // nil for plain HTTP
+	follower      *configuration.Follower
+	committer     *configuration.Committer
+	service       keyvalue.Client
+	source        machines.Source
+	relay         *configuration.Relay
+	directory     *peers.Directory
+	members       *membership.Table
+	prober        *membership.Prober
+	loads         *loads.Table
+	homes         *home.Home
+	store         *samplestore.Store // nil without a data folder
+	localReplicas *ownership.LocalReplicas
+	manager       *ownership.Manager
+	steps         *delivery.Service
+	executor      *delivery.Executor
+	claims        *claim.Service
+	runner        *execution.Runner
+	gateway       *gateway.Gateway
+	limiter       *admission.Limiter
+	security      *security.Reloader // nil for plain HTTP
 
 	system      *actors.System
 	spread      *spread
@@ -112,7 +112,7 @@
 // New puts a node together and opens its listeners and data folder. Start runs it.
 func New(options Options) (*Node, error) {
 	node := &Node{
-		settings: options.Settings, networks: options.Networks, life: options.Life,
+		settings: options.Settings, networks: options.Networks, processNumber: options.Life,
 		logger:   options.Logger.With("node", options.Settings.Node.ID),
 		follower: configuration.NewFollower(), loads: loads.NewTable(),
 	}
@@ -193,7 +193,7 @@
 	node.committer = configuration.NewCommitter(node.service, node.follower)
 
 	self := membership.Member{NodeID: config.Node.ID, Address: config.Node.Control, Zone: config.Node.Zone, Region: config.Node.Region,
-		Incarnation: node.life * ownership.IncarnationsPerProcess}
+		Incarnation: node.processNumber * ownership.IncarnationsPerProcess}
 	if node.store != nil {
 		self.StoreID = node.store.Identity()
 	}
@@ -269,13 +269,13 @@
 		storeID = node.store.Identity()
 		storage = node.store
 	}
-	node.copies = ownership.NewLocalReplicas(storage, storeID, ownership.MemoryReplicaID(config.Node.ID, node.life*ownership.IncarnationsPerProcess))
+	node.localReplicas = ownership.NewLocalReplicas(storage, storeID, ownership.MemoryReplicaID(config.Node.ID, node.processNumber*ownership.IncarnationsPerProcess))
 	self := partition.Holder{NodeID: config.Node.ID, Address: config.Node.Control, Zone: config.Node.Zone}
 	handlers := map[partition.Kind]ownership.Handler{partition.KindSteps: node.steps, partition.KindClaims: node.claims}
 	node.manager = ownership.NewManager(ownership.Settings{
 		SettleTime: config.Ownership.SettleTime, WriteTimeout: config.Ownership.WriteTimeout, ReplaceAfter: config.Ownership.ReplaceAfter,
 		LeaseTime: config.Ownership.LeaseTime, HistoryRecoveryTimeout: config.Ownership.HistoryRecoveryTimeout,
-	}, self, node.copies, node.members, node.follower, node.service, node.directory, handlers, node.listedGone, node.isolated, node.logger)
+	}, self, node.localReplicas, node.members, node.follower, node.service, node.directory, handlers, node.listedGone, node.isolated, node.logger)
 }
 
 // listedGone reports whether the machine list has nodes, and not this one.
@@ -348,7 +348,7 @@
 		PathPrefix() string
 	}{
 		controlv1.NewMembershipServer(node.prober), controlv1.NewConfigurationServer(node.spread), controlv1.NewLoadServer(node.spread),
-		controlv1.NewPartitionServer(node.copies), controlv1.NewStepsServer(node.steps), controlv1.NewExecutorServer(node.executor),
+		controlv1.NewPartitionServer(node.localReplicas), controlv1.NewStepsServer(node.steps), controlv1.NewExecutorServer(node.executor),
 		controlv1.NewClaimsServer(node.claims),
 	} {
 		control.Handle(service.PathPrefix(), service)
@@ -414,11 +414,11 @@
 )
 
 // holderAlive tells whether a process that made a claim still lives.
-func (node *Node) holderAlive(nodeID string, life uint64) bool {
+func (node *Node) holderAlive(nodeID string, processNumber uint64) bool {
 	for _, member := range node.members.View().All {
 		if member.NodeID == nodeID {
 			// A member that left as planned still finishes its requests.
-			return ownership.ProcessNumber(member.Incarnation) == life && member.State != membership.StateDead
+			return ownership.ProcessNumber(member.Incarnation) == processNumber && member.State != membership.StateDead
 		}
 	}
 	return false
--- a/internal/node/query.go
+++ b/internal/node/query.go
@@ -199,7 +199,7 @@
 // listOwners asks every owner of a steps partition for its steps. Owners that do not answer are named in the notes.
 func (node *Node) listOwners(ctx context.Context) ([]delivery.ListResponse, []string) {
 	asked := make(map[string]bool)
-	var answers []delivery.ListResponse
+	var responses []delivery.ListResponse
 	var notes []string
 	single := 0
 	for index := range uint32(partition.Count) {
@@ -215,14 +215,14 @@
 			continue
 		}
 		asked[assignment.Owner.NodeID] = true
-		answer, err := node.listOwner(ctx, index)
+		response, err := node.listOwner(ctx, index)
 		if err != nil {
 			notes = append(notes, fmt.Sprintf("node %s did not answer: %v", assignment.Owner.NodeID, err))
 			continue
 		}
-		answers = append(answers, answer)
+		responses = append(responses, response)
 	}
-	return answers, append(notes, replicationNotes(single)...)
+	return responses, append(notes, replicationNotes(single)...)
 }
 
 func (node *Node) listOwner(ctx context.Context, index uint32) (delivery.ListResponse, error) {
@@ -242,10 +242,10 @@
 
 func (node *Node) stepsTable(ctx context.Context) (query.Table, error) {
 	table := query.Table{Subject: "steps", Columns: []string{"step", "experiment", "state", "slots", "filled", "delivered", "running", "dropped", "owner", "copies", "created"}}
-	answers, notes := node.listOwners(ctx)
+	responses, notes := node.listOwners(ctx)
 	table.Notes = notes
-	for _, answer := range answers {
-		for _, step := range answer.Steps {
+	for _, response := range responses {
+		for _, step := range response.Steps {
 			table.Add(step.StepID, step.Experiment, string(step.State), number(step.Slots), number(step.Filled), number(step.Delivered),
 				number(step.Running), number(step.Dropped), step.Owner, number(step.Copies), step.Created.UTC().Format(time.RFC3339))
 		}
@@ -256,10 +256,10 @@
 func (node *Node) stalenessTable(ctx context.Context) (query.Table, error) {
 	table := query.Table{Subject: "staleness", Columns: []string{"policy", "owner_samples", "versions_p50", "versions_p90", "versions_p99", "versions_max",
 		"seconds_p50", "seconds_p90", "seconds_p99", "seconds_max"}}
-	answers, notes := node.listOwners(ctx)
+	responses, notes := node.listOwners(ctx)
 	table.Notes = append(notes, "one row for each owner that delivered samples in the last ten minutes")
-	for _, answer := range answers {
-		for _, row := range answer.Staleness {
+	for _, response := range responses {
+		for _, row := range response.Staleness {
 			table.Add(row.Policy, number(row.Count), number(row.Versions[0]), number(row.Versions[1]), number(row.Versions[2]), number(row.Versions[3]),
 				seconds(row.Seconds[0]), seconds(row.Seconds[1]), seconds(row.Seconds[2]), seconds(row.Seconds[3]))
 		}
--- a/internal/node/spread.go
+++ b/internal/node/spread.go
@@ -21,7 +21,7 @@
 )
 
 // spread moves configuration, partitions, the machine list and load digests between nodes. It implements the Twirp
-// services Configuration and Load, and membership.Spread.
+// services Configuration and Load, and membership.RevisionExchange.
 type spread struct {
 	node *Node
 
@@ -62,7 +62,7 @@
 	}
 }
 
-// Revisions implements membership.Spread.
+// Revisions implements membership.RevisionExchange.
 func (spread *spread) Revisions() membership.Revisions {
 	follower := spread.node.follower
 	return membership.Revisions{
@@ -70,7 +70,7 @@
 	}
 }
 
-// HandleRevisions implements membership.Spread: it pulls when the other node knows more. One pull runs at a time.
+// HandleRevisions implements membership.RevisionExchange: it pulls when the other node knows more. One pull runs at a time.
 func (spread *spread) HandleRevisions(address string, other membership.Revisions) {
 	own := spread.Revisions()
 	if other.Configuration <= own.Configuration && other.Partitions <= own.Partitions && other.Machines <= own.Machines {
--- a/internal/ownership/copies.go
+++ b/internal/ownership/copies.go
@@ -29,35 +29,35 @@
 }
 
 // ReplicaID returns the identity of this node's replicas of a kind, or "" if the node cannot hold any.
-func (copies *LocalReplicas) ReplicaID(kind partition.Kind) string {
+func (localReplicas *LocalReplicas) ReplicaID(kind partition.Kind) string {
 	if kind == partition.KindSteps {
-		return copies.storeID
+		return localReplicas.storeID
 	}
-	return copies.memoryID
+	return localReplicas.memoryID
 }
 
 // replica returns the replica of a partition, and an error if replicaID is not the identity of this node's replica.
-func (copies *LocalReplicas) replica(name partition.Name, replicaID string) (*partition.Replica, error) {
-	if replicaID == "" || replicaID != copies.ReplicaID(name.Kind) {
+func (localReplicas *LocalReplicas) replica(name partition.Name, replicaID string) (*partition.Replica, error) {
+	if replicaID == "" || replicaID != localReplicas.ReplicaID(name.Kind) {
 		return nil, twirp.FailedPrecondition.Errorf("no copy %q of partition %s here", replicaID, name)
 	}
-	copies.mu.Lock()
-	defer copies.mu.Unlock()
-	replica, ok := copies.replicas[name]
+	localReplicas.mu.Lock()
+	defer localReplicas.mu.Unlock()
+	replica, ok := localReplicas.replicas[name]
 	if !ok {
 		var storage partition.Storage
 		if name.Kind == partition.KindSteps {
-			storage = copies.storage
+			storage = localReplicas.storage
 		}
 		replica = partition.NewReplica(name, storage)
-		copies.replicas[name] = replica
+		localReplicas.replicas[name] = replica
 	}
 	return replica, nil
 }
 
 // Promise implements the Twirp service.
-func (copies *LocalReplicas) Promise(_ context.Context, request *controlv1.PromiseRequest) (*controlv1.PromiseResponse, error) {
-	replica, err := copies.replica(nameFromMessage(request.GetPartition()), request.GetReplicaId())
+func (localReplicas *LocalReplicas) Promise(_ context.Context, request *controlv1.PromiseRequest) (*controlv1.PromiseResponse, error) {
+	replica, err := localReplicas.replica(nameFromMessage(request.GetPartition()), request.GetReplicaId())
 	if err != nil {
 		return nil, err
 	}
@@ -69,8 +69,8 @@
 }
 
 // Append implements the Twirp service.
-func (copies *LocalReplicas) Append(_ context.Context, request *controlv1.AppendRequest) (*controlv1.AppendResponse, error) {
-	replica, err := copies.replica(nameFromMessage(request.GetPartition()), request.GetReplicaId())
+func (localReplicas *LocalReplicas) Append(_ context.Context, request *controlv1.AppendRequest) (*controlv1.AppendResponse, error) {
+	replica, err := localReplicas.replica(nameFromMessage(request.GetPartition()), request.GetReplicaId())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/ownership/manager.go
+++ b/internal/ownership/manager.go
@@ -44,16 +44,16 @@
 
 // Manager takes over, repairs and releases the partitions of a node.
 type Manager struct {
-	settings  Settings
-	self      partition.Holder // without ReplicaID, which depends on the kind
-	copies    *LocalReplicas
-	members   *membership.Table
-	follower  *configuration.Follower
-	service   keyvalue.Client
-	handlers  map[partition.Kind]Handler
-	transport twirpTransport
-	logger    *log.Logger
-	started   time.Time
+	settings      Settings
+	self          partition.Holder // without ReplicaID, which depends on the kind
+	localReplicas *LocalReplicas
+	members       *membership.Table
+	follower      *configuration.Follower
+	service       keyvalue.Client
+	handlers      map[partition.Kind]Handler
+	transport     twirpTransport
+	logger        *log.Logger
+	started       time.Time
 	// unlisted reports whether the machine list contains nodes, but not the given one.
 	unlisted func(nodeID string) bool
 	// isolated reports whether this node reaches so few of the listed nodes that it must not take partitions over.
@@ -70,11 +70,11 @@
 }
 
 // NewManager returns a manager that passes owned partitions to the handler of their kind.
-func NewManager(settings Settings, self partition.Holder, copies *LocalReplicas, members *membership.Table, follower *configuration.Follower,
+func NewManager(settings Settings, self partition.Holder, localReplicas *LocalReplicas, members *membership.Table, follower *configuration.Follower,
 	service keyvalue.Client, directory *peers.Directory, handlers map[partition.Kind]Handler, unlisted func(string) bool, isolated func() bool, logger *log.Logger) *Manager {
 	return &Manager{
-		settings: settings, self: self, copies: copies, members: members, follower: follower, service: service,
-		handlers: handlers, unlisted: unlisted, isolated: isolated, transport: twirpTransport{own: copies, ownID: self.NodeID, directory: directory}, logger: logger,
+		settings: settings, self: self, localReplicas: localReplicas, members: members, follower: follower, service: service,
+		handlers: handlers, unlisted: unlisted, isolated: isolated, transport: twirpTransport{own: localReplicas, ownID: self.NodeID, directory: directory}, logger: logger,
 		started: time.Now(), states: newStates(), leasing: lock.New(), serving: make(map[partition.Name]*partition.Log),
 	}
 }
@@ -143,7 +143,7 @@
 
 func (manager *Manager) selfFor(kind partition.Kind) partition.Holder {
 	self := manager.self
-	self.ReplicaID = manager.copies.ReplicaID(kind)
+	self.ReplicaID = manager.localReplicas.ReplicaID(kind)
 	return self
 }
 
@@ -278,7 +278,7 @@
 }
 
 // historyUnrecoverable reports whether the registers of a claims partition are lost: recovery has failed for
-// HistoryPatience, and the replicas that may still exist are fewer than a read quorum and fewer than a write quorum. It is
+// HistoryRecoveryTimeout, and the replicas that may still exist are fewer than a read quorum and fewer than a write quorum. It is
 // always false for replicas on disk, since their machines may return. Otherwise an operator ends the steps.
 func (manager *Manager) historyUnrecoverable(assignment partition.Assignment, candidates []partition.Candidate) bool {
 	since := manager.states[assignment.Name].failingSince
--- a/internal/partition/takeover.go
+++ b/internal/partition/takeover.go
@@ -80,7 +80,7 @@
 	return chosen
 }
 
-// RetainAbsentReplicas adds present replicas on disk to the chosen ones, up to ReplicasWanted, even if their nodes are
+// RetainAbsentReplicas adds present replicas on disk to the chosen ones, up to ReplicationFactor, even if their nodes are
 // down. Without it the replica set would shrink with each failed node, until one disk alone formed a write quorum. An absent
 // replica stays in the set until a replica on another node replaces it.
 func RetainAbsentReplicas(name Name, chosen, present []Holder) []Holder {
--- a/internal/quarantine/attribution.go
+++ b/internal/quarantine/attribution.go
@@ -15,21 +15,21 @@
 // so a request that crashes replicas itself gains no more runs than if every node knew of every crash.
 //
 // It must be called with mu held.
-func (book *Tracker) attribution(fingerprint Fingerprint, entry *entry, now time.Time) (culprit Fingerprint, attributed bool) {
+func (tracker *Tracker) attribution(fingerprint Fingerprint, entry *entry, now time.Time) (culprit Fingerprint, attributed bool) {
 	if entry.crashes < quarantineThreshold || entry.crashes >= trialLimit || len(entry.events) == 0 {
 		return Fingerprint{}, false
 	}
-	if entry.computedAt != book.changes {
-		entry.culprit, entry.attributed = book.findCulprit(fingerprint, entry, now)
-		entry.computedAt = book.changes
+	if entry.computedAt != tracker.changes {
+		entry.culprit, entry.attributed = tracker.findCulprit(fingerprint, entry, now)
+		entry.computedAt = tracker.changes
 	}
 	return entry.culprit, entry.attributed
 }
 
 // findCulprit searches all suspected requests. It must be called with mu held.
-func (book *Tracker) findCulprit(fingerprint Fingerprint, entry *entry, now time.Time) (Fingerprint, bool) {
+func (tracker *Tracker) findCulprit(fingerprint Fingerprint, entry *entry, now time.Time) (Fingerprint, bool) {
 	newest := entry.events[len(entry.events)-1].Replica
-	for other, suspected := range book.entries {
+	for other, suspected := range tracker.entries {
 		if suspected.quarantined(now) && suspected.hasCrash(newest) && moreSuspected(other, suspected, fingerprint, entry) {
 			return other, true
 		}
--- a/internal/quarantine/attribution_test.go
+++ b/internal/quarantine/attribution_test.go
@@ -36,10 +36,10 @@
 }
 
 // recordCrashes records crashes, one second apart.
-func recordCrashes(book *quarantine.Tracker, body, reporter string, now time.Time, replicas ...string) {
+func recordCrashes(tracker *quarantine.Tracker, body, reporter string, now time.Time, replicas ...string) {
 	for index, replica := range replicas {
 		at := now.Add(time.Duration(index-len(replicas)+1) * time.Second)
-		book.RecordCrash(fingerprintOf(body), replica, reporter, at, at)
+		tracker.RecordCrash(fingerprintOf(body), replica, reporter, at, at)
 	}
 }
 
@@ -68,10 +68,10 @@
 			quarantine.Decision{Crashes: 4, RetryAfter: quarantineDuration - holdDuration}},
 	} {
 		now := time.Now()
-		book := quarantine.NewTracker("node", now)
-		recordCrashes(book, culprit, "node", now, check.culprit...)
-		recordCrashes(book, harmless, check.reporter, now, check.harmless...)
-		decision := book.Admit(fingerprintOf(harmless), check.claim, now.Add(holdDuration))
+		tracker := quarantine.NewTracker("node", now)
+		recordCrashes(tracker, culprit, "node", now, check.culprit...)
+		recordCrashes(tracker, harmless, check.reporter, now, check.harmless...)
+		decision := tracker.Admit(fingerprintOf(harmless), check.claim, now.Add(holdDuration))
 		must.Eq(t, check.want.Allowed, decision.Allowed, must.Sprint(check.name))
 		must.Eq(t, check.want.Trial, decision.Trial, must.Sprint(check.name))
 		must.Eq(t, check.want.Crashes, decision.Crashes, must.Sprint(check.name))
@@ -83,27 +83,27 @@
 // run. The other is tried once the first has crashed a replica by itself.
 func TestOneOfTwoEqualsIsTried(t *testing.T) {
 	now := time.Now()
-	book := quarantine.NewTracker("node", now)
-	recordCrashes(book, culprit, "node", now, "r1", "r2", "r3")
-	recordCrashes(book, harmless, "node", now, "r1", "r2", "r3")
+	tracker := quarantine.NewTracker("node", now)
+	recordCrashes(tracker, culprit, "node", now, "r1", "r2", "r3")
+	recordCrashes(tracker, harmless, "node", now, "r1", "r2", "r3")
 	due := now.Add(holdDuration)
 	first, second := culprit, harmless
-	if !book.Admit(fingerprintOf(first), quarantine.Claim{}, due).Trial {
+	if !tracker.Admit(fingerprintOf(first), quarantine.Claim{}, due).Trial {
 		first, second = second, first
-		must.True(t, book.Admit(fingerprintOf(first), quarantine.Claim{}, due).Trial)
+		must.True(t, tracker.Admit(fingerprintOf(first), quarantine.Claim{}, due).Trial)
 	}
-	must.False(t, book.Admit(fingerprintOf(second), quarantine.Claim{}, due).Allowed)
-	book.RecordCrash(fingerprintOf(first), "r4", "node", due, due)
-	must.False(t, book.Admit(fingerprintOf(first), quarantine.Claim{}, due.Add(holdDuration)).Allowed, must.Sprint("its trial is used"))
-	must.True(t, book.Admit(fingerprintOf(second), quarantine.Claim{}, due.Add(holdDuration)).Trial)
+	must.False(t, tracker.Admit(fingerprintOf(second), quarantine.Claim{}, due).Allowed)
+	tracker.RecordCrash(fingerprintOf(first), "r4", "node", due, due)
+	must.False(t, tracker.Admit(fingerprintOf(first), quarantine.Claim{}, due.Add(holdDuration)).Allowed, must.Sprint("its trial is used"))
+	must.True(t, tracker.Admit(fingerprintOf(second), quarantine.Claim{}, due.Add(holdDuration)).Trial)
 }
 
 // A stored record without replicas, which another writer may leave, must hold its request.
 func TestRecordWithoutReplicas(t *testing.T) {
 	now := time.Now()
-	book := quarantine.NewTracker("node", now)
-	book.Restore(fingerprintOf(harmless), quarantine.Suspicion{Crashes: 3, Reporter: "node", Until: now.Add(quarantineDuration)}, now)
-	must.Eq(t, quarantine.Decision{Crashes: 3, RetryAfter: quarantineDuration}, book.Admit(fingerprintOf(harmless), quarantine.Claim{}, now))
+	tracker := quarantine.NewTracker("node", now)
+	tracker.Restore(fingerprintOf(harmless), quarantine.Suspicion{Crashes: 3, Reporter: "node", Until: now.Add(quarantineDuration)}, now)
+	must.Eq(t, quarantine.Decision{Crashes: 3, RetryAfter: quarantineDuration}, tracker.Admit(fingerprintOf(harmless), quarantine.Claim{}, now))
 }
 
 // Several harmless requests beside one that crashes replicas, on few replicas so that their trials coincide: each must be
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -27,7 +27,7 @@
 
 // Persister stores quarantined requests durably.
 type Persister interface {
-	// Persist stores the record of a request as it is in the book; Lift deletes it.
+	// Persist stores the record of a request as it is in the tracker; Lift deletes it.
 	Persist(Fingerprint)
 	Lift(Fingerprint)
 }
@@ -40,7 +40,7 @@
 	Prober  Prober
 	Tracker *Tracker
 	Catalog *catalog.Table
-	// Broadcaster and Keeper may be nil.
+	// Broadcaster and Persister may be nil.
 	Broadcaster Broadcaster
 	Persister   Persister
 	// IsDeputy reports whether this node ranks first for a request among the running nodes.
@@ -78,7 +78,7 @@
 	if !request.Exclusive {
 		runCtx, release = withLinger(ctx)
 	}
-	answer, err := guard.Sender.Send(runCtx, replica, request)
+	response, err := guard.Sender.Send(runCtx, replica, request)
 	switch {
 	case errors.Is(err, backend.ErrConnectionRefused):
 		guard.connectionRefused(replica)
@@ -89,11 +89,11 @@
 		release()
 		return nil, err
 	}
-	answer.Body = &watchedBody{
-		ReadCloser: answer.Body, ctx: runCtx, release: release, guard: guard, replica: replica, request: request, status: answer.Status,
-		done: answer.NotExecuted,
+	response.Body = &watchedBody{
+		ReadCloser: response.Body, ctx: runCtx, release: release, guard: guard, replica: replica, request: request, status: response.Status,
+		done: response.NotExecuted,
 	}
-	return answer, nil
+	return response, nil
 }
 
 // lingerDuration is how long after its start a request keeps running if its caller leaves. A request that crashes a
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -22,9 +22,9 @@
 
 // stubNetwork gives the same answer to each request and to each probe.
 type stubNetwork struct {
-	answer  *backend.Response
-	err     error
-	refuses bool
+	response *backend.Response
+	err      error
+	refuses  bool
 	// hangs blocks each request until its context ends.
 	hangs  bool
 	probes atomic.Int64
@@ -35,7 +35,7 @@
 	if network.hangs {
 		<-ctx.Done()
 	}
-	return network.answer, network.err
+	return network.response, network.err
 }
 
 // Refuses implements quarantine.Prober.
@@ -85,11 +85,11 @@
 
 // send sends a request and reads its answer.
 func (fixture *fixture) send(ctx context.Context) error {
-	answer, err := fixture.guard.Send(ctx, &target, requested)
+	response, err := fixture.guard.Send(ctx, &target, requested)
 	if err != nil {
 		return err
 	}
-	_, err = io.Copy(io.Discard, answer.Body)
+	_, err = io.Copy(io.Discard, response.Body)
 	return err
 }
 
@@ -156,7 +156,7 @@
 		{"interrupted, then answered", func(t *testing.T, fixture *fixture) {
 			fixture.network.err, fixture.network.refuses = errBroken, true
 			_ = fixture.send(t.Context())
-			fixture.network.answer, fixture.network.err = answerOf(http.StatusOK, strings.NewReader("whole")), nil
+			fixture.network.response, fixture.network.err = answerOf(http.StatusOK, strings.NewReader("whole")), nil
 			_ = fixture.send(t.Context())
 		}, 0},
 		{"not sent", func(t *testing.T, fixture *fixture) {
@@ -179,11 +179,11 @@
 			_ = fixture.send(leavingAfter(0))
 		}, 1},
 		{"truncated answer", func(t *testing.T, fixture *fixture) {
-			fixture.network.answer, fixture.network.refuses = answerOf(http.StatusOK, io.MultiReader(strings.NewReader("ev"), iotest.ErrReader(io.ErrUnexpectedEOF))), true
+			fixture.network.response, fixture.network.refuses = answerOf(http.StatusOK, io.MultiReader(strings.NewReader("ev"), iotest.ErrReader(io.ErrUnexpectedEOF))), true
 			_ = fixture.send(t.Context())
 		}, 1},
 		{"complete answer", func(t *testing.T, fixture *fixture) {
-			fixture.network.answer, fixture.network.refuses = answerOf(http.StatusOK, strings.NewReader("whole")), true
+			fixture.network.response, fixture.network.refuses = answerOf(http.StatusOK, strings.NewReader("whole")), true
 			_ = fixture.send(t.Context())
 		}, 0},
 	} {
@@ -233,9 +233,9 @@
 	refusal := answerOf(http.StatusServiceUnavailable, strings.NewReader(""))
 	refusal.NotExecuted = true
 	for _, check := range []struct {
-		name    string
-		answer  *backend.Response
-		cleared bool
+		name     string
+		response *backend.Response
+		cleared  bool
 	}{
 		{"an answer", answerOf(http.StatusOK, strings.NewReader("whole")), true},
 		{"client error", answerOf(http.StatusNotFound, strings.NewReader("")), true},
@@ -247,7 +247,7 @@
 			fixture := newFixture(t)
 			fingerprint := quarantine.FingerprintOf(service, requested)
 			fixture.guard.Tracker.RecordCrash(fingerprint, "r0", "other", time.Now(), time.Now())
-			fixture.network.answer = check.answer
+			fixture.network.response = check.response
 			_ = fixture.send(t.Context())
 			must.Eq(t, check.cleared, fixture.crashes() == 0, must.Sprint(check.name))
 		})
@@ -264,7 +264,7 @@
 				Fingerprint: fingerprint, CrashEvent: quarantine.CrashEvent{Replica: replica, InterruptedAt: time.Now().Add(time.Duration(index) * time.Second)},
 			}}})
 		}
-		fixture.network.answer = answerOf(http.StatusOK, strings.NewReader("whole"))
+		fixture.network.response = answerOf(http.StatusOK, strings.NewReader("whole"))
 		err := fixture.send(t.Context())
 		must.True(t, errors.Is(err, backend.ErrNotSent))
 		must.True(t, backend.IsHeld(err))
@@ -312,7 +312,7 @@
 		fixture := newFixture(t)
 		fixture.network.err = errBroken
 		_ = fixture.send(t.Context())
-		fixture.network.answer, fixture.network.err = answerOf(http.StatusOK, strings.NewReader("whole")), nil
+		fixture.network.response, fixture.network.err = answerOf(http.StatusOK, strings.NewReader("whole")), nil
 		must.NoError(t, fixture.send(t.Context()))
 		time.Sleep(time.Second)
 		must.Eq(t, 0, fixture.network.probes.Load())
--- a/internal/quarantine/archive_test.go
+++ b/internal/quarantine/record_store_test.go
@@ -18,27 +18,27 @@
 	"github.com/thistlewalk/thistlewalk/internal/quarantine"
 )
 
-// newArchive returns the archive and the book of a node that watches the store.
+// newRecordStore returns the record store and the tracker of a node that watches the store.
 func newArchive(ctx context.Context, store *memstore.Store, node string, deputy bool) (*quarantine.RecordStore, *quarantine.Tracker) {
-	logger, book := log.New(io.Discard), quarantine.NewTracker(node, time.Now())
+	logger, tracker := log.New(io.Discard), quarantine.NewTracker(node, time.Now())
 	health := metadata.NewHealth(store, logger)
-	archive := quarantine.NewRecordStore(ctx, store, health, book, node, logger)
-	archive.IsDeputy = func(quarantine.Fingerprint) bool { return deputy }
-	follower := &metadata.Follower{Store: store, Prefix: quarantine.Prefix, Handler: archive, Logger: logger, Health: health}
+	recordStore := quarantine.NewRecordStore(ctx, store, health, tracker, node, logger)
+	recordStore.IsDeputy = func(quarantine.Fingerprint) bool { return deputy }
+	follower := &metadata.Follower{Store: store, Prefix: quarantine.Prefix, Handler: recordStore, Logger: logger, Health: health}
 	go health.Run(ctx)
 	go follower.Run(ctx)
-	return archive, book
+	return recordStore, tracker
 }
 
 // recordThreeCrashes records three crashes, one second apart.
-func recordThreeCrashes(book *quarantine.Tracker, reporter string) {
+func recordThreeCrashes(tracker *quarantine.Tracker, reporter string) {
 	for index := range 3 {
 		now := time.Now().Add(time.Duration(index-3) * time.Second)
-		book.RecordCrash(fingerprintOf("x"), fmt.Sprint("r", index), reporter, now, now)
+		tracker.RecordCrash(fingerprintOf("x"), fmt.Sprint("r", index), reporter, now, now)
 	}
 }
 
-func crashesOf(book *quarantine.Tracker) int { return book.Suspected(fingerprintOf("x")).Crashes }
+func crashesOf(tracker *quarantine.Tracker) int { return tracker.Suspected(fingerprintOf("x")).Crashes }
 
 // A quarantine must be stored in spite of an outage of the store and a lost response, reach a node that starts later, and
 // be lifted on all nodes.
@@ -46,9 +46,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New()
 		store.SetFaults(memstore.Faults{Down: true})
-		archive, book := newArchive(t.Context(), store, "a", false)
-		recordThreeCrashes(book, "a")
-		archive.Persist(fingerprintOf("x"))
+		recordStore, tracker := newArchive(t.Context(), store, "a", false)
+		recordThreeCrashes(tracker, "a")
+		recordStore.Persist(fingerprintOf("x"))
 		time.Sleep(3 * time.Second)
 		store.SetFaults(memstore.Faults{LoseResponses: 1})
 		time.Sleep(3 * time.Second)
@@ -56,8 +56,8 @@
 		time.Sleep(time.Second)
 		must.Eq(t, 3, crashesOf(later))
 		must.False(t, later.Admit(fingerprintOf("x"), quarantine.Claim{}, time.Now()).Allowed)
-		book.Clear(fingerprintOf("x"))
-		archive.Lift(fingerprintOf("x"))
+		tracker.Clear(fingerprintOf("x"))
+		recordStore.Lift(fingerprintOf("x"))
 		time.Sleep(time.Second)
 		must.Eq(t, 0, crashesOf(later))
 	})
@@ -68,9 +68,9 @@
 	for _, deputy := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			store := memstore.New()
-			archive, book := newArchive(t.Context(), store, "b", deputy)
-			recordThreeCrashes(book, "a")
-			archive.Persist(fingerprintOf("x"))
+			recordStore, tracker := newArchive(t.Context(), store, "b", deputy)
+			recordThreeCrashes(tracker, "a")
+			recordStore.Persist(fingerprintOf("x"))
 			time.Sleep(2 * time.Second)
 			listing, err := store.List(t.Context(), quarantine.Prefix)
 			must.NoError(t, err)
@@ -83,14 +83,14 @@
 func TestLateWriteChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New()
-		archive, book := newArchive(t.Context(), store, "a", false)
+		recordStore, tracker := newArchive(t.Context(), store, "a", false)
 		time.Sleep(time.Second)
 		store.SetFaults(memstore.Faults{LoseResponses: 1, CommitDelay: 5 * time.Second})
-		recordThreeCrashes(book, "a")
-		archive.Persist(fingerprintOf("x")) // the first write is executed late, its repetition at once
+		recordThreeCrashes(tracker, "a")
+		recordStore.Persist(fingerprintOf("x")) // the first write is executed late, its repetition at once
 		time.Sleep(3 * time.Second)
-		book.RecordCrash(fingerprintOf("x"), "r9", "a", time.Now(), time.Now())
-		archive.Persist(fingerprintOf("x"))
+		tracker.RecordCrash(fingerprintOf("x"), "r9", "a", time.Now(), time.Now())
+		recordStore.Persist(fingerprintOf("x"))
 		time.Sleep(10 * time.Second)
 		item, found, err := store.Get(t.Context(), quarantine.Prefix+fingerprintOf("x").String())
 		must.NoError(t, err)
@@ -105,23 +105,23 @@
 // Records that cannot be decoded are skipped. A record that is missing from a newer listing lifts the quarantine; stale
 // listings and deletions do not.
 func TestArchiveReadsAgain(t *testing.T) {
-	archive, book := newArchive(t.Context(), memstore.New(), "a", false)
+	recordStore, tracker := newArchive(t.Context(), memstore.New(), "a", false)
 	value, err := proto.Marshal(&clusterv1.QuarantineRecord{Crashes: 3, Reporter: "b", UntilUnixMs: time.Now().Add(time.Hour).UnixMilli()})
 	must.NoError(t, err)
 	good := metadata.Item{Key: quarantine.Prefix + fingerprintOf("x").String(), Value: value, Revision: 4}
-	archive.Reset([]metadata.Item{{Key: quarantine.Prefix + "short", Value: value}, {Key: quarantine.Prefix + fingerprintOf("y").String(), Value: []byte{1}}, good}, 5)
-	must.Eq(t, 3, crashesOf(book))
-	must.Eq(t, 1, book.Quarantined())
-	archive.Reset(nil, 3)
-	must.Eq(t, 3, crashesOf(book), must.Sprint("the listing is older than the record"))
-	archive.Apply([]metadata.Event{{Item: metadata.Item{Key: good.Key, Revision: 3}, Deleted: true}}, 3)
-	must.Eq(t, 3, crashesOf(book), must.Sprint("the deletion is older than the record"))
-	archive.Reset(nil, 6)
-	must.Eq(t, 0, crashesOf(book))
-	archive.Apply([]metadata.Event{{Item: good}}, 7)
-	must.Eq(t, 3, crashesOf(book))
-	archive.Apply([]metadata.Event{{Item: metadata.Item{Key: good.Key, Revision: 8}, Deleted: true}}, 8)
-	must.Eq(t, 0, crashesOf(book))
+	recordStore.Reset([]metadata.Item{{Key: quarantine.Prefix + "short", Value: value}, {Key: quarantine.Prefix + fingerprintOf("y").String(), Value: []byte{1}}, good}, 5)
+	must.Eq(t, 3, crashesOf(tracker))
+	must.Eq(t, 1, tracker.Quarantined())
+	recordStore.Reset(nil, 3)
+	must.Eq(t, 3, crashesOf(tracker), must.Sprint("the listing is older than the record"))
+	recordStore.Apply([]metadata.Event{{Item: metadata.Item{Key: good.Key, Revision: 3}, Deleted: true}}, 3)
+	must.Eq(t, 3, crashesOf(tracker), must.Sprint("the deletion is older than the record"))
+	recordStore.Reset(nil, 6)
+	must.Eq(t, 0, crashesOf(tracker))
+	recordStore.Apply([]metadata.Event{{Item: good}}, 7)
+	must.Eq(t, 3, crashesOf(tracker))
+	recordStore.Apply([]metadata.Event{{Item: metadata.Item{Key: good.Key, Revision: 8}, Deleted: true}}, 8)
+	must.Eq(t, 0, crashesOf(tracker))
 }
 
 // Expired records and the oldest records above the limit are removed, but not records that have changed since they were
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/tracker.go
@@ -90,36 +90,36 @@
 	lastTrial time.Time    // when this node last tried the request
 	until     time.Time    // the end of the quarantine; zero outside
 
-	// Cached result of attribution, valid while the book's changes equals computedAt.
+	// Cached result of attribution, valid while the tracker's changes equals computedAt.
 	culprit    Fingerprint
 	attributed bool
 	computedAt uint64
 }
 
-// NewTracker returns an empty book for a node whose process starts now.
+// NewTracker returns an empty tracker for a node whose process starts now.
 func NewTracker(node string, now time.Time) *Tracker {
 	return &Tracker{node: node, started: now, entries: make(map[Fingerprint]*entry), heads: make(map[head]int)}
 }
 
 // MayBeSuspected reports whether a request may be suspected, without reading its body. It takes no lock if no request is
 // suspected.
-func (book *Tracker) MayBeSuspected(service string, request *backend.Request) bool {
-	if book.size.Load() == 0 {
+func (tracker *Tracker) MayBeSuspected(service string, request *backend.Request) bool {
+	if tracker.size.Load() == 0 {
 		return false
 	}
 	wanted := headOf(service, request)
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	return book.heads[wanted] > 0
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	return tracker.heads[wanted] > 0
 }
 
 // RecordCrash records the crash of a replica under a request, as seen by the reporter, and returns how many crashes count;
-// fresh is false if the crash was already recorded. Broke is when the request was interrupted, which may be seconds before
+// fresh is false if the crash was already recorded. InterruptedAt is when the request was interrupted, which may be seconds before
 // the crash was detected.
-func (book *Tracker) RecordCrash(fingerprint Fingerprint, replica, reporter string, broke, now time.Time) (crashes int, fresh bool) {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	known := book.getOrCreate(fingerprint, now)
+func (tracker *Tracker) RecordCrash(fingerprint Fingerprint, replica, reporter string, broke, now time.Time) (crashes int, fresh bool) {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	known := tracker.getOrCreate(fingerprint, now)
 	if known.hasCrash(replica) {
 		return known.crashes, false
 	}
@@ -144,10 +144,10 @@
 }
 
 // Restore merges the stored record of a quarantined request.
-func (book *Tracker) Restore(fingerprint Fingerprint, stored Suspicion, now time.Time) {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	known := book.getOrCreate(fingerprint, now)
+func (tracker *Tracker) Restore(fingerprint Fingerprint, stored Suspicion, now time.Time) {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	known := tracker.getOrCreate(fingerprint, now)
 	for _, event := range stored.Events {
 		if !known.hasCrash(event.Replica) {
 			known.addEvent(event)
@@ -182,52 +182,52 @@
 
 // getOrCreate returns the entry of a request for modification, in place of one that has expired. It must be called with mu
 // held.
-func (book *Tracker) getOrCreate(fingerprint Fingerprint, now time.Time) *entry {
-	book.changes++
-	known := book.entries[fingerprint]
+func (tracker *Tracker) getOrCreate(fingerprint Fingerprint, now time.Time) *entry {
+	tracker.changes++
+	known := tracker.entries[fingerprint]
 	if known != nil && known.expired(now) {
-		book.remove(fingerprint)
+		tracker.remove(fingerprint)
 		known = nil
 	}
 	if known == nil {
-		book.evict(now)
+		tracker.evict(now)
 		known = &entry{firstSeen: now}
-		book.entries[fingerprint] = known
-		book.heads[fingerprint.head()]++
-		book.size.Store(int64(len(book.entries)))
+		tracker.entries[fingerprint] = known
+		tracker.heads[fingerprint.head()]++
+		tracker.size.Store(int64(len(tracker.entries)))
 	}
 	return known
 }
 
 // remove must be called with mu held.
-func (book *Tracker) remove(fingerprint Fingerprint) {
-	if book.entries[fingerprint] == nil {
+func (tracker *Tracker) remove(fingerprint Fingerprint) {
+	if tracker.entries[fingerprint] == nil {
 		return
 	}
-	book.changes++
-	delete(book.entries, fingerprint)
-	if book.heads[fingerprint.head()]--; book.heads[fingerprint.head()] == 0 {
-		delete(book.heads, fingerprint.head())
+	tracker.changes++
+	delete(tracker.entries, fingerprint)
+	if tracker.heads[fingerprint.head()]--; tracker.heads[fingerprint.head()] == 0 {
+		delete(tracker.heads, fingerprint.head())
 	}
-	book.size.Store(int64(len(book.entries)))
+	tracker.size.Store(int64(len(tracker.entries)))
 }
 
-// evict removes expired entries and, if the book is still full, the entry whose last crash is the oldest. It must be
+// evict removes expired entries and, if the tracker is still full, the entry whose last crash is the oldest. It must be
 // called with mu held.
-func (book *Tracker) evict(now time.Time) {
+func (tracker *Tracker) evict(now time.Time) {
 	var oldest Fingerprint
 	var oldestAt time.Time
-	for fingerprint, known := range book.entries {
+	for fingerprint, known := range tracker.entries {
 		if known.expired(now) {
-			book.remove(fingerprint)
+			tracker.remove(fingerprint)
 			continue
 		}
 		if oldestAt.IsZero() || known.lastSeen.Before(oldestAt) {
 			oldest, oldestAt = fingerprint, known.lastSeen
 		}
 	}
-	if len(book.entries) >= maxEntries {
-		book.remove(oldest)
+	if len(tracker.entries) >= maxEntries {
+		tracker.remove(oldest)
 	}
 }
 
@@ -245,19 +245,19 @@
 
 // Clear removes a request that a replica has answered or whose quarantine was lifted, and reports whether the request was
 // suspected.
-func (book *Tracker) Clear(fingerprint Fingerprint) bool {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	_, known := book.entries[fingerprint]
-	book.remove(fingerprint)
+func (tracker *Tracker) Clear(fingerprint Fingerprint) bool {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	_, known := tracker.entries[fingerprint]
+	tracker.remove(fingerprint)
 	return known
 }
 
 // Suspected returns the suspicion of a request; the zero value if it is not suspected.
-func (book *Tracker) Suspected(fingerprint Fingerprint) Suspicion {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	known := book.entries[fingerprint]
+func (tracker *Tracker) Suspected(fingerprint Fingerprint) Suspicion {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	known := tracker.entries[fingerprint]
 	if known == nil {
 		return Suspicion{}
 	}
@@ -265,11 +265,11 @@
 }
 
 // Quarantined returns the number of quarantined requests.
-func (book *Tracker) Quarantined() int {
-	book.mu.Lock()
-	defer book.mu.Unlock()
+func (tracker *Tracker) Quarantined() int {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
 	count := 0
-	for _, known := range book.entries {
+	for _, known := range tracker.entries {
 		if !known.until.IsZero() {
 			count++
 		}
@@ -287,19 +287,19 @@
 
 // Admit decides whether a request may be sent to a replica now. The caller must send a request that is allowed: a trial is
 // granted once.
-func (book *Tracker) Admit(fingerprint Fingerprint, claim Claim, now time.Time) Decision {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	known := book.entries[fingerprint]
+func (tracker *Tracker) Admit(fingerprint Fingerprint, claim Claim, now time.Time) Decision {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	known := tracker.entries[fingerprint]
 	if known == nil || known.expired(now) {
 		return Decision{Allowed: true}
 	}
 	decision := Decision{Crashes: known.crashes}
-	decision.Culprit, decision.Attributed = book.attribution(fingerprint, known, now)
+	decision.Culprit, decision.Attributed = tracker.attribution(fingerprint, known, now)
 	switch {
 	case known.crashes < holdThreshold:
 		decision.Allowed = true
-	case book.trialAllowed(known, claim, decision.Attributed, now):
+	case tracker.trialAllowed(known, claim, decision.Attributed, now):
 		known.lastTrial = now
 		decision.Allowed, decision.Trial = true, true
 	case known.crashes < quarantineThreshold, decision.Attributed:
@@ -315,12 +315,12 @@
 
 // trialAllowed reports whether this node may try a held request now. Trials by one node are at least holdDuration apart,
 // so that a crash in one is detected before the next.
-func (book *Tracker) trialAllowed(entry *entry, claim Claim, attributed bool, now time.Time) bool {
+func (tracker *Tracker) trialAllowed(entry *entry, claim Claim, attributed bool, now time.Time) bool {
 	sinceLastCrash := now.Sub(entry.lastSeen)
 	if sinceLastCrash < holdDuration || now.Sub(entry.lastTrial) < holdDuration {
 		return false
 	}
-	mayTryFirst := claim.Exclusive || entry.reporter == book.node
+	mayTryFirst := claim.Exclusive || entry.reporter == tracker.node
 	deputyMayTry := claim.Deputy && sinceLastCrash >= deputyTrialDelay
 	switch {
 	case entry.crashes < quarantineThreshold:
@@ -328,7 +328,7 @@
 	case attributed: // trials by all nodes at once would exceed the one that is allowed
 		return mayTryFirst || deputyMayTry
 	case entry.crashes < trialLimit:
-		observedLongEnough := entry.firstSeen.Sub(book.started) >= suspicionDuration
+		observedLongEnough := entry.firstSeen.Sub(tracker.started) >= suspicionDuration
 		return claim.Exclusive || (claim.Deputy && observedLongEnough && sinceLastCrash >= quarantineTrialDelay)
 	default:
 		return false
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -48,13 +48,13 @@
 		{"four crashes, batch request", []crash{{"r1", 0}, {"r2", apart}, {"r3", apart}, {"r4", apart}}, holdDuration, true, quarantine.Decision{Crashes: 4, RetryAfter: quarantineDuration - holdDuration}},
 		{"quarantine expired", []crash{{"r1", 0}, {"r2", apart}, {"r3", apart}}, quarantineDuration + 1, false, quarantine.Decision{Allowed: true}},
 	} {
-		book, now := quarantine.NewTracker("node", time.Now()), time.Now()
+		tracker, now := quarantine.NewTracker("node", time.Now()), time.Now()
 		for _, crash := range check.crashes {
 			now = now.Add(crash.after)
-			book.RecordCrash(fingerprintOf("x"), crash.replica, "node", now, now)
+			tracker.RecordCrash(fingerprintOf("x"), crash.replica, "node", now, now)
 		}
-		must.Eq(t, check.want, book.Admit(fingerprintOf("x"), quarantine.Claim{Exclusive: check.exclusive}, now.Add(check.after)), must.Sprint(check.name))
-		must.True(t, book.Admit(fingerprintOf("y"), quarantine.Claim{}, now).Allowed, must.Sprint(check.name, ": another request"))
+		must.Eq(t, check.want, tracker.Admit(fingerprintOf("x"), quarantine.Claim{Exclusive: check.exclusive}, now.Add(check.after)), must.Sprint(check.name))
+		must.True(t, tracker.Admit(fingerprintOf("y"), quarantine.Claim{}, now).Allowed, must.Sprint(check.name, ": another request"))
 	}
 }
 
@@ -63,32 +63,32 @@
 func TestQuarantineIsTriedOnce(t *testing.T) {
 	for _, uptime := range []time.Duration{10*time.Minute - 1, 10 * time.Minute} {
 		now := time.Now()
-		book := quarantine.NewTracker("node", now)
+		tracker := quarantine.NewTracker("node", now)
 		now = now.Add(uptime)
 		for _, replica := range []string{"r1", "r2", "r3"} {
-			book.RecordCrash(fingerprintOf("x"), replica, "node", now, now)
+			tracker.RecordCrash(fingerprintOf("x"), replica, "node", now, now)
 			now = now.Add(time.Second)
 		}
 		now = now.Add(-time.Second)
 		const after = 30 * time.Second
-		must.False(t, book.Admit(fingerprintOf("x"), quarantine.Claim{Deputy: true}, now.Add(after-1)).Allowed)
-		must.False(t, book.Admit(fingerprintOf("x"), quarantine.Claim{}, now.Add(after)).Allowed)
-		must.Eq(t, uptime >= 10*time.Minute, book.Admit(fingerprintOf("x"), quarantine.Claim{Deputy: true}, now.Add(after)).Trial)
-		book.RecordCrash(fingerprintOf("x"), "r4", "node", now.Add(after), now.Add(after))
-		must.False(t, book.Admit(fingerprintOf("x"), quarantine.Claim{Deputy: true}, now.Add(2*after)).Allowed)
+		must.False(t, tracker.Admit(fingerprintOf("x"), quarantine.Claim{Deputy: true}, now.Add(after-1)).Allowed)
+		must.False(t, tracker.Admit(fingerprintOf("x"), quarantine.Claim{}, now.Add(after)).Allowed)
+		must.Eq(t, uptime >= 10*time.Minute, tracker.Admit(fingerprintOf("x"), quarantine.Claim{Deputy: true}, now.Add(after)).Trial)
+		tracker.RecordCrash(fingerprintOf("x"), "r4", "node", now.Add(after), now.Add(after))
+		must.False(t, tracker.Admit(fingerprintOf("x"), quarantine.Claim{Deputy: true}, now.Add(2*after)).Allowed)
 	}
 }
 
 // A trial must not be repeated before its crash would have been detected.
 func TestTrialIsGivenOnce(t *testing.T) {
-	book, now := quarantine.NewTracker("node", time.Now()), time.Now()
+	tracker, now := quarantine.NewTracker("node", time.Now()), time.Now()
 	for _, replica := range []string{"r1", "r2", "r3"} {
 		now = now.Add(time.Second)
-		book.RecordCrash(fingerprintOf("x"), replica, "node", now, now)
+		tracker.RecordCrash(fingerprintOf("x"), replica, "node", now, now)
 	}
-	must.True(t, book.Admit(fingerprintOf("x"), quarantine.Claim{Exclusive: true}, now.Add(holdDuration)).Trial)
-	must.False(t, book.Admit(fingerprintOf("x"), quarantine.Claim{Exclusive: true}, now.Add(holdDuration+time.Second)).Allowed)
-	must.True(t, book.Admit(fingerprintOf("x"), quarantine.Claim{Exclusive: true}, now.Add(2*holdDuration)).Trial)
+	must.True(t, tracker.Admit(fingerprintOf("x"), quarantine.Claim{Exclusive: true}, now.Add(holdDuration)).Trial)
+	must.False(t, tracker.Admit(fingerprintOf("x"), quarantine.Claim{Exclusive: true}, now.Add(holdDuration+time.Second)).Allowed)
+	must.True(t, tracker.Admit(fingerprintOf("x"), quarantine.Claim{Exclusive: true}, now.Add(2*holdDuration)).Trial)
 }
 
 // After two crashes only one node at a time may try a request: the reporter of the last crash, then the deputy, then any
@@ -107,67 +107,67 @@
 		{"deputy after its delay", "other", quarantine.Claim{Deputy: true}, 2 * holdDuration, true},
 		{"another node after its delay", "other", quarantine.Claim{}, 3 * holdDuration, true},
 	} {
-		book, now := quarantine.NewTracker("node", time.Now()), time.Now()
-		book.RecordCrash(fingerprintOf("x"), "r1", "node", now, now)
-		book.RecordCrash(fingerprintOf("x"), "r2", check.reporter, now.Add(time.Second), now)
-		must.Eq(t, check.trial, book.Admit(fingerprintOf("x"), check.claim, now.Add(check.after)).Trial, must.Sprint(check.name))
-		must.Eq(t, time.Second, book.Admit(fingerprintOf("x"), check.claim, now.Add(check.after)).RetryAfter, must.Sprint(check.name, ": held after the trial"))
+		tracker, now := quarantine.NewTracker("node", time.Now()), time.Now()
+		tracker.RecordCrash(fingerprintOf("x"), "r1", "node", now, now)
+		tracker.RecordCrash(fingerprintOf("x"), "r2", check.reporter, now.Add(time.Second), now)
+		must.Eq(t, check.trial, tracker.Admit(fingerprintOf("x"), check.claim, now.Add(check.after)).Trial, must.Sprint(check.name))
+		must.Eq(t, time.Second, tracker.Admit(fingerprintOf("x"), check.claim, now.Add(check.after)).RetryAfter, must.Sprint(check.name, ": held after the trial"))
 	}
 }
 
 // An answer clears a request, and crashes in a stored record count like those that the node has seen.
 func TestBookClearsAndRestores(t *testing.T) {
-	book, now := quarantine.NewTracker("node", time.Now()), time.Now()
-	must.False(t, book.Clear(fingerprintOf("x")))
-	book.Restore(fingerprintOf("x"), quarantine.Suspicion{Crashes: 3, Events: []quarantine.CrashEvent{{Replica: "r1"}}, Reporter: "node", Until: now.Add(time.Minute)}, now)
-	decision := book.Admit(fingerprintOf("x"), quarantine.Claim{}, now)
+	tracker, now := quarantine.NewTracker("node", time.Now()), time.Now()
+	must.False(t, tracker.Clear(fingerprintOf("x")))
+	tracker.Restore(fingerprintOf("x"), quarantine.Suspicion{Crashes: 3, Events: []quarantine.CrashEvent{{Replica: "r1"}}, Reporter: "node", Until: now.Add(time.Minute)}, now)
+	decision := tracker.Admit(fingerprintOf("x"), quarantine.Claim{}, now)
 	must.Eq(t, quarantine.Decision{Crashes: 3, RetryAfter: time.Minute}, decision)
-	must.Eq(t, 1, book.Quarantined())
-	book.Restore(fingerprintOf("x"), quarantine.Suspicion{Crashes: 2, Reporter: "node", Until: now.Add(time.Minute)}, now) // a stale record
-	book.RecordCrash(fingerprintOf("x"), "r1", "node", now, now)                                                           // a late report
-	must.Eq(t, 3, book.Admit(fingerprintOf("x"), quarantine.Claim{}, now).Crashes)
-	must.True(t, book.Clear(fingerprintOf("x")))
-	must.True(t, book.Admit(fingerprintOf("x"), quarantine.Claim{}, now).Allowed)
-	must.Eq(t, 0, book.Quarantined())
+	must.Eq(t, 1, tracker.Quarantined())
+	tracker.Restore(fingerprintOf("x"), quarantine.Suspicion{Crashes: 2, Reporter: "node", Until: now.Add(time.Minute)}, now) // a stale record
+	tracker.RecordCrash(fingerprintOf("x"), "r1", "node", now, now)                                                           // a late report
+	must.Eq(t, 3, tracker.Admit(fingerprintOf("x"), quarantine.Claim{}, now).Crashes)
+	must.True(t, tracker.Clear(fingerprintOf("x")))
+	must.True(t, tracker.Admit(fingerprintOf("x"), quarantine.Claim{}, now).Allowed)
+	must.Eq(t, 0, tracker.Quarantined())
 }
 
-// The book must not grow beyond its limit: expired entries are evicted first, then the oldest. Bodies are hashed only for
+// The tracker must not grow beyond its limit: expired entries are evicted first, then the oldest. Bodies are hashed only for
 // requests that may be suspected.
 func TestBookIsBounded(t *testing.T) {
-	book, now := quarantine.NewTracker("node", time.Now()), time.Now()
+	tracker, now := quarantine.NewTracker("node", time.Now()), time.Now()
 	const most = 4096
 	request := func(number int) *backend.Request { return &backend.Request{Target: fmt.Sprint("/", number)} }
 	for number := range most + 10 {
 		now = now.Add(time.Millisecond)
-		book.RecordCrash(quarantine.FingerprintOf("app", request(number)), "r1", "node", now, now)
+		tracker.RecordCrash(quarantine.FingerprintOf("app", request(number)), "r1", "node", now, now)
 	}
 	known := 0
 	for number := range most + 10 {
-		if book.MayBeSuspected("app", request(number)) {
+		if tracker.MayBeSuspected("app", request(number)) {
 			known++
 		}
 	}
 	must.Eq(t, most, known)
-	must.False(t, book.MayBeSuspected("app", request(0)))
-	must.True(t, book.MayBeSuspected("app", request(most+9)))
-	must.False(t, book.MayBeSuspected("other", request(most+9)))
+	must.False(t, tracker.MayBeSuspected("app", request(0)))
+	must.True(t, tracker.MayBeSuspected("app", request(most+9)))
+	must.False(t, tracker.MayBeSuspected("other", request(most+9)))
 	now = now.Add(11 * time.Minute)
-	book.RecordCrash(quarantine.FingerprintOf("app", request(-1)), "r1", "node", now, now)
-	must.False(t, book.MayBeSuspected("app", request(most+9)))
-	must.True(t, book.MayBeSuspected("app", request(-1)))
+	tracker.RecordCrash(quarantine.FingerprintOf("app", request(-1)), "r1", "node", now, now)
+	must.False(t, tracker.MayBeSuspected("app", request(most+9)))
+	must.True(t, tracker.MayBeSuspected("app", request(-1)))
 }
 
 // The cost of a held request must not grow with the number of other suspected requests.
 func BenchmarkHeldRequestInAFullBook(b *testing.B) {
-	book, now := quarantine.NewTracker("node", time.Now()), time.Now()
+	tracker, now := quarantine.NewTracker("node", time.Now()), time.Now()
 	for number := range 4096 {
 		for replica := range 3 {
 			at := now.Add(time.Duration(replica) * time.Second)
-			book.RecordCrash(fingerprintOf(fmt.Sprint(number)), fmt.Sprint("replica-", number, "-", replica), "node", at, at)
+			tracker.RecordCrash(fingerprintOf(fmt.Sprint(number)), fmt.Sprint("replica-", number, "-", replica), "node", at, at)
 		}
 	}
 	held := fingerprintOf("7")
 	for b.Loop() {
-		book.Admit(held, quarantine.Claim{}, now)
+		tracker.Admit(held, quarantine.Claim{}, now)
 	}
 }
--- a/internal/quarantine/world_test.go
+++ b/internal/quarantine/world_test.go
@@ -95,13 +95,13 @@
 	name := fmt.Sprint("node-", index)
 	ctx, cancel := context.WithCancel(context.Background())
 	logger := log.New(io.Discard)
-	book := quarantine.NewTracker(name, time.Now())
+	tracker := quarantine.NewTracker(name, time.Now())
 	health := metadata.NewHealth(world.store, logger)
-	archive := quarantine.NewRecordStore(ctx, world.store, health, book, name, logger)
-	archive.IsDeputy = func(fingerprint quarantine.Fingerprint) bool { return world.isDeputy(fingerprint, name) }
+	recordStore := quarantine.NewRecordStore(ctx, world.store, health, tracker, name, logger)
+	recordStore.IsDeputy = func(fingerprint quarantine.Fingerprint) bool { return world.isDeputy(fingerprint, name) }
 	started := &node{world: world, name: name, started: time.Now(), ctx: ctx, cancel: cancel}
-	started.guard = &quarantine.Guard{Sender: started, Prober: world, Tracker: book, Catalog: world.table, Broadcaster: started, Persister: archive, IsDeputy: archive.IsDeputy, Node: name, Logger: logger}
-	follower := &metadata.Follower{Store: world.store, Prefix: quarantine.Prefix, Handler: archive, Logger: logger, Health: health}
+	started.guard = &quarantine.Guard{Sender: started, Prober: world, Tracker: tracker, Catalog: world.table, Broadcaster: started, Persister: recordStore, IsDeputy: recordStore.IsDeputy, Node: name, Logger: logger}
+	follower := &metadata.Follower{Store: world.store, Prefix: quarantine.Prefix, Handler: recordStore, Logger: logger, Health: health}
 	go health.Run(ctx)
 	go follower.Run(ctx)
 	go started.guard.Run(ctx)
@@ -239,7 +239,7 @@
 	return known == nil || known.gone
 }
 
-// Broadcast implements quarantine.Teller.
+// Broadcast implements quarantine.Broadcaster.
 func (node *node) Broadcast(notice quarantine.Notice) {
 	for _, other := range node.world.running() {
 		if other.name == node.name || node.world.dropsDatagram() {
@@ -332,10 +332,10 @@
 			return err
 		}
 		tried = target.ID
-		var answer *backend.Response
-		answer, err = node.guard.Send(ctx, target, &backend.Request{ID: "q", Method: http.MethodPost, Target: "/book/1", Body: []byte(body)})
+		var response *backend.Response
+		response, err = node.guard.Send(ctx, target, &backend.Request{ID: "q", Method: http.MethodPost, Target: "/book/1", Body: []byte(body)})
 		if err == nil {
-			_, err = io.Copy(io.Discard, answer.Body)
+			_, err = io.Copy(io.Discard, response.Body)
 		}
 		if err == nil || backend.IsHeld(err) {
 			return err
--- a/internal/role/front.go
+++ b/internal/role/front.go
@@ -85,10 +85,10 @@
 	activeCalls      atomic.Int64
 	// usage is nil if usage is not reported.
 	usage *usage
-	// guard sends all requests to replicas and blocks those in quarantine; archive stores the quarantine beyond the life
+	// guard sends all requests to replicas and blocks those in quarantine; recordStore stores the quarantine beyond the life
 	// of this process.
-	guard   *quarantine.Guard
-	archive *quarantine.RecordStore
+	guard       *quarantine.Guard
+	recordStore *quarantine.RecordStore
 }
 
 // Parameters of batch.FlushPolicy.
@@ -106,7 +106,7 @@
 	self := &clusterv1.NodeRecord{Name: options.Node, Address: options.PeerAddress, Zone: options.Zone, Role: options.Role, Life: options.Incarnation, Cores: options.Cores, Capabilities: capability.Own()}
 	front := &Front{FrontOptions: options, loads: loads, owners: newOwners(), health: metadata.NewHealth(options.Store, options.Logger), ctx: ctx, cancel: cancel}
 	front.Registry = cluster.NewRegistry(self, options.Store, options.PeerClient, options.Logger)
-	front.guard, front.archive = front.newGuard()
+	front.guard, front.recordStore = front.newGuard()
 	front.Forwarder = &forwarding.Forwarder{Catalog: options.Catalog, Loads: loads, Sender: front.guard, Zone: options.Zone, Logger: options.Logger, Metrics: options.Metrics, Clock: options.Clock}
 	front.Runner = batchrun.New(batchrun.Options{
 		Node: options.Node, Incarnation: options.Incarnation, Zone: options.Zone, Catalog: options.Catalog, Loads: loads, Sender: front.guard,
@@ -115,7 +115,7 @@
 	})
 	front.health.Nodes = front.Registry.Count
 	front.health.OnRecovered = front.announceStoreAnswers
-	front.topics = newTopics(options.ConfigurationPrefix, options.ConfigurationHandler, options.ReplicaPrefix, options.ReplicaHandler, front.Registry, front.archive)
+	front.topics = newTopics(options.ConfigurationPrefix, options.ConfigurationHandler, options.ReplicaPrefix, options.ReplicaHandler, front.Registry, front.recordStore)
 	front.subscriber = front.newSubscriber()
 	front.health.ProbeNeeded, front.health.Urgent = front.storeNeeded, front.storeUrgent
 	front.Registry.LeftoverWorkKey, front.Registry.Health = batchlog.LeftoverWorkKey, front.health
--- a/internal/role/metering.go
+++ b/internal/role/metering.go
@@ -32,7 +32,7 @@
 	return server.PathPrefix(), server
 }
 
-// recipients selects the nodes that receive a front's tallies. It implements metering.Listeners.
+// recipients selects the nodes that receive a front's tallies. It implements metering.Recipients.
 type recipients struct {
 	front *Front
 
@@ -43,39 +43,39 @@
 // maxClients bounds the number of cached clients; a full cache is cleared.
 const maxClients = 16
 
-func (listeners *recipients) client(address string) meteringv1.Collector {
-	listeners.mu.Lock()
-	defer listeners.mu.Unlock()
-	if client := listeners.clients[address]; client != nil {
+func (recipients *recipients) client(address string) meteringv1.Collector {
+	recipients.mu.Lock()
+	defer recipients.mu.Unlock()
+	if client := recipients.clients[address]; client != nil {
 		return client
 	}
-	if len(listeners.clients) >= maxClients {
-		clear(listeners.clients)
+	if len(recipients.clients) >= maxClients {
+		clear(recipients.clients)
 	}
-	client := meteringv1.NewCollectorProtobufClient("http://"+address, listeners.front.PeerClient)
-	listeners.clients[address] = client
+	client := meteringv1.NewCollectorProtobufClient("http://"+address, recipients.front.PeerClient)
+	recipients.clients[address] = client
 	return client
 }
 
-// Collector implements metering.Listeners.
-func (listeners *recipients) Collector() *metering.Recipient {
-	collector := listeners.front.subscriber.Collector()
+// Collector implements metering.Recipients.
+func (recipients *recipients) Collector() *metering.Recipient {
+	collector := recipients.front.subscriber.Collector()
 	if collector == nil {
 		return nil
 	}
-	return &metering.Recipient{Name: collector.Node, Epoch: collector.Term, Client: listeners.client(collector.Address)}
+	return &metering.Recipient{Name: collector.Node, Epoch: collector.Term, Client: recipients.client(collector.Address)}
 }
 
-// Witness implements metering.Listeners.
-func (listeners *recipients) Witness() *metering.Recipient {
-	record := listeners.front.Registry.RemotePeer()
+// Witness implements metering.Recipients.
+func (recipients *recipients) Witness() *metering.Recipient {
+	record := recipients.front.Registry.RemotePeer()
 	if record == nil {
 		return nil
 	}
-	return &metering.Recipient{Name: record.GetName(), Epoch: record.GetLife(), Client: listeners.client(record.GetAddress())}
+	return &metering.Recipient{Name: record.GetName(), Epoch: record.GetLife(), Client: recipients.client(record.GetAddress())}
 }
 
-// IsRunning implements metering.Listeners.
-func (listeners *recipients) IsRunning(node string, incarnation int64) bool {
-	return listeners.front.Registry.IsRegistered(node, incarnation)
+// IsRunning implements metering.Recipients.
+func (recipients *recipients) IsRunning(node string, incarnation int64) bool {
+	return recipients.front.Registry.IsRegistered(node, incarnation)
 }
--- a/internal/role/quarantine.go
+++ b/internal/role/quarantine.go
@@ -7,24 +7,24 @@
 	"github.com/thistlewalk/thistlewalk/internal/quarantine"
 )
 
-// newGuard returns the guard, which withholds requests that crash replicas, and the archive, which stores such requests
+// newGuard returns the guard, which withholds requests that crash replicas, and the record store, which stores such requests
 // in the metadata store.
 func (front *Front) newGuard() (*quarantine.Guard, *quarantine.RecordStore) {
-	book := quarantine.NewTracker(front.Node, time.Now())
-	archive := quarantine.NewRecordStore(front.ctx, front.Store, front.health, book, front.Node, front.Logger)
-	archive.IsDeputy = func(fingerprint quarantine.Fingerprint) bool {
+	tracker := quarantine.NewTracker(front.Node, time.Now())
+	recordStore := quarantine.NewRecordStore(front.ctx, front.Store, front.health, tracker, front.Node, front.Logger)
+	recordStore.IsDeputy = func(fingerprint quarantine.Fingerprint) bool {
 		return front.Registry.PreferredAnywhere(fingerprint.String()) == front.Node
 	}
 	return &quarantine.Guard{
-		IsDeputy: archive.IsDeputy, Sender: front.Sender, Prober: front.Prober, Tracker: book, Catalog: front.Catalog, Broadcaster: noticeBroadcaster{front}, Persister: archive,
+		IsDeputy: recordStore.IsDeputy, Sender: front.Sender, Prober: front.Prober, Tracker: tracker, Catalog: front.Catalog, Broadcaster: noticeBroadcaster{front}, Persister: recordStore,
 		Node: front.Node, Logger: front.Logger, Metrics: front.Metrics,
-	}, archive
+	}, recordStore
 }
 
-// noticeBroadcaster sends quarantine notices to all other nodes by datagram. It implements quarantine.Teller.
+// noticeBroadcaster sends quarantine notices to all other nodes by datagram. It implements quarantine.Broadcaster.
 type noticeBroadcaster struct{ front *Front }
 
-// Broadcast implements quarantine.Teller.
+// Broadcast implements quarantine.Broadcaster.
 func (broadcaster noticeBroadcaster) Broadcast(notice quarantine.Notice) {
 	datagram := &clusterv1.Datagram{Kind: &clusterv1.Datagram_Suspicions{Suspicions: encodeNotice(notice)}}
 	broadcaster.front.datagrams.Send(datagram, broadcaster.front.Registry.Others())
--- a/internal/role/subscription.go
+++ b/internal/role/subscription.go
@@ -97,11 +97,11 @@
 	read(front.topics.nodes, registryInterval, metadata.LongWatchTimeout)
 	read(front.topics.quarantine, quarantineInterval, metadata.LongWatchTimeout)
 	if front.topics.replicas.Revision() == 0 {
-		snapshots := &dissemination.SnapshotFetcher{
+		fetcher := &dissemination.SnapshotFetcher{
 			Topic: dissemination.Topic{Mirror: front.topics.replicas}, Nodes: dissemination.Topic{Mirror: front.topics.nodes}, Registry: front.Registry,
 			Logger: front.Logger, Metrics: front.Metrics,
 		}
-		snapshots.Fetch(ctx)
+		fetcher.Fetch(ctx)
 	}
 	read(front.topics.replicas, replicaInterval, metadata.ShortWatchTimeout)
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -43,18 +43,18 @@
 
 // Filter decides whether a replica may run the rollout.
 type Filter interface {
-	Keep(wanted *Requirements, replica *loads.Replica, digest *loads.Digest) bool
+	Keep(requirements *Requirements, replica *loads.Replica, digest *loads.Digest) bool
 }
 
 // Scorer scores a candidate from 0, the worst, to 1, the best.
 type Scorer interface {
-	Score(wanted *Requirements, candidate *Candidate) float64
+	Score(requirements *Requirements, candidate *Candidate) float64
 }
 
 // Choices are the replicas to choose from. Filters and scorers run lazily, only for replicas that the picker examines.
 type Choices struct {
 	router        *Router
-	wanted        *Requirements
+	requirements  *Requirements
 	replicas      []*loads.Replica
 	prefixReplica *loads.Replica // the replica that the prompt's prefix hashes to; nil without a prefix
 }
@@ -67,7 +67,7 @@
 	replica := choices.replicas[index]
 	digest := replica.Digest()
 	for _, filter := range choices.router.Filters {
-		if !filter.Keep(choices.wanted, replica, digest) {
+		if !filter.Keep(choices.requirements, replica, digest) {
 			return false
 		}
 	}
@@ -79,13 +79,13 @@
 	replica := choices.replicas[index]
 	digest := replica.Digest()
 	candidate := Candidate{Replica: replica, Digest: digest, Affinity: replica == choices.prefixReplica}
-	if held := digest.HeldVersion(choices.wanted.Arm.Policy); held != nil {
+	if held := digest.HeldVersion(choices.requirements.Arm.Policy); held != nil {
 		candidate.Version = held.GetActive()
 	}
 	candidate.Load = float64(replica.Estimate()) / float64(max(digest.Capacity, 1))
 	total := 0.0
 	for _, weighted := range choices.router.Scorers {
-		total += weighted.Weight * weighted.Scorer.Score(choices.wanted, &candidate)
+		total += weighted.Weight * weighted.Scorer.Score(choices.requirements, &candidate)
 	}
 	return total
 }
@@ -110,10 +110,10 @@
 }
 
 // Route returns the replica for a rollout; nil if the filters accept none.
-func (router *Router) Route(wanted *Requirements, replicas []*loads.Replica) *loads.Replica {
-	choices := Choices{router: router, wanted: wanted, replicas: replicas}
-	if wanted.PrefixKey != "" {
-		choices.prefixReplica = selectPrefixReplica(wanted.PrefixKey, replicas)
+func (router *Router) Route(requirements *Requirements, replicas []*loads.Replica) *loads.Replica {
+	choices := Choices{router: router, requirements: requirements, replicas: replicas}
+	if requirements.PrefixKey != "" {
+		choices.prefixReplica = selectPrefixReplica(requirements.PrefixKey, replicas)
 	}
 	index := router.Picker.Pick(&choices)
 	if index < 0 {
@@ -144,7 +144,7 @@
 }
 
 // Keep implements Filter.
-func (filter Serviceable) Keep(wanted *Requirements, replica *loads.Replica, digest *loads.Digest) bool {
+func (filter Serviceable) Keep(requirements *Requirements, replica *loads.Replica, digest *loads.Digest) bool {
 	if digest.Leaving || digest.Failed {
 		return false
 	}
@@ -152,7 +152,7 @@
 	if now.Sub(digest.Received()) > filter.MaxAge || replica.Open(now) {
 		return false
 	}
-	for _, excluded := range wanted.Excluded {
+	for _, excluded := range requirements.Excluded {
 		if excluded == digest.ID {
 			return false
 		}
@@ -164,17 +164,17 @@
 type HoldsVersion struct{}
 
 // Keep implements Filter.
-func (HoldsVersion) Keep(wanted *Requirements, _ *loads.Replica, digest *loads.Digest) bool {
-	held := digest.HeldVersion(wanted.Arm.Policy)
-	return held != nil && held.GetActive() != 0 && wanted.Arm.Allows(held.GetActive())
+func (HoldsVersion) Keep(requirements *Requirements, _ *loads.Replica, digest *loads.Digest) bool {
+	held := digest.HeldVersion(requirements.Arm.Policy)
+	return held != nil && held.GetActive() != 0 && requirements.Arm.Allows(held.GetActive())
 }
 
-// HasCapacity accepts replicas below the load limit of the rollout, Wanted.RoomShare.
+// HasCapacity accepts replicas below the load limit of the rollout, Requirements.MaxBatchFill.
 type HasCapacity struct{}
 
 // Keep implements Filter.
-func (HasCapacity) Keep(wanted *Requirements, replica *loads.Replica, digest *loads.Digest) bool {
-	return wanted.MaxBatchFill == 0 || float64(replica.Estimate()) < wanted.MaxBatchFill*float64(digest.Capacity)
+func (HasCapacity) Keep(requirements *Requirements, replica *loads.Replica, digest *loads.Digest) bool {
+	return requirements.MaxBatchFill == 0 || float64(replica.Estimate()) < requirements.MaxBatchFill*float64(digest.Capacity)
 }
 
 // LoadScorer prefers replicas with a low load relative to their capacity.
@@ -189,8 +189,8 @@
 type VersionScorer struct{}
 
 // Score implements Scorer.
-func (VersionScorer) Score(wanted *Requirements, candidate *Candidate) float64 {
-	if candidate.Version >= wanted.TargetVersion {
+func (VersionScorer) Score(requirements *Requirements, candidate *Candidate) float64 {
+	if candidate.Version >= requirements.TargetVersion {
 		return 1
 	}
 	return 0
@@ -200,8 +200,8 @@
 type ZoneScorer struct{}
 
 // Score implements Scorer.
-func (ZoneScorer) Score(wanted *Requirements, candidate *Candidate) float64 {
-	if candidate.Digest.Zone == wanted.Zone {
+func (ZoneScorer) Score(requirements *Requirements, candidate *Candidate) float64 {
+	if candidate.Digest.Zone == requirements.Zone {
 		return 1
 	}
 	return 0
@@ -212,11 +212,11 @@
 type AffinityScorer struct{}
 
 // Score implements Scorer.
-func (AffinityScorer) Score(wanted *Requirements, candidate *Candidate) float64 {
+func (AffinityScorer) Score(requirements *Requirements, candidate *Candidate) float64 {
 	if candidate.Load >= 1 {
 		return 0
 	}
-	if candidate.Digest.ID == wanted.Preferred {
+	if candidate.Digest.ID == requirements.Preferred {
 		return 1
 	}
 	if candidate.Affinity {
@@ -247,11 +247,11 @@
 			consider(index)
 		}
 	}
-	if choices.prefixReplica == nil && choices.wanted.Preferred == "" {
+	if choices.prefixReplica == nil && choices.requirements.Preferred == "" {
 		return best
 	}
 	for index, replica := range choices.replicas {
-		isPreferred := replica == choices.prefixReplica || choices.wanted.Preferred != "" && replica.Digest().ID == choices.wanted.Preferred
+		isPreferred := replica == choices.prefixReplica || choices.requirements.Preferred != "" && replica.Digest().ID == choices.requirements.Preferred
 		if isPreferred && choices.Keep(index) {
 			consider(index)
 		}
--- a/internal/weights/election.go
+++ b/internal/weights/election.go
@@ -159,7 +159,7 @@
 	return strings.HasPrefix(election.holder, election.Node+" ")
 }
 
-// startOnEarlierIncarnation runs StandIn until the returned function is called.
+// startOnEarlierIncarnation runs OnEarlierIncarnation until the returned function is called.
 func (election *Election) startOnEarlierIncarnation(ctx context.Context) (stop func()) {
 	if election.OnEarlierIncarnation == nil {
 		return func() {}
