--- a/internal/batch/progress.go
+++ b/internal/batch/progress.go
@@ -139,11 +139,11 @@
 // Delay returns how long the pending results wait from now on: until MaxWait after the oldest of them was finished, or not at
 // all once the groups that the trainer waits for are complete; but always until the minimum interval after the last write has passed.
 func (policy FlushPolicy) Delay(progress *Progress, now, oldestPending, lastWrite time.Time) time.Duration {
-	due, spacing := oldestPending.Add(policy.MaxWait), policy.MinInterval
+	due, interval := oldestPending.Add(policy.MaxWait), policy.MinInterval
 	if progress.WantedComplete() || progress.Done() {
-		due, spacing = now, policy.FinalMinInterval
+		due, interval = now, policy.FinalMinInterval
 	}
-	if earliest := lastWrite.Add(spacing); due.Before(earliest) {
+	if earliest := lastWrite.Add(interval); due.Before(earliest) {
 		due = earliest
 	}
 	return max(0, due.Sub(now))
--- a/internal/batchrun/directory_test.go
+++ b/internal/batchrun/directory_test.go
@@ -56,7 +56,7 @@
 func TestTakeOverOfJobThatIsBeingAccepted(t *testing.T) {
 	inWorld(t, 23, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition("job-1", 6, 1), jobRoute))
-		life := world.kill("a")
+		incarnation := world.kill("a")
 		_, err := world.store.CommitIgnoringFaults(metadata.Txn{Puts: []metadata.Put{{Key: "owners/a/job-2"}, {Key: batchlog.LeftoverWorkKey("a")}}})
 		must.NoError(t, err)
 		world.refuse("b", true)
@@ -65,7 +65,7 @@
 		time.Sleep(300 * time.Millisecond)
 		world.refuse("b", false)
 		world.refuse("c", false)
-		must.Error(t, world.node("b").TakeOverNode(t.Context(), "a", life))
+		must.Error(t, world.node("b").TakeOverNode(t.Context(), "a", incarnation))
 		world.start("a")
 		checkResults(t, await(t, world.node("c"), "job-1", 6, 8*time.Second), 1)
 	})
--- a/internal/batchrun/history_test.go
+++ b/internal/batchrun/history_test.go
@@ -160,11 +160,11 @@
 // kill stops a node without notice. A live node takes over its jobs, as it does when the failure detector declares a node dead,
 // and the node restarts without state.
 func (history *history) kill(name string) {
-	life := history.world.kill(name)
+	incarnation := history.world.kill(name)
 	time.Sleep(1300 * time.Millisecond)
 	for _, other := range []string{"a", "b", "c"} {
 		if runner := history.world.node(other); runner != nil && other != name {
-			if runner.TakeOverNode(context.Background(), name, life) == nil { // otherwise the node resumes its jobs itself
+			if runner.TakeOverNode(context.Background(), name, incarnation) == nil { // otherwise the node resumes its jobs itself
 				history.world.clearLeftKey(name)
 			}
 			break
--- a/internal/batchrun/runner_test.go
+++ b/internal/batchrun/runner_test.go
@@ -110,8 +110,8 @@
 	inWorld(t, 11, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition(longJob, 4, 1), jobRoute))
 		time.Sleep(1300 * time.Millisecond)
-		life := world.kill("a")
-		must.NoError(t, world.node("b").TakeOverNode(t.Context(), "a", life))
+		incarnation := world.kill("a")
+		must.NoError(t, world.node("b").TakeOverNode(t.Context(), "a", incarnation))
 		checkResults(t, await(t, world.node("c"), longJob, 4, 3*time.Second), 1)
 		for item, event := range world.engines.resumed {
 			must.GreaterEq(t, longEvents/4, event, must.Sprint(item))
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -23,16 +23,16 @@
 	must.GreaterEq(t, steady.Elapsed()-time.Millisecond, machine.Elapsed()-before)
 }
 
-// A suspension is told of once, with its length; a clock that runs a little apart is none.
+// A suspension is reported once, with its length; a clock that drifts slightly is not reported.
 func TestWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var apart atomic.Int64
-		var told []time.Duration
+		var reported []time.Duration
 		steady, lines := clock.Steady(), &bytes.Buffer{}
 		watch := &clock.Watch{
 			Clock:  clock.Func(func() time.Duration { return steady.Elapsed() + time.Duration(apart.Load()) }),
-			Logger: log.New(lines), OnResume: func(suspended time.Duration) { told = append(told, suspended) },
+			Logger: log.New(lines), OnResume: func(suspended time.Duration) { reported = append(reported, suspended) },
 		}
 		go watch.Run(ctx)
 		for range 20 { // 0.4 s in all
@@ -40,11 +40,11 @@
 			apart.Add(int64(20 * time.Millisecond))
 		}
 		synctest.Wait()
-		must.SliceEmpty(t, told)
+		must.SliceEmpty(t, reported)
 		apart.Add(int64(5 * time.Second))
 		time.Sleep(time.Second)
-		must.SliceLen(t, 1, told)
-		must.Between(t, 5*time.Second, told[0], 5*time.Second+20*time.Millisecond)
+		must.SliceLen(t, 1, reported)
+		must.Between(t, 5*time.Second, reported[0], 5*time.Second+20*time.Millisecond)
 		must.StrContains(t, lines.String(), "machine was suspended")
 		cancel()
 		synctest.Wait()
--- a/internal/cluster/registry.go
+++ b/internal/cluster/registry.go
@@ -76,7 +76,7 @@
 	}
 	unconditional := metadata.Txn{Puts: []metadata.Put{{Key: Prefix + registry.self.GetName(), Value: value}}}
 	conditional := unconditional
-	conditional.Conditions = []metadata.Condition{{Key: registry.leftKey(registry.self.GetName())}}
+	conditional.Conditions = []metadata.Condition{{Key: registry.leftoverWorkKey(registry.self.GetName())}}
 	for ctx.Err() == nil {
 		txn := conditional
 		if earlier {
@@ -104,7 +104,7 @@
 	return earlier
 }
 
-func (registry *Registry) leftKey(node string) string {
+func (registry *Registry) leftoverWorkKey(node string) string {
 	if registry.LeftoverWorkKey == nil {
 		return Prefix + node
 	}
--- a/internal/delivery/service.go
+++ b/internal/delivery/service.go
@@ -299,11 +299,11 @@
 			return FetchResponse{}, nil, err
 		}
 	}
-	return served.newFetchAnswer(owned, request, decided), served.changed, nil
+	return served.newFetchResponse(owned, request, decided), served.changed, nil
 }
 
-// newFetchResponse returns the answer to a fetch and records the staleness of its samples.
-func (served *servedPartition) newFetchAnswer(owned *ownedStep, request FetchRequest, decided step.FetchResult) FetchResponse {
+// newFetchResponse returns the response to a fetch and records the staleness of its samples.
+func (served *servedPartition) newFetchResponse(owned *ownedStep, request FetchRequest, decided step.FetchResult) FetchResponse {
 	response := FetchResponse{NextCursor: request.Cursor, State: owned.step.Progress.State, Slots: owned.step.Definition.Slots(), Delivered: owned.step.Delivered()}
 	for _, delivery := range decided.Deliveries {
 		response.Samples = append(response.Samples, DeliveredSample{
--- a/internal/dissemination/fleet_test.go
+++ b/internal/dissemination/fleet_test.go
@@ -256,14 +256,14 @@
 	followAt(ctx, store, health, topics, 0)
 }
 
-func followAt(ctx context.Context, store metadata.Store, health *metadata.Health, topics []dissemination.Topic, pace time.Duration) {
+func followAt(ctx context.Context, store metadata.Store, health *metadata.Health, topics []dissemination.Topic, minInterval time.Duration) {
 	for _, topic := range topics {
 		follower := &metadata.Follower{
 			Store: store, Prefix: topic.Prefix(), Handler: topic.Mirror, StartRevision: topic.Revision, Logger: log.New(io.Discard), Health: health,
 			Wait: func() time.Duration { return metadata.ShortWatchTimeout },
 		}
 		if topic.Prefix() == cluster.Prefix {
-			follower.MinInterval = pace
+			follower.MinInterval = minInterval
 		}
 		go follower.Run(ctx)
 	}
--- a/internal/dissemination/pause_test.go
+++ b/internal/dissemination/pause_test.go
@@ -107,8 +107,8 @@
 // Guards against comparing the timestamps of different processes, and against rejecting a beacon without a timestamp.
 func TestAgesOfSenders(t *testing.T) {
 	var delays beaconDelays
-	beacon := func(life int64, sent time.Duration) *clusterv1.Beacon {
-		return &clusterv1.Beacon{Name: "a", Life: life, SentUs: sent.Microseconds()}
+	beacon := func(incarnation int64, sent time.Duration) *clusterv1.Beacon {
+		return &clusterv1.Beacon{Name: "a", Life: incarnation, SentUs: sent.Microseconds()}
 	}
 	must.False(t, delays.stale(beacon(1, time.Hour), time.Minute))
 	must.False(t, delays.stale(beacon(2, time.Second), time.Minute), must.Sprint("a new process whose clock restarted"))
--- a/internal/metering/cluster_test.go
+++ b/internal/metering/cluster_test.go
@@ -166,14 +166,14 @@
 }
 
 // frontRecipients provides the recipients of a front.
-type frontListeners struct {
+type frontRecipients struct {
 	cluster *cluster
 	name    string
 	index   int
 }
 
-func (listeners frontListeners) Collector() *metering.Recipient {
-	cluster := listeners.cluster
+func (recipients frontRecipients) Collector() *metering.Recipient {
+	cluster := recipients.cluster
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	newest := ""
@@ -185,25 +185,25 @@
 	if newest == "" {
 		return nil
 	}
-	return &metering.Recipient{Name: newest, Epoch: cluster.terms[newest], Client: localClient{cluster, listeners.name, newest, cluster.collectors[newest]}}
+	return &metering.Recipient{Name: newest, Epoch: cluster.terms[newest], Client: localClient{cluster, recipients.name, newest, cluster.collectors[newest]}}
 }
 
-func (listeners frontListeners) Witness() *metering.Recipient {
-	cluster := listeners.cluster
+func (recipients frontRecipients) Witness() *metering.Recipient {
+	cluster := recipients.cluster
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
-	name := fmt.Sprint("front-", (listeners.index+1)%frontCount)
+	name := fmt.Sprint("front-", (recipients.index+1)%frontCount)
 	witness := cluster.fronts[name]
 	if witness == nil {
 		return nil // not started yet
 	}
-	return &metering.Recipient{Name: name, Epoch: witness.incarnation, Client: localClient{cluster, listeners.name, name, witness.ledger}}
+	return &metering.Recipient{Name: name, Epoch: witness.incarnation, Client: localClient{cluster, recipients.name, name, witness.ledger}}
 }
 
-func (listeners frontListeners) IsRunning(node string, incarnation int64) bool {
-	listeners.cluster.mu.Lock()
-	defer listeners.cluster.mu.Unlock()
-	known := listeners.cluster.fronts[node]
+func (recipients frontRecipients) IsRunning(node string, incarnation int64) bool {
+	recipients.cluster.mu.Lock()
+	defer recipients.cluster.mu.Unlock()
+	known := recipients.cluster.fronts[node]
 	return known != nil && known.incarnation == incarnation
 }
 
@@ -218,7 +218,7 @@
 	created.meter = metering.NewMeter(name, created.incarnation, windows, clock, created.ledger)
 	cluster.fronts[name] = created
 	cluster.mu.Unlock()
-	sender := &metering.TallySender{Meter: created.meter, Recipients: frontListeners{cluster, name, index}, Logger: log.New(io.Discard)}
+	sender := &metering.TallySender{Meter: created.meter, Recipients: frontRecipients{cluster, name, index}, Logger: log.New(io.Discard)}
 	go sender.Run(ctx)
 }
 
--- a/internal/network/memory.go
+++ b/internal/network/memory.go
@@ -14,20 +14,20 @@
 // Memory is a network inside one process, for simulations and tests. Hosts can be partitioned from each other: bytes that are sent are then
 // lost without an error, new connections hang, and a connection that lost bytes is reset at the first write after the partition.
 type Memory struct {
-	mu        sync.Mutex
-	listeners map[string]*memoryListener
-	severed   func(from, to netip.Addr) bool
-	latency   func(from, to netip.Addr) time.Duration
+	mu          sync.Mutex
+	listeners   map[string]*memoryListener
+	partitioned func(from, to netip.Addr) bool
+	latency     func(from, to netip.Addr) time.Duration
 }
 
 // NewMemory returns a network without partitions.
 func NewMemory() *Memory { return &Memory{listeners: make(map[string]*memoryListener)} }
 
-// SetPartition replaces the partitions. severed reports whether bytes from one host to another are lost; nil ends all partitions.
-func (memory *Memory) SetPartition(severed func(from, to netip.Addr) bool) {
+// SetPartition replaces the partitions. partitioned reports whether bytes from one host to another are lost; nil ends all partitions.
+func (memory *Memory) SetPartition(partitioned func(from, to netip.Addr) bool) {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
-	memory.severed = severed
+	memory.partitioned = partitioned
 }
 
 // SetLatency replaces the latency of writes from one host to another; nil means none.
@@ -47,11 +47,11 @@
 	return latency(from, to)
 }
 
-func (memory *Memory) isSevered(from, to netip.Addr) bool {
+func (memory *Memory) isPartitioned(from, to netip.Addr) bool {
 	memory.mu.Lock()
-	severed := memory.severed
+	partitioned := memory.partitioned
 	memory.mu.Unlock()
-	return severed != nil && severed(from, to)
+	return partitioned != nil && partitioned(from, to)
 }
 
 // At returns the network of one host.
@@ -143,7 +143,7 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "dial %s", address)
 	}
-	if host.memory.isSevered(host.host, target.Addr()) || host.memory.isSevered(target.Addr(), host.host) {
+	if host.memory.isPartitioned(host.host, target.Addr()) || host.memory.isPartitioned(target.Addr(), host.host) {
 		<-ctx.Done()
 		return nil, errors.Wrapf(ctx.Err(), "dial %s", address)
 	}
@@ -190,13 +190,13 @@
 
 // Write implements net.Conn.
 func (connection *memoryConnection) Write(buffer []byte) (int, error) {
-	severed := connection.memory.isSevered(connection.from, connection.to)
+	partitioned := connection.memory.isPartitioned(connection.from, connection.to)
 	connection.link.mu.Lock()
 	lost := connection.link.lost
-	connection.link.lost = lost || severed
+	connection.link.lost = lost || partitioned
 	connection.link.mu.Unlock()
 	switch {
-	case severed:
+	case partitioned:
 		return len(buffer), nil
 	case lost:
 		_ = connection.Conn.Close()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -85,13 +85,13 @@
 	limiter       *admission.Limiter
 	security      *security.Reloader // nil for plain HTTP
 
-	system      *actors.System
-	spread      *spread
-	clients     []*http.Client
-	controlHTTP *http.Server
-	apiHTTP     *http.Server
-	listeners   []net.Listener
-	serving     sync.WaitGroup
+	system       *actors.System
+	synchronizer *synchronizer
+	clients      []*http.Client
+	controlHTTP  *http.Server
+	apiHTTP      *http.Server
+	listeners    []net.Listener
+	serving      sync.WaitGroup
 	// controlCalls counts the control calls answered.
 	controlCalls atomic.Int64
 	closeOnce    sync.Once
@@ -201,11 +201,11 @@
 		SuspicionTime: config.Membership.SuspicionTime, ForgetTime: config.Membership.ForgetTime,
 		RetransmitFactor: retransmitFactor, ChangesPerMessage: changesPerMessage,
 	}, time.Now())
-	node.spread = newSpread(node)
+	node.synchronizer = newSynchronizer(node)
 	node.prober = membership.NewProber(membership.ProberSettings{
 		ProbeTimeout: config.Membership.ProbeTimeout, IndirectTimeout: config.Membership.ProbeTimeout,
 		IndirectProbes: config.Membership.IndirectProbes, SyncInterval: syncInterval, RejoinInterval: rejoinProbes * config.Membership.ProbeInterval,
-	}, node.members, node.directory, node.spread, node.seeds, seed, node.logger)
+	}, node.members, node.directory, node.synchronizer, node.seeds, seed, node.logger)
 }
 
 const (
@@ -236,7 +236,7 @@
 		SettleTime:  config.Ownership.SettleTime,
 		CallTimeout: config.Replicas.CallTimeout, FailedAfter: config.Replicas.FailedAfter,
 		OrderRetry: config.Replicas.OrderRetry, OrderAttempts: config.Replicas.OrderAttempts,
-	}, config.Node.ID, config.Node.Zone, orders, node.loads, node.members, node.follower.Machines, node.follower.Document, node.spread.pushLoads, node.joining, node.logger)
+	}, config.Node.ID, config.Node.Zone, orders, node.loads, node.members, node.follower.Machines, node.follower.Document, node.synchronizer.pushLoads, node.joining, node.logger)
 	node.runner = execution.NewRunner(execution.Settings{
 		RouteWait: config.Rollout.RouteWait, StallTime: config.Rollout.StallTime,
 		CancelTimeout: config.Replicas.CallTimeout, MaximumAttempts: config.Rollout.MaximumAttempts,
@@ -347,7 +347,7 @@
 		http.Handler
 		PathPrefix() string
 	}{
-		controlv1.NewMembershipServer(node.prober), controlv1.NewConfigurationServer(node.spread), controlv1.NewLoadServer(node.spread),
+		controlv1.NewMembershipServer(node.prober), controlv1.NewConfigurationServer(node.synchronizer), controlv1.NewLoadServer(node.synchronizer),
 		controlv1.NewPartitionServer(node.localReplicas), controlv1.NewStepsServer(node.steps), controlv1.NewExecutorServer(node.executor),
 		controlv1.NewClaimsServer(node.claims),
 	} {
@@ -394,15 +394,15 @@
 	config := node.settings
 	node.system.Every("prober", actors.Fixed(config.Membership.ProbeInterval), node.prober.Tick)
 	homes := node.system.Every("home", actors.Fixed(config.Replicas.PollInterval), node.homes.Tick)
-	node.system.Every("exchange", actors.Fixed(config.Replicas.PollInterval), node.spread.exchange)
-	node.system.Every("machines", actors.Fixed(machinesInterval), node.spread.pollMachines)
-	node.system.Every("service", actors.Fixed(relayPause), node.spread.pollService)
+	node.system.Every("exchange", actors.Fixed(config.Replicas.PollInterval), node.synchronizer.exchange)
+	node.system.Every("machines", actors.Fixed(machinesInterval), node.synchronizer.pollMachines)
+	node.system.Every("service", actors.Fixed(relayPause), node.synchronizer.pollService)
 	manager := node.system.Every("ownership", actors.Fixed(config.Ownership.TickInterval), node.manager.Tick)
 	node.system.Every("steps", actors.Fixed(config.Steps.TickInterval), node.steps.Tick)
 	node.system.Every("renewals", actors.Fixed(config.Steps.RenewInterval), node.executor.Tick)
 	node.system.Every("claims", actors.Fixed(time.Minute), node.claims.Tick)
 	node.system.Every("automatic", actors.Fixed(automaticInterval), node.swapAutomatic)
-	node.spread.run(func() {
+	node.synchronizer.run(func() {
 		homes.Wake()
 		manager.Wake()
 	})
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -54,7 +54,7 @@
 func (node *Node) Kill() {
 	node.closeOnce.Do(func() {
 		node.executor.Close()
-		node.spread.halt()
+		node.synchronizer.halt()
 		if node.controlHTTP != nil {
 			_ = node.controlHTTP.Close()
 			_ = node.apiHTTP.Close()
--- a/internal/node/spread.go
+++ b/internal/node/synchronizer.go
@@ -20,9 +20,9 @@
 	"github.com/thistlewalk/thistlewalk/internal/placement"
 )
 
-// spread moves configuration, partitions, the machine list and load digests between nodes. It implements the Twirp
+// synchronizer moves configuration, partitions, the machine list and load digests between nodes. It implements the Twirp
 // services Configuration and Load, and membership.RevisionExchange.
-type spread struct {
+type synchronizer struct {
 	node *Node
 
 	mu      sync.Mutex
@@ -32,88 +32,88 @@
 	done    sync.WaitGroup
 }
 
-func newSpread(node *Node) *spread { return &spread{node: node} }
+func newSynchronizer(node *Node) *synchronizer { return &synchronizer{node: node} }
 
 // pushPeers is how many members are told at once of a revision that is new to this node.
 const pushPeers = 3
 
 // run watches for changes until halt: each is pushed on, and onChange is called.
-func (spread *spread) run(onChange func()) {
+func (synchronizer *synchronizer) run(onChange func()) {
 	ctx, stop := context.WithCancel(context.Background())
-	spread.stop = stop
-	spread.done.Go(func() {
+	synchronizer.stop = stop
+	synchronizer.done.Go(func() {
 		for {
-			changed := spread.node.follower.Changed()
+			changed := synchronizer.node.follower.Changed()
 			select {
 			case <-ctx.Done():
 				return
 			case <-changed:
 				onChange()
-				spread.node.prober.Push(ctx, pushPeers)
+				synchronizer.node.prober.Push(ctx, pushPeers)
 			}
 		}
 	})
 }
 
-func (spread *spread) halt() {
-	if spread.stop != nil {
-		spread.stop()
-		spread.done.Wait()
+func (synchronizer *synchronizer) halt() {
+	if synchronizer.stop != nil {
+		synchronizer.stop()
+		synchronizer.done.Wait()
 	}
 }
 
 // Revisions implements membership.RevisionExchange.
-func (spread *spread) Revisions() membership.Revisions {
-	follower := spread.node.follower
+func (synchronizer *synchronizer) Revisions() membership.Revisions {
+	follower := synchronizer.node.follower
 	return membership.Revisions{
 		Configuration: follower.Document().Revision, Partitions: follower.Table().Revision, Machines: follower.Machines().Revision,
 	}
 }
 
 // HandleRevisions implements membership.RevisionExchange: it pulls when the other node knows more. One pull runs at a time.
-func (spread *spread) HandleRevisions(address string, other membership.Revisions) {
-	own := spread.Revisions()
+func (synchronizer *synchronizer) HandleRevisions(address string, other membership.Revisions) {
+	own := synchronizer.Revisions()
 	if other.Configuration <= own.Configuration && other.Partitions <= own.Partitions && other.Machines <= own.Machines {
 		return
 	}
-	spread.mu.Lock()
-	defer spread.mu.Unlock()
-	if spread.pulling {
+	synchronizer.mu.Lock()
+	defer synchronizer.mu.Unlock()
+	if synchronizer.pulling {
 		return
 	}
-	spread.pulling = true
-	go spread.pull(address)
+	synchronizer.pulling = true
+	go synchronizer.pull(address)
 }
 
-func (spread *spread) pull(address string) {
+func (synchronizer *synchronizer) pull(address string) {
 	defer func() {
-		spread.mu.Lock()
-		spread.pulling = false
-		spread.mu.Unlock()
+		synchronizer.mu.Lock()
+		synchronizer.pulling = false
+		synchronizer.mu.Unlock()
 	}()
-	ctx, cancel := context.WithTimeout(context.Background(), spread.node.settings.Platform.Timeout)
+	ctx, cancel := context.WithTimeout(context.Background(), synchronizer.node.settings.Platform.Timeout)
 	defer cancel()
-	own := spread.Revisions()
-	answer, err := spread.node.directory.At(address).Configuration.Pull(ctx, &controlv1.PullRequest{Known: &controlv1.Revisions{
+	own := synchronizer.Revisions()
+	answer, err := synchronizer.node.directory.At(address).Configuration.Pull(ctx, &controlv1.PullRequest{Known: &controlv1.Revisions{
 		Configuration: own.Configuration, Partitions: own.Partitions, Machines: own.Machines,
 	}})
 	if err == nil {
-		err = spread.take(answer)
+		err = synchronizer.take(answer)
 	}
 	if err != nil {
-		spread.node.logger.Debug("pull failed", "address", address, "error", err)
+		synchronizer.node.logger.Debug("pull failed", "address", address, "error", err)
 	}
 }
 
 // take offers what a pull brought.
-func (spread *spread) take(answer *controlv1.PullResponse) error {
+func (synchronizer *synchronizer) take(answer *controlv1.PullResponse) error {
 	var failure error
 	if content := answer.GetConfiguration(); len(content) > 0 {
 		var document experiment.Document
 		if err := configuration.DecodeMessage(content, &document); err != nil {
 			failure = errors.CombineErrors(failure, err)
-		} else if spread.node.follower.Offer(document) {
-			spread.node.logger.Info("configuration in force", "revision", document.Revision)
+		} else if synchronizer.node.follower.Offer(document) {
+			synchronizer.node.logger.Info("configuration in force", "revision", document.Revision)
 		}
 	}
 	if content := answer.GetPartitions(); len(content) > 0 {
@@ -121,7 +121,7 @@
 		if err := configuration.DecodeMessage(content, &table); err != nil {
 			failure = errors.CombineErrors(failure, err)
 		} else {
-			spread.node.follower.OfferTable(table)
+			synchronizer.node.follower.OfferTable(table)
 		}
 	}
 	if content := answer.GetMachines(); len(content) > 0 {
@@ -129,15 +129,15 @@
 		if err := configuration.DecodeMessage(content, &list); err != nil {
 			failure = errors.CombineErrors(failure, err)
 		} else {
-			spread.node.follower.OfferMachines(list)
+			synchronizer.node.follower.OfferMachines(list)
 		}
 	}
 	return failure
 }
 
 // Pull implements the Twirp service: it gives what is newer than the caller knows.
-func (spread *spread) Pull(_ context.Context, request *controlv1.PullRequest) (*controlv1.PullResponse, error) {
-	follower := spread.node.follower
+func (synchronizer *synchronizer) Pull(_ context.Context, request *controlv1.PullRequest) (*controlv1.PullResponse, error) {
+	follower := synchronizer.node.follower
 	known := request.GetKnown()
 	response := &controlv1.PullResponse{}
 	var err error
@@ -157,29 +157,29 @@
 }
 
 // Exchange implements the Twirp service: it gives digests that are newer than the caller's.
-func (spread *spread) Exchange(_ context.Context, request *controlv1.ExchangeRequest) (*controlv1.ExchangeResponse, error) {
-	return spread.node.loads.Newer(request, time.Now(), spread.node.settings.Replicas.MaximumAge), nil
+func (synchronizer *synchronizer) Exchange(_ context.Context, request *controlv1.ExchangeRequest) (*controlv1.ExchangeResponse, error) {
+	return synchronizer.node.loads.Newer(request, time.Now(), synchronizer.node.settings.Replicas.MaximumAge), nil
 }
 
 // Push implements the Twirp service: it takes digests, and pushes on those whose flags were news here.
-func (spread *spread) Push(_ context.Context, pushed *controlv1.ExchangeResponse) (*controlv1.PushResponse, error) {
-	spread.pushLoads(spread.node.loads.Merge(pushed, spread.node.follower.Machines(), time.Now()))
+func (synchronizer *synchronizer) Push(_ context.Context, pushed *controlv1.ExchangeResponse) (*controlv1.PushResponse, error) {
+	synchronizer.pushLoads(synchronizer.node.loads.Merge(pushed, synchronizer.node.follower.Machines(), time.Now()))
 	return &controlv1.PushResponse{}, nil
 }
 
 // pushLoads tells some random peers at once of digests whose flags changed.
-func (spread *spread) pushLoads(changed []*loads.Digest) {
+func (synchronizer *synchronizer) pushLoads(changed []*loads.Digest) {
 	if len(changed) == 0 {
 		return
 	}
 	message := loads.Pushed(changed)
-	peers := spread.exchangePeers()
+	peers := synchronizer.exchangePeers()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	for _, peer := range peers[:min(len(peers), pushPeers)] {
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), spread.node.settings.Membership.ProbeTimeout)
+			ctx, cancel := context.WithTimeout(context.Background(), synchronizer.node.settings.Membership.ProbeTimeout)
 			defer cancel()
-			_, _ = spread.node.directory.At(peer.Address).Load.Push(ctx, message)
+			_, _ = synchronizer.node.directory.At(peer.Address).Load.Push(ctx, message)
 		}()
 	}
 }
@@ -188,18 +188,18 @@
 const smallSystem = 64
 
 // exchange asks random peers for newer digests.
-func (spread *spread) exchange(ctx context.Context) {
-	node := spread.node
+func (synchronizer *synchronizer) exchange(ctx context.Context) {
+	node := synchronizer.node
 	now := time.Now()
 	node.loads.EvictOlderThan(now, forgetAges*node.settings.Replicas.MaximumAge)
-	peers := spread.exchangePeers()
+	peers := synchronizer.exchangePeers()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	for _, peer := range peers[:min(len(peers), node.settings.Membership.ExchangePeers)] {
 		callCtx, cancel := context.WithTimeout(ctx, node.settings.Membership.ProbeTimeout)
 		answer, err := node.directory.At(peer.Address).Load.Exchange(callCtx, node.loads.Known(time.Now(), node.settings.Replicas.MaximumAge))
 		cancel()
 		if err == nil {
-			spread.pushLoads(node.loads.Merge(answer, node.follower.Machines(), time.Now()))
+			synchronizer.pushLoads(node.loads.Merge(answer, node.follower.Machines(), time.Now()))
 		}
 	}
 }
@@ -208,8 +208,8 @@
 const forgetAges = 2
 
 // exchangePeers are the live others of the zone; of all zones in a small system.
-func (spread *spread) exchangePeers() []membership.Member {
-	node := spread.node
+func (synchronizer *synchronizer) exchangePeers() []membership.Member {
+	node := synchronizer.node
 	engines := 0
 	for _, machine := range node.follower.Machines().Machines {
 		if machine.Role == machines.RoleEngine {
@@ -226,8 +226,8 @@
 }
 
 // isRelay reports whether this node watches the platform's services for its zone.
-func (spread *spread) isRelay() bool {
-	node := spread.node
+func (synchronizer *synchronizer) isRelay() bool {
+	node := synchronizer.node
 	var zone []string
 	for _, member := range node.members.View().Live {
 		if member.Zone == node.settings.Node.Zone {
@@ -249,46 +249,46 @@
 )
 
 // pollService watches the key-value service while this node is a relay.
-func (spread *spread) pollService(ctx context.Context) {
-	if !spread.isRelay() {
+func (synchronizer *synchronizer) pollService(ctx context.Context) {
+	if !synchronizer.isRelay() {
 		sleep(ctx, time.Second)
 		return
 	}
-	err := spread.node.relay.Poll(ctx, watchWait)
+	err := synchronizer.node.relay.Poll(ctx, watchWait)
 	switch {
 	case err == nil || ctx.Err() != nil:
 	case errors.Is(err, configuration.ErrStaleService):
-		spread.reportOlder(err)
+		synchronizer.reportOlder(err)
 		sleep(ctx, time.Second)
 	case errors.Is(err, keyvalue.ErrLimited):
 		sleep(ctx, time.Second)
 	default:
-		spread.node.logger.Debug("key-value service not read", "error", err)
+		synchronizer.node.logger.Debug("key-value service not read", "error", err)
 		sleep(ctx, time.Second/2)
 	}
 }
 
 // reportOlder logs, now and then, that the service came back older.
-func (spread *spread) reportOlder(err error) {
-	if time.Since(spread.olderAt) < olderSilence {
+func (synchronizer *synchronizer) reportOlder(err error) {
+	if time.Since(synchronizer.olderAt) < olderSilence {
 		return
 	}
-	spread.olderAt = time.Now()
-	spread.node.logger.Error("older configuration refused", "code", 602, "error", err)
+	synchronizer.olderAt = time.Now()
+	synchronizer.node.logger.Error("older configuration refused", "code", 602, "error", err)
 }
 
 // pollMachines reads the machine list while this node is a relay.
-func (spread *spread) pollMachines(ctx context.Context) {
-	if !spread.isRelay() {
+func (synchronizer *synchronizer) pollMachines(ctx context.Context) {
+	if !synchronizer.isRelay() {
 		return
 	}
-	list, newer, err := spread.node.source.Newer(ctx, spread.node.follower.Machines().Revision)
+	list, newer, err := synchronizer.node.source.Newer(ctx, synchronizer.node.follower.Machines().Revision)
 	if err != nil {
-		spread.node.logger.Debug("machine list not read", "error", err)
+		synchronizer.node.logger.Debug("machine list not read", "error", err)
 		return
 	}
 	if newer {
-		spread.node.follower.OfferMachines(list)
+		synchronizer.node.follower.OfferMachines(list)
 	}
 }
 
--- a/internal/quarantine/record_store_test.go
+++ b/internal/quarantine/record_store_test.go
@@ -19,7 +19,7 @@
 )
 
 // newRecordStore returns the record store and the tracker of a node that watches the store.
-func newArchive(ctx context.Context, store *memstore.Store, node string, deputy bool) (*quarantine.RecordStore, *quarantine.Tracker) {
+func newRecordStore(ctx context.Context, store *memstore.Store, node string, deputy bool) (*quarantine.RecordStore, *quarantine.Tracker) {
 	logger, tracker := log.New(io.Discard), quarantine.NewTracker(node, time.Now())
 	health := metadata.NewHealth(store, logger)
 	recordStore := quarantine.NewRecordStore(ctx, store, health, tracker, node, logger)
@@ -46,13 +46,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New()
 		store.SetFaults(memstore.Faults{Down: true})
-		recordStore, tracker := newArchive(t.Context(), store, "a", false)
+		recordStore, tracker := newRecordStore(t.Context(), store, "a", false)
 		recordThreeCrashes(tracker, "a")
 		recordStore.Persist(fingerprintOf("x"))
 		time.Sleep(3 * time.Second)
 		store.SetFaults(memstore.Faults{LoseResponses: 1})
 		time.Sleep(3 * time.Second)
-		_, later := newArchive(t.Context(), store, "b", false)
+		_, later := newRecordStore(t.Context(), store, "b", false)
 		time.Sleep(time.Second)
 		must.Eq(t, 3, crashesOf(later))
 		must.False(t, later.Admit(fingerprintOf("x"), quarantine.Claim{}, time.Now()).Allowed)
@@ -68,7 +68,7 @@
 	for _, deputy := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			store := memstore.New()
-			recordStore, tracker := newArchive(t.Context(), store, "b", deputy)
+			recordStore, tracker := newRecordStore(t.Context(), store, "b", deputy)
 			recordThreeCrashes(tracker, "a")
 			recordStore.Persist(fingerprintOf("x"))
 			time.Sleep(2 * time.Second)
@@ -83,7 +83,7 @@
 func TestLateWriteChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New()
-		recordStore, tracker := newArchive(t.Context(), store, "a", false)
+		recordStore, tracker := newRecordStore(t.Context(), store, "a", false)
 		time.Sleep(time.Second)
 		store.SetFaults(memstore.Faults{LoseResponses: 1, CommitDelay: 5 * time.Second})
 		recordThreeCrashes(tracker, "a")
@@ -105,7 +105,7 @@
 // Records that cannot be decoded are skipped. A record that is missing from a newer listing lifts the quarantine; stale
 // listings and deletions do not.
 func TestArchiveReadsAgain(t *testing.T) {
-	recordStore, tracker := newArchive(t.Context(), memstore.New(), "a", false)
+	recordStore, tracker := newRecordStore(t.Context(), memstore.New(), "a", false)
 	value, err := proto.Marshal(&clusterv1.QuarantineRecord{Crashes: 3, Reporter: "b", UntilUnixMs: time.Now().Add(time.Hour).UnixMilli()})
 	must.NoError(t, err)
 	good := metadata.Item{Key: quarantine.Prefix + fingerprintOf("x").String(), Value: value, Revision: 4}
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -114,17 +114,17 @@
 }
 
 // RecordCrash records the crash of a replica under a request, as seen by the reporter, and returns how many crashes count;
-// fresh is false if the crash was already recorded. InterruptedAt is when the request was interrupted, which may be seconds before
+// fresh is false if the crash was already recorded. interruptedAt is when the request was interrupted, which may be seconds before
 // the crash was detected.
-func (tracker *Tracker) RecordCrash(fingerprint Fingerprint, replica, reporter string, broke, now time.Time) (crashes int, fresh bool) {
+func (tracker *Tracker) RecordCrash(fingerprint Fingerprint, replica, reporter string, interruptedAt, now time.Time) (crashes int, fresh bool) {
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
 	known := tracker.getOrCreate(fingerprint, now)
 	if known.hasCrash(replica) {
 		return known.crashes, false
 	}
-	simultaneous := slices.ContainsFunc(known.events, func(other CrashEvent) bool { return broke.Sub(other.InterruptedAt).Abs() < simultaneousWindow })
-	known.addEvent(CrashEvent{replica, broke})
+	simultaneous := slices.ContainsFunc(known.events, func(other CrashEvent) bool { return interruptedAt.Sub(other.InterruptedAt).Abs() < simultaneousWindow })
+	known.addEvent(CrashEvent{replica, interruptedAt})
 	if simultaneous {
 		return known.crashes, true
 	}
--- a/internal/role/orderer.go
+++ b/internal/role/orderer.go
@@ -140,7 +140,7 @@
 	})
 	orderer.operator = operator
 	election := weights.NewElection(orderer.Store, orderer.Node, orderer.Election, orderer.Logger)
-	election.OnEarlierIncarnation, election.Clock = orderer.standIn, orderer.Clock
+	election.OnEarlierIncarnation, election.Clock = orderer.publishBeforeTerm, orderer.Clock
 	orderer.done.Add(1)
 	go func() {
 		defer orderer.done.Done()
@@ -184,9 +184,9 @@
 	reporting.Wait() // the next term must not begin before the reporter has stopped
 }
 
-// standIn publishes before this node holds the lease, while the lease of its earlier process has not yet expired. After
+// publishBeforeTerm publishes before this node holds the lease, while the lease of its earlier process has not yet expired. After
 // a restart of all machines, fronts therefore need not wait for the lease to read the deployment's state.
-func (orderer *Orderer) standIn(ctx context.Context) {
+func (orderer *Orderer) publishBeforeTerm(ctx context.Context) {
 	orderer.Logger.Info("publishing ahead of the lease", "node", orderer.Node)
 	orderer.publish(ctx, noTerm)
 }
--- a/internal/weights/election.go
+++ b/internal/weights/election.go
@@ -164,8 +164,8 @@
 	if election.OnEarlierIncarnation == nil {
 		return func() {}
 	}
-	standCtx, cancel := context.WithCancel(ctx)
-	go election.OnEarlierIncarnation(standCtx)
+	publishCtx, cancel := context.WithCancel(ctx)
+	go election.OnEarlierIncarnation(publishCtx)
 	return cancel
 }
 
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -50,11 +50,11 @@
 mutate 'report sent before it is stored' internal/metering/reporter.go '_, err = work.Store.Commit(callCtx, txn)' '_, err = work.Store.Commit(callCtx, metadata.Txn{Deletes: txn.Deletes})' ./internal/metering
 mutate 'report stored by a former holder' internal/metering/reporter.go 'Conditions: []metadata.Condition{work.term.Condition(), {Key: reportKey(work.next)}},' 'Conditions: []metadata.Condition{{Key: reportKey(work.next)}},' ./internal/metering
 mutate 'older tally wins' internal/metering/ledger.go 'known.GetSequence() < tally.GetSequence()' 'known.GetSequence() != tally.GetSequence()' ./internal/metering
-mutate 'run that was refused is counted' internal/forwarding/run.go 'return result.answer.NotExecuted' 'return false' ./internal/forwarding
+mutate 'run that was refused is counted' internal/forwarding/run.go 'return result.response.NotExecuted' 'return false' ./internal/forwarding
 mutate 'successor does not wait' internal/weights/election.go 'wait.Pause(ctx, election.Settings.HandoverWait)' '_ = election.Settings.HandoverWait' ./internal/weights
 mutate 'waiting holder counts as the last' internal/weights/election.go 'if last == "" {' 'if last != election.Node {' ./internal/weights
-mutate 'no witness' internal/metering/teller.go 'witness.send(ctx, teller.Listeners.Witness(), teller.isOwn)' '_ = witness' ./internal/metering
-mutate 'revoked key in a retry' internal/forwarding/run.go 'return run.call.StillAdmitted != nil && !run.call.StillAdmitted()' 'return run.call.StillAdmitted != nil && run.attempts == 0 && !run.call.StillAdmitted()' ./internal/forwarding
+mutate 'no witness' internal/metering/tally_sender.go 'witness.send(ctx, sender.Recipients.Witness(), sender.isOwn)' '_ = witness' ./internal/metering
+mutate 'revoked key in a retry' internal/forwarding/run.go 'return run.call.KeyValid != nil && !run.call.KeyValid()' 'return run.call.KeyValid != nil && run.attempts == 0 && !run.call.KeyValid()' ./internal/forwarding
 mutate "another tenant's job read" internal/batchrun/scope.go 'if strings.Contains(named, batch.ScopeSeparator) {' 'if strings.Contains(named, batch.ScopeSeparator) && named == "" {' ./internal/batchrun
 mutate "another tenant's text used" internal/batchrun/kept.go 'id = batch.InScopeOf(text.job, id)' '_ = batch.InScopeOf(text.job, id)' ./internal/batchrun
 mutate 'key denied by a node that is behind' platform/ingress.go 'if !ingress.UpToDate() {' 'if ingress.UpToDate == nil {' ./platform
@@ -63,7 +63,7 @@
 mutate 'all nodes run a job in an outage' internal/batchrun/delegation.go 'if delegation.local.Load() {' 'if delegation.target == "" {' ./internal/batchrun
 mutate 'jobs left to each other' internal/batchrun/delegation.go 'owned.delegation.local.Store(true)' '_ = owned' ./internal/batchrun
 mutate 'holder waits to be told what it knows' internal/metering/reporter.go ' || !work.collectedAt.Before(end.Add(deliveryAllowance)))' ')' ./internal/metering
-mutate 'call outlasts a lost lease' internal/metering/reporter.go 'remaining := work.term.Remaining() + work.Overhang' 'remaining := work.term.Remaining() + work.Overhang + time.Hour' ./internal/metering
+mutate 'call outlasts a lost lease' internal/metering/reporter.go 'remaining := work.term.Remaining() + work.CallGrace' 'remaining := work.term.Remaining() + work.CallGrace + time.Hour' ./internal/metering
 mutate 'refusal not confirmed' internal/delivery/service.go 'if err := served.log.Append(ctx, nil, nil); err != nil {' 'if err := served.log.Failed(); err != nil {' ./internal/delivery
 mutate 'probe that hangs is waited for' internal/metadata/health.go 'if notified || health.Good() {' 'if !notified || health.Good() {' ./internal/metadata
 mutate 'slow probe left again and again' internal/metadata/health.go 'if notified || health.Good() {' 'if health.Good() {' ./internal/metadata
@@ -71,11 +71,11 @@
 mutate 'job not taken back' internal/batchrun/service.go 'other.delegation.reclaim()' '_ = other' ./internal/batchrun
 mutate 'replica that fails is not left alone' internal/batchrun/generate.go 'runner.scheduler.recordFailure(replica.ID, time.Now())' '_ = time.Now' ./internal/batchrun
 mutate 'item goes back to who failed it' internal/batchrun/generate.go 'running.avoid, running.avoidUntil = replica.ID, now.Add(avoidAfterFailure)' '_ = avoidAfterFailure' ./internal/batchrun
-mutate 'nodes tell nobody of ends' internal/quarantine/outbox.go 'if guard.Teller == nil {' 'if guard.Teller == nil || notice.Reporter == "" {' ./internal/quarantine
-mutate 'quarantine not kept' internal/quarantine/archive.go 'if known.Crashes < quarantineThreshold || stored.crashes >= known.Crashes {' 'if known.Crashes > 0 || stored.crashes >= known.Crashes {' ./internal/quarantine
+mutate 'nodes tell nobody of ends' internal/quarantine/outbox.go 'if guard.Broadcaster == nil {' 'if guard.Broadcaster == nil || notice.Reporter == "" {' ./internal/quarantine
+mutate 'quarantine not kept' internal/quarantine/record_store.go 'if known.Crashes < quarantineThreshold || stored.crashes >= known.Crashes {' 'if known.Crashes > 0 || stored.crashes >= known.Crashes {' ./internal/quarantine
 mutate 'quarantine not published' internal/role/topics.go '		{Mirror: topics.quarantine},
 ' '' ./cmd/thistlewalk-rollout -run EndsReplicas
-mutate 'an answer clears nothing' internal/quarantine/guard.go 'if !guard.Book.Clear(fingerprint) {
+mutate 'an answer clears nothing' internal/quarantine/guard.go 'if !guard.Tracker.Clear(fingerprint) {
 		return
 	}
 	guard.Metrics' 'if fingerprint != (Fingerprint{}) {
@@ -83,12 +83,12 @@
 	}
 	guard.Metrics' ./internal/quarantine
 mutate 'an answer that breaks off is not seen' internal/quarantine/guard.go 'body.guard.answerLost(body.ctx, body.replica, body.request)' '_ = body.ctx' ./internal/quarantine
-mutate 'requests of callers that left forgotten' internal/quarantine/guard.go 'case errors.Is(err, backend.ErrRefused):
-		guard.connectionRefused(replica)' 'case errors.Is(err, backend.ErrRefused):' ./internal/quarantine
+mutate 'requests of callers that left forgotten' internal/quarantine/guard.go 'case errors.Is(err, backend.ErrConnectionRefused):
+		guard.connectionRefused(replica)' 'case errors.Is(err, backend.ErrConnectionRefused):' ./internal/quarantine
 mutate 'planned ends count' internal/quarantine/guard.go 'return registered != nil && !registered.Draining' 'return registered != nil || replica != ""' ./internal/quarantine
-mutate 'ends at one moment count each' internal/quarantine/book.go 'broke.Sub(other.Broke).Abs() < simultaneousWindow' 'broke.Sub(other.Broke).Abs() < 0' ./internal/quarantine
-mutate 'all nodes try at a time' internal/quarantine/book.go 'return claim.Exclusive || known.reporter == book.node ||' 'return claim.Exclusive || book.node != "" ||' ./internal/quarantine
-mutate 'late write without its condition' internal/quarantine/archive.go 'Conditions: []metadata.Condition{{Key: key, Revision: stored.revision}}, Puts' 'Conditions: []metadata.Condition{}, Puts' ./internal/quarantine
+mutate 'ends at one moment count each' internal/quarantine/tracker.go 'interruptedAt.Sub(other.InterruptedAt).Abs() < simultaneousWindow' 'interruptedAt.Sub(other.InterruptedAt).Abs() < 0' ./internal/quarantine
+mutate 'all nodes try at a time' internal/quarantine/tracker.go 'return claim.Exclusive || known.reporter == book.node ||' 'return claim.Exclusive || book.node != "" ||' ./internal/quarantine
+mutate 'late write without its condition' internal/quarantine/record_store.go 'Conditions: []metadata.Condition{{Key: key, Revision: stored.revision}}, Puts' 'Conditions: []metadata.Condition{}, Puts' ./internal/quarantine
 mutate 'items go round the guard' internal/role/front.go 'Catalog: options.Catalog, Loads: loads, Sender: front.guard,
 		Decoder' 'Catalog: options.Catalog, Loads: loads, Sender: options.Sender,
 		Decoder' ./cmd/thistlewalk-rollout -run EndsReplicas
