--- a/internal/batch/progress.go
+++ b/internal/batch/progress.go
@@ -104,8 +104,8 @@
 	return true
 }
 
-// RequireGroup marks the group of an item as one that the trainer waits for, because it contains an item of an earlier job that the
-// trainer submitted again.
+// RequireGroup marks the group of an item as one that the trainer waits for, because it contains an item of an earlier job that
+// the trainer submitted again.
 func (progress *Progress) RequireGroup(itemID string) {
 	group, known := progress.groupOf[itemID]
 	if known && progress.remaining[group] > 0 {
@@ -137,7 +137,8 @@
 }
 
 // Delay returns how long the pending results wait from now on: until MaxWait after the oldest of them was finished, or not at
-// all once the groups that the trainer waits for are complete; but always until the minimum interval after the last write has passed.
+// all once the groups that the trainer waits for are complete; but always until the minimum interval after the last write has
+// passed.
 func (policy FlushPolicy) Delay(progress *Progress, now, oldestPending, lastWrite time.Time) time.Duration {
 	due, interval := oldestPending.Add(policy.MaxWait), policy.MinInterval
 	if progress.WantedComplete() || progress.Done() {
--- a/internal/batchlog/keys.go
+++ b/internal/batchlog/keys.go
@@ -26,5 +26,6 @@
 
 func ownedKey(node, id string) string { return ownedPrefix(node) + id }
 
-// LeftoverWorkKey returns the key that exists once a node has owned a job. Without it, no process of the node has left a job behind.
+// LeftoverWorkKey returns the key that exists once a node has owned a job. Without it, no process of the node has left a job
+// behind.
 func LeftoverWorkKey(node string) string { return "left/" + node }
--- a/internal/batchrun/read.go
+++ b/internal/batchrun/read.go
@@ -34,8 +34,8 @@
 }
 
 // Read returns the results of a job from position from on. It waits up to wait if there are none yet. The tenant is empty in
-// deployments without tenants. Read returns ErrNotFound if the tenant has no such job and ErrUncertain if that cannot be determined
-// at the moment.
+// deployments without tenants. Read returns ErrNotFound if the tenant has no such job and ErrUncertain if that cannot be
+// determined at the moment.
 func (runner *Runner) Read(ctx context.Context, tenant, job string, from int, wait time.Duration) (page Page, err error) {
 	err = runner.inScope(ctx, tenant, job, func(id string) error {
 		page, err = runner.read(ctx, id, from, wait)
--- a/internal/catalog/replica.go
+++ b/internal/catalog/replica.go
@@ -57,8 +57,8 @@
 	return 0
 }
 
-// DiffersOnlyInVersions reports whether the replica differs from an earlier entry in nothing but the versions of its weights. It is false if
-// either entry is nil.
+// DiffersOnlyInVersions reports whether the replica differs from an earlier entry in nothing but the versions of its weights. It
+// is false if either entry is nil.
 func (replica *Replica) DiffersOnlyInVersions(earlier *Replica) bool {
 	if replica == nil || earlier == nil || slices.Equal(replica.Models, earlier.Models) {
 		return false
--- a/internal/cluster/registry.go
+++ b/internal/cluster/registry.go
@@ -34,8 +34,9 @@
 	OnExpelled func()
 	// Health is the health of the metadata store; nil if it is not tracked.
 	Health *metadata.Health
-	// LeftoverWorkKey returns the key that exists while an incarnation of a node may have left work behind. The key is deleted
-	// together with the node's record, as the last step of a takeover. If LeftoverWorkKey is nil, the record's own key is used.
+	// LeftoverWorkKey returns the key that exists while an incarnation of a node may have left work behind. The key is
+	// deleted together with the node's record, as the last step of a takeover. If LeftoverWorkKey is nil, the record's
+	// own key is used.
 	LeftoverWorkKey func(node string) string
 
 	mu    sync.Mutex
--- a/internal/configuration/relay.go
+++ b/internal/configuration/relay.go
@@ -37,9 +37,9 @@
 	return &Relay{service: service, follower: follower}
 }
 
-// Poll waits for a change in the service, for at most the given time, and passes it to the follower. It returns ErrStaleService if the service has
-// lost changes and holds an older document. A second read confirms this, since the watch may have been answered before this node's own
-// latest change.
+// Poll waits for a change in the service, for at most the given time, and passes it to the follower. It returns ErrStaleService if the
+// service has lost changes and holds an older document. A second read confirms this, since the watch may have been answered before this
+// node's own latest change.
 func (relay *Relay) Poll(ctx context.Context, wait time.Duration) error {
 	listing, err := relay.service.Watch(ctx, AllKeysPrefix, relay.revision, wait)
 	if err != nil {
--- a/internal/delivery/executor.go
+++ b/internal/delivery/executor.go
@@ -37,9 +37,9 @@
 	CallTimeout time.Duration
 	// SwapWaitTimeout is how long a rollout that is generated ahead waits for a replica with newer weights.
 	SwapWaitTimeout time.Duration
-	// MaxBatchFill and AheadMaxBatchFill are the shares of a replica's batch up to which rollouts are sent to the replica: MaxBatchFill for
-	// a step whose trainer is waiting, AheadMaxBatchFill for a step that is generated ahead. Zero means no limit, and rollouts queue
-	// at the replicas.
+	// MaxBatchFill and AheadMaxBatchFill are the shares of a replica's batch up to which rollouts are sent to the replica:
+	// MaxBatchFill for a step whose trainer is waiting, AheadMaxBatchFill for a step that is generated ahead. Zero means no
+	// limit, and rollouts queue at the replicas.
 	MaxBatchFill, AheadMaxBatchFill float64
 }
 
--- a/internal/dissemination/pace_test.go
+++ b/internal/dissemination/pace_test.go
@@ -8,7 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against relays that apply the minimum interval of the registry again: delays would add up along the tree, and nodes would read the store.
+// Guards against relays that apply the minimum interval of the registry again: delays would add up along the tree, and nodes would read the
+// store.
 func TestPaceDoesNotAddUpAlongTheTree(t *testing.T) {
 	const nodes = 300
 	for _, fanOut := range []int{4, 8, 16} {
--- a/internal/dissemination/publisher.go
+++ b/internal/dissemination/publisher.go
@@ -23,8 +23,8 @@
 // Publisher pushes topics to nodes and sends beacons. It serves a bounded number of nodes directly; the others are served by relays, each
 // of which runs a Publisher for its group.
 type Publisher struct {
-	// Node and Incarnation identify the process that reads the published topics from the store: this process, or the origin whose topics a relay
-	// passes on.
+	// Node and Incarnation identify the process that reads the published topics from the store: this process, or the origin whose topics a
+	// relay passes on.
 	Node        string
 	Incarnation int64
 	// Clock orders and timestamps the beacons of this process, also after the machine was suspended; nil for a steady clock.
--- a/internal/dissemination/snapshot.go
+++ b/internal/dissemination/snapshot.go
@@ -28,8 +28,8 @@
 	registryTimeout = 500 * time.Millisecond
 )
 
-// SnapshotFetcher copies a large topic from a neighbour when a node reads the metadata store itself and has no data of the topic yet. The node
-// then reads only later changes from the store, which cannot serve full listings to many nodes that start at the same time.
+// SnapshotFetcher copies a large topic from a neighbour when a node reads the metadata store itself and has no data of the topic yet. The
+// node then reads only later changes from the store, which cannot serve full listings to many nodes that start at the same time.
 type SnapshotFetcher struct {
 	// Topic is the topic to copy. Nodes is the topic of the registry, which lists the neighbours.
 	Topic, Nodes Topic
--- a/internal/dissemination/subscriber.go
+++ b/internal/dissemination/subscriber.go
@@ -229,8 +229,8 @@
 	return b
 }
 
-// HandleBeacon handles a beacon of a publisher, received directly or through a relay, and reports whether it is fresh. It ignores a beacon that
-// was delayed while a process or machine stood still.
+// HandleBeacon handles a beacon of a publisher, received directly or through a relay, and reports whether it is fresh. It ignores a beacon
+// that was delayed while a process or machine stood still.
 func (subscriber *Subscriber) HandleBeacon(beacon *clusterv1.Beacon, from net.Addr) (fresh bool) {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
--- a/internal/dissemination/topic.go
+++ b/internal/dissemination/topic.go
@@ -11,8 +11,8 @@
 // Topic is a key prefix of the metadata store whose changes are published.
 type Topic struct {
 	*metadata.Mirror
-	// MinInterval is the minimum time from one push to a node to the next if the node lacks only changes of such topics; zero for topics that are
-	// pushed at each change.
+	// MinInterval is the minimum time from one push to a node to the next if the node lacks only changes of such topics; zero for topics
+	// that are pushed at each change.
 	MinInterval time.Duration
 	// Bulk is true for topics that may be large. They are pushed in a lane of their own, so that other topics never wait for them.
 	Bulk bool
@@ -93,8 +93,8 @@
 	return delta
 }
 
-// withoutMinInterval returns topics as a relay pushes them: immediately. The origin already applies the minimum interval. Applied again at each level of the
-// tree it would add up, while a node is allowed the delay of one level.
+// withoutMinInterval returns topics as a relay pushes them: immediately. The origin already applies the minimum interval. Applied again at
+// each level of the tree it would add up, while a node is allowed the delay of one level.
 func withoutMinInterval(topics []Topic) []Topic {
 	list := slices.Clone(topics)
 	for index := range list {
--- a/internal/execution/runner.go
+++ b/internal/execution/runner.go
@@ -31,8 +31,8 @@
 	// Preferred is the replica that ran the previous turn of the rollout; empty if there is none.
 	Preferred string
 	PrefixKey string
-	// MaxBatchFill makes the request wait for a replica whose batch is filled to less than this share, instead of joining a queue.
-	// Zero disables this.
+	// MaxBatchFill makes the request wait for a replica whose batch is filled to less than this share, instead of joining a
+	// queue. Zero disables this.
 	MaxBatchFill float64
 }
 
--- a/internal/forwarding/bodies.go
+++ b/internal/forwarding/bodies.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// Errors of Bodies.Read. A caller may retry after ErrNoMemory, since nothing of the request has run.
+// Errors of BodyReader.Read. A caller may retry after ErrNoMemory, since nothing of the request has run.
 var (
 	ErrTooLarge       = errors.New("the body is larger than the configured limit")
 	ErrNoMemory       = errors.New("no memory left for request bodies")
--- a/internal/metadata/follow.go
+++ b/internal/metadata/follow.go
@@ -12,8 +12,8 @@
 const (
 	// LongWatchTimeout bounds a watch on keys whose changes also arrive by another path, should the watch miss one.
 	LongWatchTimeout = 28 * time.Second
-	// ShortWatchTimeout bounds a watch on keys whose changes arrive by no other path. A watch that is open during a compaction may miss a
-	// change, and only the next watch finds it.
+	// ShortWatchTimeout bounds a watch on keys whose changes arrive by no other path. A watch that is open during a compaction may
+	// miss a change, and only the next watch finds it.
 	ShortWatchTimeout = 1500 * time.Millisecond
 
 	followRetryMin = 60 * time.Millisecond
@@ -58,8 +58,8 @@
 	Wait func() time.Duration
 	// MinInterval is the pause after a watch that returned events, so that changes in quick succession share a call.
 	MinInterval time.Duration
-	// StartRevision returns the revision up to which the handler already has all changes. The first watch starts from it. The keys are listed
-	// first only if it is zero. Nil means zero.
+	// StartRevision returns the revision up to which the handler already has all changes. The first watch starts from it. The keys
+	// are listed first only if it is zero. Nil means zero.
 	StartRevision func() Revision
 }
 
--- a/internal/metadata/health.go
+++ b/internal/metadata/health.go
@@ -37,11 +37,11 @@
 	store  Store
 	logger *log.Logger
 	// Nodes returns the number of nodes that share the probes of a lost store, or zero if it is not known yet. The more nodes there are,
-	// the less often each of them probes. A node that gets a response again notifies the others through OnRecovered. If Nodes is nil, this
-	// node does not share probes. It must be set before Run.
+	// the less often each of them probes. A node that gets a response again notifies the others through OnRecovered. If Nodes is nil,
+	// this node does not share probes. It must be set before Run.
 	Nodes func() int
-	// ProbeNeeded reports whether this node has to detect the loss of the store soon. While it returns false, a store that is not known to be
-	// lost is not probed. Nil means true. It must be set before Run.
+	// ProbeNeeded reports whether this node has to detect the loss of the store soon. While it returns false, a store that is not known
+	// to be lost is not probed. Nil means true. It must be set before Run.
 	ProbeNeeded func() bool
 	// Urgent reports whether this node has work that waits for a lost store, or receives no messages from other nodes. While it returns
 	// false, the node probes a lost store less often and relies on the notification by other nodes. Nil means true. It must be set
--- a/internal/metadata/memstore/store.go
+++ b/internal/metadata/memstore/store.go
@@ -17,7 +17,8 @@
 type Faults struct {
 	// Down makes calls fail at once; Hang makes them hang until their context ends.
 	Down, Hang bool
-	// LoseResponses is the number of next commits whose response is lost: each is applied, and the call hangs until its context ends.
+	// LoseResponses is the number of next commits whose response is lost: each is applied, and the call hangs until its context
+	// ends.
 	LoseResponses int
 	// CommitDelay delays the application of commits whose response is lost.
 	CommitDelay time.Duration
--- a/internal/metadata/mirror_test.go
+++ b/internal/metadata/mirror_test.go
@@ -125,7 +125,7 @@
 				}
 			case 6: // the mirror receives one of the deltas
 				if len(late) > 0 {
-					delta := late[rapid.IntRange(0, len(late)-1).Draw(t, "difference")]
+					delta := late[rapid.IntRange(0, len(late)-1).Draw(t, "delta")]
 					known := mirror.ApplyDelta(&delta)
 					must.Eq(t, known, mirror.Revision())
 				}
@@ -212,7 +212,7 @@
 		{"a watch without events", func() { mirror.Apply(nil, 7) }, true},
 		{"the same watch", func() { mirror.Apply(nil, 7) }, false},
 		{"an event", func() { mirror.Apply([]metadata.Event{{Item: metadata.Item{Key: "a/2", Revision: 8}}}, 8) }, true},
-		{"a difference without items", func() { mirror.ApplyDelta(&metadata.Delta{Prefix: "a/", Base: 8, Revision: 9}) }, true},
+		{"a delta without items", func() { mirror.ApplyDelta(&metadata.Delta{Prefix: "a/", Base: 8, Revision: 9}) }, true},
 	} {
 		advanced := mirror.Advanced()
 		step.run()
--- a/internal/metering/meter.go
+++ b/internal/metering/meter.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// CountStarted counts a request of a tenant that is being sent to a replica. If it turns out that the request did not run, the caller must call
-// withdraw once, which removes the request from the window in which it was counted.
+// CountStarted counts a request of a tenant that is being sent to a replica. If it turns out that the request did not run, the caller
+// must call withdraw once, which removes the request from the window in which it was counted.
 func (meter *Meter) CountStarted(tenant string) (withdraw func()) {
 	window := meter.windows.At(meter.clock.Now())
 	meter.add(window, tenant, 1)
--- a/internal/node/synchronizer.go
+++ b/internal/node/synchronizer.go
@@ -20,8 +20,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/placement"
 )
 
-// synchronizer moves configuration, partitions, the machine list and load digests between nodes. It implements the Twirp
-// services Configuration and Load, and membership.RevisionExchange.
+// synchronizer moves configuration, partitions, the machine list and load digests between nodes. It implements the
+// Twirp services Configuration and Load, and membership.RevisionExchange.
 type synchronizer struct {
 	node *Node
 
@@ -34,7 +34,7 @@
 
 func newSynchronizer(node *Node) *synchronizer { return &synchronizer{node: node} }
 
-// pushPeers is how many members are told at once of a revision that is new to this node.
+// pushPeers is how many members are notified at once of a revision that is new to this node.
 const pushPeers = 3
 
 // run watches for changes until halt: each is pushed on, and onChange is called.
@@ -70,7 +70,8 @@
 	}
 }
 
-// HandleRevisions implements membership.RevisionExchange: it pulls when the other node knows more. One pull runs at a time.
+// HandleRevisions implements membership.RevisionExchange: it pulls when the other node knows more. One pull runs at a
+// time.
 func (synchronizer *synchronizer) HandleRevisions(address string, other membership.Revisions) {
 	own := synchronizer.Revisions()
 	if other.Configuration <= own.Configuration && other.Partitions <= own.Partitions && other.Machines <= own.Machines {
--- a/internal/ownership/copies.go
+++ b/internal/ownership/copies.go
@@ -13,8 +13,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/peers"
 )
 
-// LocalReplicas holds the partition replicas of this node. It implements the Twirp service Partition and is safe for concurrent
-// use.
+// LocalReplicas holds the partition replicas of this node. It implements the Twirp service Partition and is safe for
+// concurrent use.
 type LocalReplicas struct {
 	storage  partition.Storage // nil on nodes without a data folder
 	storeID  string            // replica identity of the storage; empty if storage is nil
--- a/internal/ownership/identity.go
+++ b/internal/ownership/identity.go
@@ -8,8 +8,8 @@
 	return nodeID + "#" + strconv.FormatUint(ProcessNumber(incarnation), 10)
 }
 
-// IncarnationsPerProcess separates the incarnations of successive processes of a node: the first incarnation of a process is a multiple
-// of IncarnationsPerProcess.
+// IncarnationsPerProcess separates the incarnations of successive processes of a node: the first incarnation of a process
+// is a multiple of IncarnationsPerProcess.
 const IncarnationsPerProcess = 1 << 20
 
 // ProcessNumber returns the number of the process that has the given incarnation.
--- a/internal/ownership/manager.go
+++ b/internal/ownership/manager.go
@@ -278,8 +278,8 @@
 }
 
 // historyUnrecoverable reports whether the registers of a claims partition are lost: recovery has failed for
-// HistoryRecoveryTimeout, and the replicas that may still exist are fewer than a read quorum and fewer than a write quorum. It is
-// always false for replicas on disk, since their machines may return. Otherwise an operator ends the steps.
+// HistoryRecoveryTimeout, and the replicas that may still exist are fewer than a read quorum and fewer than a write
+// quorum. It is always false for replicas on disk, since their machines may return. Otherwise an operator ends the steps.
 func (manager *Manager) historyUnrecoverable(assignment partition.Assignment, candidates []partition.Candidate) bool {
 	since := manager.states[assignment.Name].failingSince
 	if since.IsZero() || assignment.Name.Kind != partition.KindClaims || time.Since(since) < manager.settings.HistoryRecoveryTimeout {
@@ -377,8 +377,8 @@
 	return true
 }
 
-// PartitionCount returns the number of partitions that this node owns or holds a replica in memory of, according to the newest
-// table.
+// PartitionCount returns the number of partitions that this node owns or holds a replica in memory of, according to the
+// newest table.
 func (manager *Manager) PartitionCount() int {
 	held := 0
 	for _, assignment := range manager.follower.Table().Assignments {
--- a/internal/quarantine/outbox.go
+++ b/internal/quarantine/outbox.go
@@ -15,8 +15,9 @@
 	batchDelay = 5 * time.Millisecond
 	// resendDelay is when a notice is sent a second time, since a datagram may be lost.
 	resendDelay = 250 * time.Millisecond
-	// MaxNoticeEntries bounds the crashes, and the cleared requests, in one notice, which must fit into a datagram of 2,048
-	// bytes: 100 bytes are left for each crash with the identifier of its replica, and 28 for each cleared request.
+	// MaxNoticeEntries bounds the crashes, and the cleared requests, in one notice, which must fit into a datagram of
+	// 2,048 bytes: 100 bytes are left for each crash with the identifier of its replica, and 28 for each cleared
+	// request.
 	MaxNoticeEntries = 12
 )
 
--- a/internal/quarantine/record_store.go
+++ b/internal/quarantine/record_store.go
@@ -31,8 +31,8 @@
 	maxRecords = 1024
 )
 
-// RecordStore stores quarantined requests in the metadata store and loads those that other nodes have stored. It implements
-// Persister and metadata.Handler. It is safe for concurrent use.
+// RecordStore stores quarantined requests in the metadata store and loads those that other nodes have stored. It
+// implements Persister and metadata.Handler. It is safe for concurrent use.
 type RecordStore struct {
 	Store   metadata.Store
 	Health  *metadata.Health
@@ -63,8 +63,8 @@
 	}
 }
 
-// Persist implements Persister. The reporter stores the record at once, the deputy after deputyPersistDelay, and other nodes
-// do not store it. It does not block.
+// Persist implements Persister. The reporter stores the record at once, the deputy after deputyPersistDelay, and other
+// nodes do not store it. It does not block.
 func (recordStore *RecordStore) Persist(fingerprint Fingerprint) {
 	delay := time.Duration(0)
 	if recordStore.Tracker.Suspected(fingerprint).Reporter != recordStore.Node {
@@ -96,8 +96,8 @@
 	delete(recordStore.writing, fingerprint)
 }
 
-// writeRecord writes the record of a request until the store is up to date with the tracker. Each write is conditional on the
-// revision that it replaces, so that a delayed write overwrites nothing newer.
+// writeRecord writes the record of a request until the store is up to date with the tracker. Each write is conditional on
+// the revision that it replaces, so that a delayed write overwrites nothing newer.
 func (recordStore *RecordStore) writeRecord(fingerprint Fingerprint, delay time.Duration) {
 	defer recordStore.endWrite(fingerprint)
 	wait.Pause(recordStore.ctx, delay)
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -67,8 +67,8 @@
 	InterruptedAt time.Time
 }
 
-// Tracker holds the requests that this node suspects of crashing replicas. It is safe for concurrent use. Callers pass in the
-// current time; a clock that stops while the machine is suspended only lengthens a hold.
+// Tracker holds the requests that this node suspects of crashing replicas. It is safe for concurrent use. Callers pass in
+// the current time; a clock that stops while the machine is suspended only lengthens a hold.
 type Tracker struct {
 	node    string
 	started time.Time
@@ -114,8 +114,8 @@
 }
 
 // RecordCrash records the crash of a replica under a request, as seen by the reporter, and returns how many crashes count;
-// fresh is false if the crash was already recorded. interruptedAt is when the request was interrupted, which may be seconds before
-// the crash was detected.
+// fresh is false if the crash was already recorded. interruptedAt is when the request was interrupted, which may be
+// seconds before the crash was detected.
 func (tracker *Tracker) RecordCrash(fingerprint Fingerprint, replica, reporter string, interruptedAt, now time.Time) (crashes int, fresh bool) {
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -131,8 +131,8 @@
 	must.Eq(t, 0, tracker.Quarantined())
 }
 
-// The tracker must not grow beyond its limit: expired entries are evicted first, then the oldest. Bodies are hashed only for
-// requests that may be suspected.
+// The tracker must not grow beyond its limit: expired entries are evicted first, then the oldest. Bodies are hashed only
+// for requests that may be suspected.
 func TestBookIsBounded(t *testing.T) {
 	tracker, now := quarantine.NewTracker("node", time.Now()), time.Now()
 	const most = 4096
--- a/internal/role/front.go
+++ b/internal/role/front.go
@@ -85,8 +85,8 @@
 	activeCalls      atomic.Int64
 	// usage is nil if usage is not reported.
 	usage *usage
-	// guard sends all requests to replicas and blocks those in quarantine; recordStore stores the quarantine beyond the life
-	// of this process.
+	// guard sends all requests to replicas and blocks those in quarantine; recordStore stores the quarantine beyond the
+	// life of this process.
 	guard       *quarantine.Guard
 	recordStore *quarantine.RecordStore
 }
--- a/internal/role/orderer.go
+++ b/internal/role/orderer.go
@@ -184,8 +184,9 @@
 	reporting.Wait() // the next term must not begin before the reporter has stopped
 }
 
-// publishBeforeTerm publishes before this node holds the lease, while the lease of its earlier process has not yet expired. After
-// a restart of all machines, fronts therefore need not wait for the lease to read the deployment's state.
+// publishBeforeTerm publishes before this node holds the lease, while the lease of its earlier process has not yet
+// expired. After a restart of all machines, fronts therefore need not wait for the lease to read the deployment's
+// state.
 func (orderer *Orderer) publishBeforeTerm(ctx context.Context) {
 	orderer.Logger.Info("publishing ahead of the lease", "node", orderer.Node)
 	orderer.publish(ctx, noTerm)
--- a/internal/role/quarantine.go
+++ b/internal/role/quarantine.go
@@ -7,8 +7,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/quarantine"
 )
 
-// newGuard returns the guard, which withholds requests that crash replicas, and the record store, which stores such requests
-// in the metadata store.
+// newGuard returns the guard, which withholds requests that crash replicas, and the record store, which stores such
+// requests in the metadata store.
 func (front *Front) newGuard() (*quarantine.Guard, *quarantine.RecordStore) {
 	tracker := quarantine.NewTracker(front.Node, time.Now())
 	recordStore := quarantine.NewRecordStore(front.ctx, front.Store, front.health, tracker, front.Node, front.Logger)
--- a/internal/weights/election.go
+++ b/internal/weights/election.go
@@ -40,8 +40,8 @@
 	Node     string
 	Settings ElectionSettings
 	Logger   *log.Logger
-	// OnEarlierIncarnation is called when an earlier incarnation of this node still holds the lease, which then has to expire. Its context ends
-	// when that holder is gone. This process gives no orders in the meantime. Nil disables the call.
+	// OnEarlierIncarnation is called when an earlier incarnation of this node still holds the lease, which then has to expire. Its
+	// context ends when that holder is gone. This process gives no orders in the meantime. Nil disables the call.
 	OnEarlierIncarnation func(context.Context)
 	// Clock measures terms; nil selects the steady clock. It has to advance while the machine is suspended, as the lease in the
 	// store does.
--- a/internal/weights/standin_test.go
+++ b/internal/weights/standin_test.go
@@ -16,8 +16,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/weights"
 )
 
-// A node whose earlier incarnation still holds the lease runs OnEarlierIncarnation until the lease expires, and leads only then. Another node
-// does not run it.
+// A node whose earlier incarnation still holds the lease runs OnEarlierIncarnation until the lease expires, and leads only then.
+// Another node does not run it.
 func TestNodeStandsInForItsFormerProcess(t *testing.T) {
 	for _, own := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
