--- a/cmd/thistlewalk-rollout/orderer.go
+++ b/cmd/thistlewalk-rollout/orderer.go
@@ -40,7 +40,7 @@
 		OperatorPrefix: platform.PrefixOperator, ConfigurationPrefix: platform.KeyConfiguration, ReplicaPrefix: platform.PrefixReplicas,
 		ReplicaHandler: &platform.ReplicaHandler{Logger: process.logger, Catalog: table, Metrics: process.metrics},
 		Retention:      settings.Retention() + retentionSlack,
-		UsageWindow:    settings.UsageWindow(), UsageSink: platform.NewCloud(settings.Cloud.Address, dialer()), CallOverhang: callOverhang, Clock: process.clock,
+		UsageWindow:    settings.UsageWindow(), UsageSink: platform.NewCloud(settings.Cloud.Address, dialer()), CallGrace: callOverhang, Clock: process.clock,
 		Election: weights.ElectionSettings{
 			Lease: max(ordererLease, settings.MinLease()), Renew: ordererRenew, HandoverWait: settings.HandoverWait() + handoverSlack,
 		},
--- a/internal/batchrun/directory_test.go
+++ b/internal/batchrun/directory_test.go
@@ -42,7 +42,7 @@
 	inWorld(t, 22, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition("job-1", 6, 1), jobRoute))
 		world.kill("a")
-		world.clearLeftKey("a") // as if the previous process had never owned a job
+		world.clearLeftoverWorkKey("a") // as if the previous process had never owned a job
 		world.start("a")
 		time.Sleep(6 * time.Second)
 		must.Eq(t, 0, world.node("a").OpenJobs())
--- a/internal/batchrun/history_test.go
+++ b/internal/batchrun/history_test.go
@@ -165,7 +165,7 @@
 	for _, other := range []string{"a", "b", "c"} {
 		if runner := history.world.node(other); runner != nil && other != name {
 			if runner.TakeOverNode(context.Background(), name, incarnation) == nil { // otherwise the node resumes its jobs itself
-				history.world.clearLeftKey(name)
+				history.world.clearLeftoverWorkKey(name)
 			}
 			break
 		}
@@ -182,7 +182,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 	defer cancel()
 	if runner.HandOver(ctx) {
-		history.world.clearLeftKey(name)
+		history.world.clearLeftoverWorkKey(name)
 	}
 	history.world.kill(name)
 	history.world.start(name)
--- a/internal/batchrun/scheduler.go
+++ b/internal/batchrun/scheduler.go
@@ -212,7 +212,7 @@
 			return drawn
 		}
 	}
-	return forwarding.PickPart(route.Targets)
+	return forwarding.PickTarget(route.Targets)
 }
 
 // refusal is the backoff state of a replica that refused work. After the backoff the replica gets a single item as a probe until
--- a/internal/batchrun/score.go
+++ b/internal/batchrun/score.go
@@ -111,7 +111,7 @@
 		return nil, nil
 	}
 	picker := backend.Picker{Loads: runner.Loads, Zone: runner.Zone}
-	service := forwarding.PickPart(route.Targets)
+	service := forwarding.PickTarget(route.Targets)
 	return route, picker.Pick(runner.Catalog.Replicas().Service(service), tried, time.Now())
 }
 
--- a/internal/batchrun/world_test.go
+++ b/internal/batchrun/world_test.go
@@ -125,9 +125,9 @@
 	return found || err != nil // a node registers only once the store responds
 }
 
-// clearLeftKey removes the key that marks a node as possibly owning jobs. This is done after a complete handover and after a
-// takeover.
-func (world *world) clearLeftKey(name string) {
+// clearLeftoverWorkKey removes the key that marks a node as possibly owning jobs. This is done after a complete handover and
+// after a takeover.
+func (world *world) clearLeftoverWorkKey(name string) {
 	_, _ = world.store.CommitIgnoringFaults(metadata.Txn{Deletes: []string{batchlog.LeftoverWorkKey(name)}})
 }
 
--- a/internal/dissemination/fleet_test.go
+++ b/internal/dissemination/fleet_test.go
@@ -249,8 +249,8 @@
 	go registry.Register(ctx)
 }
 
-// registryPace is the minimum time between two watches of the registry by the publisher.
-const registryPace = 250 * time.Millisecond
+// registryMinInterval is the minimum time between two watches of the registry by the publisher.
+const registryMinInterval = 250 * time.Millisecond
 
 func follow(ctx context.Context, store metadata.Store, health *metadata.Health, topics []dissemination.Topic) {
 	followAt(ctx, store, health, topics, 0)
@@ -300,7 +300,7 @@
 	}
 	fleet.join(created)
 	go health.Run(ctx)
-	followAt(ctx, store, health, topics, registryPace)
+	followAt(ctx, store, health, topics, registryMinInterval)
 	go publish(ctx, created, registry, health, topics, nil)
 	return created
 }
--- a/internal/dissemination/pace_test.go
+++ b/internal/dissemination/pace_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// callsOfPublisher counts the publisher's calls: watches of the registry at registryPace in twelve seconds and one more, and watches of the
-// two other topics, which end after metadata.ShortWatchTimeout without a change.
+// callsOfPublisher counts the publisher's calls: watches of the registry at registryMinInterval in twelve seconds and one more, and watches
+// of the two other topics, which end after metadata.ShortWatchTimeout without a change.
 const callsOfPublisher = 12*4 + 1 + 2*8
 
 // rollingRestart restarts all nodes one after the other within a given time.
--- a/internal/dissemination/packing.go
+++ b/internal/dissemination/packing.go
@@ -152,7 +152,7 @@
 		return known.update, nil
 	}
 	delta := topic.Delta(base)
-	update := encodeDifference(&delta)
+	update := encodeDelta(&delta)
 	if encoding == packed {
 		var err error
 		if update, err = updates.packer.pack(update); err != nil {
--- a/internal/dissemination/packing_test.go
+++ b/internal/dissemination/packing_test.go
@@ -35,7 +35,7 @@
 // Guards against large snapshots, which many nodes load when they start at the same time.
 func TestSnapshotIsSmall(t *testing.T) {
 	delta := replicaSnapshot(10_001)
-	plain := encodeDifference(&delta)
+	plain := encodeDelta(&delta)
 	packed, err := (&packer{}).pack(plain)
 	must.NoError(t, err)
 	t.Logf("%d bytes, %d packed", proto.Size(plain), proto.Size(packed))
@@ -51,7 +51,7 @@
 		for removal := range rapid.IntRange(0, 60).Draw(t, "removals") {
 			delta.Removals = append(delta.Removals, metadata.Removal{Key: fmt.Sprint("servers/", removal), Revision: metadata.Revision(removal)})
 		}
-		plain := encodeDifference(&delta)
+		plain := encodeDelta(&delta)
 		small, err := packer.pack(plain)
 		must.NoError(t, err)
 		must.LessEq(t, proto.Size(plain), proto.Size(small))
@@ -88,13 +88,13 @@
 	for _, count := range []int{1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			delta := replicaSnapshot(count)
-			packed, err := (&packer{}).pack(encodeDifference(&delta))
+			packed, err := (&packer{}).pack(encodeDelta(&delta))
 			must.NoError(b, err)
 			var unpacker unpacker
 			for b.Loop() {
 				update, err := unpacker.unpack(packed)
 				must.NoError(b, err)
-				metadata.NewMirror("servers/", metadata.Handlers{}).ApplyDelta(decodeDifference(update))
+				metadata.NewMirror("servers/", metadata.Handlers{}).ApplyDelta(decodeDelta(update))
 			}
 		})
 	}
@@ -106,7 +106,7 @@
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			delta := replicaSnapshot(count)
 			for b.Loop() {
-				_, err := (&packer{}).pack(encodeDifference(&delta))
+				_, err := (&packer{}).pack(encodeDelta(&delta))
 				must.NoError(b, err)
 			}
 		})
--- a/internal/dissemination/snapshot.go
+++ b/internal/dissemination/snapshot.go
@@ -98,7 +98,7 @@
 		fetcher.Logger.Warn("snapshot not taken", "prefix", prefix, "from", neighbour.GetName(), "error", err)
 		return false
 	}
-	fetcher.Topic.ApplyDelta(decodeDifference(update))
+	fetcher.Topic.ApplyDelta(decodeDelta(update))
 	fetcher.Metrics.Snapshot("ok")
 	fetcher.Logger.Info("snapshot taken", "prefix", prefix, "from", neighbour.GetName(), "revision", update.GetRevision(), "items", len(update.GetItems()),
 		"took_ms", time.Since(started).Milliseconds())
--- a/internal/dissemination/subscriber.go
+++ b/internal/dissemination/subscriber.go
@@ -115,7 +115,7 @@
 	}
 	for _, topic := range subscriber.Topics {
 		if topic.Prefix() == update.GetPrefix() {
-			topic.ApplyDelta(decodeDifference(update))
+			topic.ApplyDelta(decodeDelta(update))
 			subscriber.logUpdate(packed, update, topic.Revision())
 		}
 	}
--- a/internal/dissemination/subscriber_test.go
+++ b/internal/dissemination/subscriber_test.go
@@ -66,7 +66,7 @@
 	reading  atomic.Int32
 }
 
-const nodesPace = time.Second
+const nodesMinInterval = time.Second
 
 // limits returns the limits of deployments in which a change has to take effect within two seconds.
 func limits() dissemination.Limits { return dissemination.LimitsFor(2*time.Second, false) }
@@ -79,7 +79,7 @@
 		Topics: []dissemination.Topic{
 			{Mirror: metadata.NewMirror(prefixConfiguration, &keys{})},
 			{Mirror: metadata.NewMirror(prefixReplicas, created.replicas)},
-			{Mirror: metadata.NewMirror(prefixNodes, &keys{}), MinInterval: nodesPace},
+			{Mirror: metadata.NewMirror(prefixNodes, &keys{}), MinInterval: nodesMinInterval},
 		},
 	}
 	created.Follow = func(ctx context.Context) {
--- a/internal/dissemination/topic.go
+++ b/internal/dissemination/topic.go
@@ -66,7 +66,7 @@
 	return list
 }
 
-func encodeDifference(delta *metadata.Delta) *clusterv1.PrefixUpdate {
+func encodeDelta(delta *metadata.Delta) *clusterv1.PrefixUpdate {
 	update := &clusterv1.PrefixUpdate{
 		Prefix: delta.Prefix, Revision: int64(delta.Revision), Whole: delta.IsSnapshot, BaseRevision: int64(delta.Base),
 	}
@@ -79,7 +79,7 @@
 	return update
 }
 
-func decodeDifference(update *clusterv1.PrefixUpdate) *metadata.Delta {
+func decodeDelta(update *clusterv1.PrefixUpdate) *metadata.Delta {
 	delta := &metadata.Delta{
 		Prefix: update.GetPrefix(), IsSnapshot: update.GetWhole(), Base: metadata.Revision(update.GetBaseRevision()),
 		Revision: metadata.Revision(update.GetRevision()),
--- a/internal/dissemination/unread_test.go
+++ b/internal/dissemination/unread_test.go
@@ -37,7 +37,7 @@
 		subscriber := newTestSubscriber()
 		number := rapid.Int32Range(20, 500).Draw(t, "field")
 		content := rapid.SliceOf(rapid.Byte()).Draw(t, "content")
-		update := encodeDifference(&metadata.Delta{Prefix: "servers/", IsSnapshot: true, Revision: 7, Items: replicaItems(rapid.IntRange(1, 9).Draw(t, "items"))})
+		update := encodeDelta(&metadata.Delta{Prefix: "servers/", IsSnapshot: true, Revision: 7, Items: replicaItems(rapid.IntRange(1, 9).Draw(t, "items"))})
 		update.Removals = []*clusterv1.Removal{{Key: "servers/x", Revision: 3}}
 		switch rapid.IntRange(0, 2).Draw(t, "where") {
 		case 0:
@@ -53,7 +53,7 @@
 			small.ProtoReflect().SetUnknown(update.ProtoReflect().GetUnknown())
 			update = small
 		}
-		readable := encodeDifference(&metadata.Delta{Prefix: "op/config", IsSnapshot: true, Revision: 9, Items: []metadata.Item{{Key: "op/config", Revision: 9}}})
+		readable := encodeDelta(&metadata.Delta{Prefix: "op/config", IsSnapshot: true, Revision: 9, Items: []metadata.Item{{Key: "op/config", Revision: 9}}})
 		subscriber.HandleBeacon(&clusterv1.Beacon{Changed: []*clusterv1.PrefixRevision{{Prefix: "op/config", Revision: 9}}}, nil)
 		response, err := subscriber.Publish(t.Context(), &clusterv1.PublishRequest{Updates: []*clusterv1.PrefixUpdate{update, readable}})
 		must.NoError(t, err)
--- a/internal/forwarding/forwarding.go
+++ b/internal/forwarding/forwarding.go
@@ -77,8 +77,8 @@
 	Clock clock.Clock
 }
 
-// PickPart picks a part of a route at random by weight and returns its service; empty if no part has a weight.
-func PickPart(targets []catalog.RouteTarget) string {
+// PickTarget picks a target of a route at random by weight and returns its service; empty if no target has a weight.
+func PickTarget(targets []catalog.RouteTarget) string {
 	total := 0
 	for _, target := range targets {
 		total += target.Weight
@@ -106,7 +106,7 @@
 	callerClock := forwarder.clock()
 	run := &run{
 		forwarder: forwarder, route: route, call: call, started: started, clock: callerClock, deadline: callerClock.Elapsed() + timeout - answerMargin,
-		service: PickPart(route.Targets), results: make(chan attemptResult, max(route.MaxAttempts, 1)),
+		service: PickTarget(route.Targets), results: make(chan attemptResult, max(route.MaxAttempts, 1)),
 	}
 	timedCtx, cancelTimer := context.WithTimeout(ctx, timeout-answerMargin)
 	attemptCtx, cancelCause := context.WithCancelCause(timedCtx)
--- a/internal/forwarding/forwarding_test.go
+++ b/internal/forwarding/forwarding_test.go
@@ -186,16 +186,16 @@
 	}
 }
 
-// PickPart distributes requests over the parts of a route in proportion to their weights.
+// PickTarget distributes requests over the targets of a route in proportion to their weights.
 func TestPickPart(t *testing.T) {
 	targets := []catalog.RouteTarget{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}
 	counts := make(map[string]int)
 	for range 10000 {
-		counts[forwarding.PickPart(targets)]++
+		counts[forwarding.PickTarget(targets)]++
 	}
 	must.Between(t, 8800, counts["a"], 9200)
 	must.Eq(t, 0, counts["c"])
-	must.Eq(t, "", forwarding.PickPart(nil))
+	must.Eq(t, "", forwarding.PickTarget(nil))
 }
 
 // No attempt starts after the API key was revoked, and a request that has not run is then refused as unauthorized.
--- a/internal/gateway/steps.go
+++ b/internal/gateway/steps.go
@@ -128,15 +128,15 @@
 		return result.New(result.InvalidField, "wait_ms %d: want 0 to %d", body.WaitMilliseconds, maximumWait.Milliseconds())
 	}
 	stepID := request.PathValue("step")
-	answer, err := callOwner[delivery.FetchResponse](gateway, request.Context(), stepID, delivery.FetchRequest{
+	fetched, err := callOwner[delivery.FetchResponse](gateway, request.Context(), stepID, delivery.FetchRequest{
 		StepID: stepID, Cursor: body.Cursor, Number: body.Fetch, Maximum: body.Maximum, Wait: wait, Newest: body.Versions,
 	}, wait, controlv1.Steps.Fetch)
 	if err != nil {
 		return err
 	}
-	response := FetchResponse{Samples: make([]SampleBody, 0, len(answer.Samples)), NextCursor: answer.NextCursor, State: answer.State,
-		Slots: answer.Slots, Delivered: answer.Delivered, Code: int(result.Done)}
-	for _, delivered := range answer.Samples {
+	response := FetchResponse{Samples: make([]SampleBody, 0, len(fetched.Samples)), NextCursor: fetched.NextCursor, State: fetched.State,
+		Slots: fetched.Slots, Delivered: fetched.Delivered, Code: int(result.Done)}
+	for _, delivered := range fetched.Samples {
 		response.Samples = append(response.Samples, SampleBody{
 			Slot: delivered.Slot, Generation: delivered.Generation, Sample: delivered.Sample,
 			StalenessVersions: delivered.StalenessVersions, StalenessSeconds: delivered.StalenessAge.Seconds(),
--- a/internal/role/orderer.go
+++ b/internal/role/orderer.go
@@ -50,8 +50,8 @@
 	// UsageWindow is the length of the windows for usage reports to UsageSink; zero disables them.
 	UsageWindow time.Duration
 	UsageSink   metering.Sink
-	// CallOverhang is how long a call to the cloud may continue after the end of a term.
-	CallOverhang time.Duration
+	// CallGrace is how long a call to the cloud may continue after the end of a term.
+	CallGrace time.Duration
 	// Clock keeps running while the machine is suspended, as the leases do; nil means the process's monotonic clock.
 	Clock clock.Clock
 }
@@ -109,7 +109,7 @@
 		windows, clock := metering.Windows{Length: options.UsageWindow}, metering.NewClock(options.Clock)
 		orderer.reporter = &metering.Reporter{
 			Node: options.Node, Windows: windows, Clock: clock, Ledger: metering.NewLedger(windows, clock), Store: options.Store,
-			Sink: options.UsageSink, Logger: options.Logger, Metrics: options.Metrics, CallGrace: options.CallOverhang,
+			Sink: options.UsageSink, Logger: options.Logger, Metrics: options.Metrics, CallGrace: options.CallGrace,
 		}
 	}
 	return orderer
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -24,7 +24,7 @@
 	plannedReplicas   *prometheus.GaugeVec
 	snapshots         *prometheus.CounterVec
 	relaysLost        prometheus.Counter
-	oldBeacons        prometheus.Counter
+	staleBeacons      prometheus.Counter
 	build             *prometheus.GaugeVec
 	updatesApplied    *prometheus.CounterVec
 	updatesUnreadable *prometheus.CounterVec
@@ -68,7 +68,7 @@
 	}
 	metrics.plannedReplicas = prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: "thistlewalk", Name: "planned_replicas", Help: "Replicas that a model is given, by the node that orders them."}, []string{"model"})
 	metrics.relaysLost = single("relays_lost_total", "Relays that did not relay, so that their nodes were given to others.")
-	metrics.oldBeacons = single("old_beacons_total", "Beacons that were under way for too long, and counted for nothing.")
+	metrics.staleBeacons = single("old_beacons_total", "Beacons that were under way for too long, and counted for nothing.")
 	metrics.build = prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: "thistlewalk", Name: "build_info", Help: "The build that this process runs; always 1."}, []string{"build"})
 	metrics.updatesApplied = counter("updates_taken_total", "Updates of other nodes by topic, whether they held all of it, and whether they were packed.", "topic", "whole", "packed")
 	metrics.updatesUnreadable = counter("updates_unread_total", "Updates of other nodes that this build could not read, by topic.", "topic")
@@ -81,7 +81,7 @@
 	lines := prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Namespace: "thistlewalk", Name: "log_lines_dropped_total", Help: "Log lines that found the queue full.",
 	}, func() float64 { return float64(dropped()) })
-	metrics.registry.MustRegister(metrics.forwarded, metrics.items, metrics.jobs, metrics.storeCalls, metrics.orders, metrics.published, metrics.storeReads, metrics.publishedBytes, metrics.plannedReplicas, metrics.snapshots, metrics.relaysLost, metrics.oldBeacons, metrics.build, metrics.updatesApplied, metrics.updatesUnreadable, metrics.entriesUnusable, metrics.usageSent, metrics.usageReports,
+	metrics.registry.MustRegister(metrics.forwarded, metrics.items, metrics.jobs, metrics.storeCalls, metrics.orders, metrics.published, metrics.storeReads, metrics.publishedBytes, metrics.plannedReplicas, metrics.snapshots, metrics.relaysLost, metrics.staleBeacons, metrics.build, metrics.updatesApplied, metrics.updatesUnreadable, metrics.entriesUnusable, metrics.usageSent, metrics.usageReports,
 		metrics.replicaCrashes, metrics.requestsHeld, metrics.suspicionsCleared, metrics.quarantined, metrics.suspensions, lines)
 	return metrics
 }
@@ -192,7 +192,7 @@
 // StaleBeacon counts a beacon, which is a publisher's heartbeat, that was ignored because it was in transit for too long.
 func (metrics *Metrics) StaleBeacon() {
 	if metrics != nil {
-		metrics.oldBeacons.Inc()
+		metrics.staleBeacons.Inc()
 	}
 }
 
--- a/internal/weights/election.go
+++ b/internal/weights/election.go
@@ -125,15 +125,15 @@
 	go election.health.Run(ctx)
 	follower := metadata.Follower{Store: election.Store, Prefix: electionPrefix, Handler: election, Logger: election.Logger, Health: election.health, Wait: func() time.Duration { return electionWatchTimeout }}
 	go follower.Run(ctx)
-	stopStandIn := func() {}
-	defer func() { stopStandIn() }()
+	stopCallback := func() {}
+	defer func() { stopCallback() }()
 	standingIn := false
 	for ctx.Err() == nil {
 		if earlier := election.earlierIncarnationHolds(); earlier != standingIn {
 			standingIn = earlier
-			stopStandIn()
+			stopCallback()
 			if earlier {
-				stopStandIn = election.startOnEarlierIncarnation(ctx)
+				stopCallback = election.startOnEarlierIncarnation(ctx)
 			}
 		}
 		if !election.awaitVacancy(ctx) {
@@ -145,7 +145,7 @@
 			wait.Pause(ctx, electionBackoff)
 			continue
 		}
-		stopStandIn()
+		stopCallback()
 		standingIn = false
 		election.holdLease(ctx, term, lead)
 	}
