--- a/cmd/thistlewalk-rollout/front.go
+++ b/cmd/thistlewalk-rollout/front.go
@@ -40,9 +40,9 @@
 	settings := process.settings
 	table := catalog.NewTable()
 	replicas := platform.NewReplicas(dialer())
-	limits := dissemination.LimitsFor(settings.ChangeLimit(), settings.FirstStart)
+	limits := dissemination.LimitsFor(settings.ConfigurationDeadline(), settings.FirstStart)
 	front := role.NewFront(role.FrontOptions{
-		Node: settings.Node, Zone: settings.Zone, Role: settings.Role, Life: process.incarnation, Cores: settings.ProcessorCores(), PeerAddress: settings.PeerAddress(0),
+		Node: settings.Node, Zone: settings.Zone, Role: settings.Role, Incarnation: process.incarnation, Cores: settings.ProcessorCores(), PeerAddress: settings.PeerAddress(0),
 		Store: process.instrumentedStore(), Sender: replicas, Prober: replicas, Decoder: platform.EventDecoder{},
 		PeerClient: peerClient(), Logger: process.logger, Metrics: process.metrics, Catalog: table,
 		ConfigurationPrefix: platform.KeyConfiguration, ReplicaPrefix: platform.PrefixReplicas,
@@ -54,13 +54,13 @@
 		Clock:                process.clock,
 	})
 	ingress := &platform.Ingress{
-		Catalog: table, Forwarder: front.Forwarder, Runner: front.Runner, Bodies: forwarding.NewBodies(), Logger: process.logger,
+		Catalog: table, Forwarder: front.Forwarder, Runner: front.Runner, BodyReader: forwarding.NewBodyReader(), Logger: process.logger,
 		Stopping: front.Stopping, UpToDate: front.UpToDate,
 	}
 	if err := front.Start(); err != nil {
 		return nil, nil, err
 	}
-	callerServer := platform.NewServer(front.Counted(ingress), awaitServerLimits(table, limits.Start+storeReadSlack))
+	callerServer := platform.NewServer(front.CountCalls(ingress), awaitServerLimits(table, limits.StartTimeout+storeReadSlack))
 	if err := process.serve("callers", settings.Listen["front"], callerServer); err != nil {
 		return nil, nil, err
 	}
--- a/cmd/thistlewalk-rollout/main.go
+++ b/cmd/thistlewalk-rollout/main.go
@@ -153,7 +153,7 @@
 	if window := settings.UsageWindow(); window > 0 {
 		fmt.Println("duty: usage of tenants is reported each", window, "to", settings.Cloud.Address)
 	}
-	for _, duty := range settings.OtherDuties() {
+	for _, duty := range settings.UnsupportedDuties() {
 		fmt.Println("duty not done by this version:", duty)
 	}
 	return nil
@@ -169,7 +169,7 @@
 
 // instrumentedStore returns the metadata store with metrics for its calls.
 func (process *process) instrumentedStore() metadata.Store {
-	return &metadata.Measured{Store: process.store, Metrics: process.metrics}
+	return &metadata.InstrumentedStore{Store: process.store, Metrics: process.metrics}
 }
 
 func dialer() platform.DialFunc {
--- a/internal/batchrun/directory_test.go
+++ b/internal/batchrun/directory_test.go
@@ -42,7 +42,7 @@
 	inWorld(t, 22, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition("job-1", 6, 1), jobRoute))
 		world.kill("a")
-		world.clearLeftKey("a") // as if the previous process had never owned a job
+		world.clearLeftoverWorkKey("a") // as if the previous process had never owned a job
 		world.start("a")
 		time.Sleep(6 * time.Second)
 		must.Eq(t, 0, world.node("a").OpenJobs())
@@ -56,8 +56,8 @@
 func TestTakeOverOfJobThatIsBeingAccepted(t *testing.T) {
 	inWorld(t, 23, func(t *testing.T, world *world) {
 		must.NoError(t, world.node("a").Submit(t.Context(), newDefinition("job-1", 6, 1), jobRoute))
-		life := world.kill("a")
-		_, err := world.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: "owners/a/job-2"}, {Key: batchlog.LeftKey("a")}}})
+		incarnation := world.kill("a")
+		_, err := world.store.CommitIgnoringFaults(metadata.Txn{Puts: []metadata.Put{{Key: "owners/a/job-2"}, {Key: batchlog.LeftoverWorkKey("a")}}})
 		must.NoError(t, err)
 		world.refuse("b", true)
 		world.refuse("c", true)                                                                         // so that no node accepts it for b
@@ -65,7 +65,7 @@
 		time.Sleep(300 * time.Millisecond)
 		world.refuse("b", false)
 		world.refuse("c", false)
-		must.Error(t, world.node("b").TakeOverNode(t.Context(), "a", life))
+		must.Error(t, world.node("b").TakeOverNode(t.Context(), "a", incarnation))
 		world.start("a")
 		checkResults(t, await(t, world.node("c"), "job-1", 6, 8*time.Second), 1)
 	})
--- a/internal/batchrun/history_test.go
+++ b/internal/batchrun/history_test.go
@@ -95,11 +95,11 @@
 	case 4:
 		history.stop(name)
 	case 5:
-		history.world.store.SetFaults(memstore.Faults{LoseAnswers: 3, LateBy: time.Duration(history.jobs%3) * 600 * time.Millisecond})
+		history.world.store.SetFaults(memstore.Faults{LoseResponses: 3, CommitDelay: time.Duration(history.jobs%3) * 600 * time.Millisecond})
 		time.Sleep(800 * time.Millisecond)
 		history.world.store.SetFaults(memstore.Faults{})
 	case 6:
-		history.world.store.SetFaults(memstore.Faults{Down: history.jobs%2 == 0, Silent: history.jobs%2 == 1})
+		history.world.store.SetFaults(memstore.Faults{Down: history.jobs%2 == 0, Hang: history.jobs%2 == 1})
 		time.Sleep(1500 * time.Millisecond)
 		history.world.store.SetFaults(memstore.Faults{})
 	case 7:
@@ -160,12 +160,12 @@
 // kill stops a node without notice. A live node takes over its jobs, as it does when the failure detector declares a node dead,
 // and the node restarts without state.
 func (history *history) kill(name string) {
-	life := history.world.kill(name)
+	incarnation := history.world.kill(name)
 	time.Sleep(1300 * time.Millisecond)
 	for _, other := range []string{"a", "b", "c"} {
 		if runner := history.world.node(other); runner != nil && other != name {
-			if runner.TakeOverNode(context.Background(), name, life) == nil { // otherwise the node resumes its jobs itself
-				history.world.clearLeftKey(name)
+			if runner.TakeOverNode(context.Background(), name, incarnation) == nil { // otherwise the node resumes its jobs itself
+				history.world.clearLeftoverWorkKey(name)
 			}
 			break
 		}
@@ -182,7 +182,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 	defer cancel()
 	if runner.HandOver(ctx) {
-		history.world.clearLeftKey(name)
+		history.world.clearLeftoverWorkKey(name)
 	}
 	history.world.kill(name)
 	history.world.start(name)
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -32,7 +32,7 @@
 		monotonic, logged := clock.Steady(), &bytes.Buffer{}
 		watch := &clock.Watch{
 			Clock:  clock.Func(func() time.Duration { return monotonic.Elapsed() + time.Duration(drift.Load()) }),
-			Logger: log.New(logged), Woken: func(suspended time.Duration) { suspensions = append(suspensions, suspended) },
+			Logger: log.New(logged), OnResume: func(suspended time.Duration) { suspensions = append(suspensions, suspended) },
 		}
 		go watch.Run(ctx)
 		for range 20 { // 0.4 s in total
--- a/internal/clock/watch.go
+++ b/internal/clock/watch.go
@@ -24,7 +24,7 @@
 	Logger  *log.Logger
 	Metrics *telemetry.Metrics
 	// Woken is called after each suspension with its length.
-	Woken func(suspended time.Duration)
+	OnResume func(suspended time.Duration)
 }
 
 // Run compares the clocks until the context ends.
@@ -43,7 +43,7 @@
 		if suspended := now - offset; suspended >= minimumSuspension {
 			watch.Logger.Warn("machine was suspended", "suspended_ms", suspended.Milliseconds())
 			watch.Metrics.Suspended()
-			watch.Woken(suspended)
+			watch.OnResume(suspended)
 		}
 		offset = now
 	}
--- a/internal/cluster/registry.go
+++ b/internal/cluster/registry.go
@@ -34,9 +34,10 @@
 	OnExpelled func()
 	// Health is the health of the metadata store; nil if it is not tracked.
 	Health *metadata.Health
-	// LeftKey returns the key that exists while an incarnation of a node may have left work behind. The key is deleted
-	// together with the node's record, as the last step of a takeover. If LeftKey is nil, the record's own key is used.
-	LeftKey func(node string) string
+	// LeftoverWorkKey returns the key that exists while an incarnation of a node may have left work behind. The key is
+	// deleted together with the node's record, as the last step of a takeover. If LeftoverWorkKey is nil, the record's
+	// own key is used.
+	LeftoverWorkKey func(node string) string
 
 	mu    sync.Mutex
 	nodes map[string]*clusterv1.NodeRecord
@@ -76,7 +77,7 @@
 	}
 	unconditional := metadata.Txn{Puts: []metadata.Put{{Key: Prefix + registry.self.GetName(), Value: value}}}
 	conditional := unconditional
-	conditional.Conditions = []metadata.Condition{{Key: registry.leftKey(registry.self.GetName())}}
+	conditional.Conditions = []metadata.Condition{{Key: registry.leftoverWorkKey(registry.self.GetName())}}
 	for ctx.Err() == nil {
 		txn := conditional
 		if earlier {
@@ -97,18 +98,18 @@
 			earlier = true
 			continue
 		}
-		registry.Health.Doubt()
+		registry.Health.RequestProbe()
 		wait.Pause(ctx, registerBackoff)
 		registry.Health.AwaitGood(ctx) // calls that an unavailable store refuses are billed too
 	}
 	return earlier
 }
 
-func (registry *Registry) leftKey(node string) string {
-	if registry.LeftKey == nil {
+func (registry *Registry) leftoverWorkKey(node string) string {
+	if registry.LeftoverWorkKey == nil {
 		return Prefix + node
 	}
-	return registry.LeftKey(node)
+	return registry.LeftoverWorkKey(node)
 }
 
 // Leave removes this node's record, so that other nodes do not treat the shutdown as a failure.
@@ -129,8 +130,8 @@
 
 func (registry *Registry) remove(ctx context.Context, conditions []metadata.Condition, name string) {
 	deletes := []string{Prefix + name}
-	if registry.LeftKey != nil {
-		deletes = append(deletes, registry.LeftKey(name))
+	if registry.LeftoverWorkKey != nil {
+		deletes = append(deletes, registry.LeftoverWorkKey(name))
 	}
 	_, err := registry.store.Commit(ctx, metadata.Txn{Conditions: conditions, Deletes: deletes})
 	if err != nil {
@@ -277,8 +278,8 @@
 	return record != nil && record.GetZone() == registry.self.GetZone()
 }
 
-// Life returns the incarnation of this node.
-func (registry *Registry) Life() int64 { return registry.self.GetLife() }
+// Incarnation returns the incarnation of this node.
+func (registry *Registry) Incarnation() int64 { return registry.self.GetLife() }
 
 // Count returns the number of registered nodes.
 func (registry *Registry) Count() int {
@@ -287,8 +288,8 @@
 	return len(registry.nodes)
 }
 
-// Named returns the records of those named nodes that are registered.
-func (registry *Registry) Named(names map[string]bool) []*clusterv1.NodeRecord {
+// Records returns the records of those named nodes that are registered.
+func (registry *Registry) Records(names map[string]bool) []*clusterv1.NodeRecord {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
 	list := make([]*clusterv1.NodeRecord, 0, len(names))
--- a/internal/configuration/relay.go
+++ b/internal/configuration/relay.go
@@ -22,8 +22,8 @@
 	LeasePrefix = "owners/"
 )
 
-// ErrOlder means that the service holds an older revision than the one in force. The older document is rejected.
-var ErrOlder = errors.New("the key-value service holds an older revision")
+// ErrStaleService means that the service holds an older revision than the one in force. The older document is rejected.
+var ErrStaleService = errors.New("the key-value service holds an older revision")
 
 // Relay watches the key-value service and passes changes to a follower.
 type Relay struct {
@@ -37,16 +37,16 @@
 	return &Relay{service: service, follower: follower}
 }
 
-// Poll waits for a change in the service, for at most the given time, and passes it to the follower. It returns ErrOlder if the service has
-// lost changes and holds an older document. A second read confirms this, since the watch may have been answered before this node's own
-// latest change.
+// Poll waits for a change in the service, for at most the given time, and passes it to the follower. It returns ErrStaleService if the
+// service has lost changes and holds an older document. A second read confirms this, since the watch may have been answered before this
+// node's own latest change.
 func (relay *Relay) Poll(ctx context.Context, wait time.Duration) error {
 	listing, err := relay.service.Watch(ctx, AllKeysPrefix, relay.revision, wait)
 	if err != nil {
 		return err
 	}
 	relay.revision = listing.Revision
-	if err := relay.offerListing(listing); !errors.Is(err, ErrOlder) {
+	if err := relay.offerListing(listing); !errors.Is(err, ErrStaleService) {
 		return err
 	}
 	if listing, err = relay.service.List(ctx, AllKeysPrefix); err != nil {
@@ -68,7 +68,7 @@
 	}
 	relay.follower.OfferTable(table)
 	if known := relay.follower.Document().Revision; document.Revision < known {
-		return errors.Wrapf(ErrOlder, "it holds %d, %d is in force", document.Revision, known)
+		return errors.Wrapf(ErrStaleService, "it holds %d, %d is in force", document.Revision, known)
 	}
 	relay.follower.Offer(document)
 	return nil
--- a/internal/delivery/dispatch.go
+++ b/internal/delivery/dispatch.go
@@ -52,12 +52,12 @@
 	now := time.Now()
 	for id, owned := range served.steps {
 		if closed := owned.step.Progress.Closed; !closed.IsZero() {
-			if now.Sub(closed) > served.service.settings.KeepClosed && served.log.Append(ctx, nil, []string{step.Prefix(id)}) == nil {
+			if now.Sub(closed) > served.service.settings.ClosedRetention && served.log.Append(ctx, nil, []string{step.Prefix(id)}) == nil {
 				delete(served.steps, id)
 			}
 			continue
 		}
-		if expired := owned.attempts.Expire(now, served.service.settings.AttemptSilence); expired > 0 {
+		if expired := owned.attempts.Expire(now, served.service.settings.AttemptTimeout); expired > 0 {
 			served.service.logger.Warn("slot attempts expired", "step", id, "slots", expired)
 		}
 		bound, err := boundOf(document, owned)
--- a/internal/dissemination/fleet_test.go
+++ b/internal/dissemination/fleet_test.go
@@ -151,10 +151,10 @@
 // handleReport passes on the report of a relay of this node.
 func (node *node) handleReport(report *clusterv1.RelayReport) {
 	if publisher := node.publisher.Load(); publisher != nil {
-		publisher.Reported(report)
+		publisher.HandleReport(report)
 	}
 	if node.relays != nil {
-		node.relays.Reported(report)
+		node.relays.HandleReport(report)
 	}
 }
 
@@ -212,7 +212,7 @@
 	topics := []dissemination.Topic{
 		{Mirror: metadata.NewMirror("op/config", created)},
 		{Mirror: metadata.NewMirror("servers/", &keys{}), Bulk: true},
-		{Mirror: metadata.NewMirror(cluster.Prefix, registry), Pace: time.Second, Bulk: true},
+		{Mirror: metadata.NewMirror(cluster.Prefix, registry), MinInterval: time.Second, Bulk: true},
 	}
 	subscriber := &dissemination.Subscriber{
 		Node: created.name, Topics: topics, Limits: dissemination.LimitsFor(inForce, first), Health: health, Logger: logger,
@@ -220,7 +220,7 @@
 		Follow: func(ctx context.Context) {
 			follow(ctx, store, health, []dissemination.Topic{topics[0], topics[2]})
 			if topics[1].Revision() == 0 {
-				(&dissemination.Snapshots{Topic: topics[1], Nodes: topics[2], Registry: registry, Logger: logger}).Take(ctx)
+				(&dissemination.SnapshotFetcher{Topic: topics[1], Nodes: topics[2], Registry: registry, Logger: logger}).Fetch(ctx)
 			}
 			follow(ctx, store, health, topics[1:2])
 		},
@@ -228,12 +228,12 @@
 			publish(ctx, created, registry, health, topics, registry.Neighbours)
 		},
 	}
-	health.Needed = func() bool { return subscriber.Doubts(time.Now()) }
+	health.ProbeNeeded = func() bool { return subscriber.NeedsProbe(time.Now()) }
 	health.Urgent = func() bool { return registry.Rank("reader") == 0 }
 	health.Nodes = registry.Count
 	registry.Health = health
 	created.relays = &dissemination.Relays{
-		Node: created.name, Life: registry.Life(), Address: created.address, Topics: topics, Registry: registry,
+		Node: created.name, Incarnation: registry.Incarnation(), Address: created.address, Topics: topics, Registry: registry,
 		Datagrams: &cluster.Datagrams{Conn: link{from: created}}, Logger: logger, FanOut: fleet.fanOut,
 	}
 	created.relays.Start(ctx)
@@ -249,21 +249,21 @@
 	go registry.Register(ctx)
 }
 
-// registryPace is the minimum time between two watches of the registry by the publisher.
-const registryPace = 250 * time.Millisecond
+// registryMinInterval is the minimum time between two watches of the registry by the publisher.
+const registryMinInterval = 250 * time.Millisecond
 
 func follow(ctx context.Context, store metadata.Store, health *metadata.Health, topics []dissemination.Topic) {
 	followAt(ctx, store, health, topics, 0)
 }
 
-func followAt(ctx context.Context, store metadata.Store, health *metadata.Health, topics []dissemination.Topic, pace time.Duration) {
+func followAt(ctx context.Context, store metadata.Store, health *metadata.Health, topics []dissemination.Topic, minInterval time.Duration) {
 	for _, topic := range topics {
 		follower := &metadata.Follower{
-			Store: store, Prefix: topic.Prefix(), Handler: topic.Mirror, From: topic.Revision, Logger: log.New(io.Discard), Health: health,
-			Wait: func() time.Duration { return metadata.ShortWait },
+			Store: store, Prefix: topic.Prefix(), Handler: topic.Mirror, StartRevision: topic.Revision, Logger: log.New(io.Discard), Health: health,
+			Wait: func() time.Duration { return metadata.ShortWatchTimeout },
 		}
 		if topic.Prefix() == cluster.Prefix {
-			follower.Pace = pace
+			follower.MinInterval = minInterval
 		}
 		go follower.Run(ctx)
 	}
@@ -271,7 +271,7 @@
 
 func publish(ctx context.Context, from *node, registry *cluster.Registry, health *metadata.Health, topics []dissemination.Topic, to func() []*clusterv1.NodeRecord) {
 	publisher := &dissemination.Publisher{
-		Node: from.name, Life: registry.Life(), Clock: from.fleet.clock, Topics: topics, Registry: registry, Nodes: to, Relay: to != nil, Address: from.address,
+		Node: from.name, Incarnation: registry.Incarnation(), Clock: from.fleet.clock, Topics: topics, Registry: registry, Nodes: to, IsZoneReader: to != nil, Address: from.address,
 		Datagrams: &cluster.Datagrams{Conn: link{from: from}}, Health: health, Logger: log.New(io.Discard), FanOut: from.fleet.fanOut,
 	}
 	if from.former {
@@ -296,11 +296,11 @@
 	topics := []dissemination.Topic{
 		{Mirror: metadata.NewMirror("op/config", created)},
 		{Mirror: metadata.NewMirror("servers/", &keys{}), Bulk: true},
-		{Mirror: metadata.NewMirror(cluster.Prefix, registry), Pace: time.Second, Bulk: true},
+		{Mirror: metadata.NewMirror(cluster.Prefix, registry), MinInterval: time.Second, Bulk: true},
 	}
 	fleet.join(created)
 	go health.Run(ctx)
-	followAt(ctx, store, health, topics, registryPace)
+	followAt(ctx, store, health, topics, registryMinInterval)
 	go publish(ctx, created, registry, health, topics, nil)
 	return created
 }
@@ -311,7 +311,7 @@
 	defer fleet.mu.Unlock()
 	number := int64(len(fleet.written) + 1)
 	fleet.written = append(fleet.written, version{number, time.Now()})
-	_, _ = fleet.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: "op/config", Value: fmt.Appendf(nil, "%*d", fleet.padding, number)}}})
+	_, _ = fleet.store.CommitIgnoringFaults(metadata.Txn{Puts: []metadata.Put{{Key: "op/config", Value: fmt.Appendf(nil, "%*d", fleet.padding, number)}}})
 }
 
 // dueVersion returns the newest version that has to be in effect.
@@ -366,7 +366,7 @@
 func (fleet *fleet) play(nodes int, steps []step) {
 	publisher, storeCalm := fleet.startPublisher(), time.Now()
 	fleet.configure()
-	_, _ = fleet.store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: "servers/1"}}})
+	_, _ = fleet.store.CommitIgnoringFaults(metadata.Txn{Puts: []metadata.Put{{Key: "servers/1"}}})
 	fleet.startAll(nodes)
 	time.Sleep(3 * time.Second)
 	for _, step := range steps {
--- a/internal/dissemination/receiver_test.go
+++ b/internal/dissemination/receiver_test.go
@@ -73,15 +73,15 @@
 
 // Guards against counting a relay's answer to the beacon of another publisher.
 func TestReportsOfOtherOrigins(t *testing.T) {
-	publisher, relay, now := &Publisher{Node: "reader", Life: 1, Logger: log.New(io.Discard)}, &clusterv1.NodeRecord{Name: "relay", Life: 1}, time.Now()
+	publisher, relay, now := &Publisher{Node: "reader", Incarnation: 1, Logger: log.New(io.Discard)}, &clusterv1.NodeRecord{Name: "relay", Life: 1}, time.Now()
 	publisher.initialize()
 	state := &receiver{record: relay}
 	state.relay.assign([]*clusterv1.NodeRecord{{Name: "a"}}, now)
 	publisher.receivers[processOf(relay)] = state
 	for _, other := range []*clusterv1.Origin{nil, {Name: "publisher", Life: 1}, {Name: "reader", Life: 2}} {
-		publisher.Reported(&clusterv1.RelayReport{Node: "relay", Life: 1, Assignment: 1, Origin: other})
+		publisher.HandleReport(&clusterv1.RelayReport{Node: "relay", Life: 1, Assignment: 1, Origin: other})
 		must.False(t, state.relay.active())
 	}
-	publisher.Reported(&clusterv1.RelayReport{Node: "relay", Life: 1, Assignment: 1, Origin: &clusterv1.Origin{Name: "reader", Life: 1}})
+	publisher.HandleReport(&clusterv1.RelayReport{Node: "relay", Life: 1, Assignment: 1, Origin: &clusterv1.Origin{Name: "reader", Life: 1}})
 	must.True(t, state.relay.active())
 }
--- a/internal/dissemination/topic.go
+++ b/internal/dissemination/topic.go
@@ -11,9 +11,9 @@
 // Topic is a key prefix of the metadata store whose changes are published.
 type Topic struct {
 	*metadata.Mirror
-	// Pace is the minimum time from one push to a node to the next if the node lacks only changes of such topics; zero for topics that are
-	// pushed at each change.
-	Pace time.Duration
+	// MinInterval is the minimum time from one push to a node to the next if the node lacks only changes of such topics; zero for topics
+	// that are pushed at each change.
+	MinInterval time.Duration
 	// Bulk is true for topics that may be large. They are pushed in a lane of their own, so that other topics never wait for them.
 	Bulk bool
 }
@@ -35,9 +35,9 @@
 // allowance returns how long a process may lack a change of the topic in addition to Limits.MaxLag.
 func (topic Topic) allowance() time.Duration {
 	if topic.Bulk && topic.Revision() == 0 {
-		return topic.Pace + snapshotAllowance
+		return topic.MinInterval + snapshotAllowance
 	}
-	return topic.Pace
+	return topic.MinInterval
 }
 
 func (topic Topic) lane() lane {
@@ -66,39 +66,39 @@
 	return list
 }
 
-func encodeDifference(difference *metadata.Difference) *clusterv1.PrefixUpdate {
+func encodeDelta(delta *metadata.Delta) *clusterv1.PrefixUpdate {
 	update := &clusterv1.PrefixUpdate{
-		Prefix: difference.Prefix, Revision: int64(difference.Revision), Whole: difference.Whole, BaseRevision: int64(difference.Base),
+		Prefix: delta.Prefix, Revision: int64(delta.Revision), Whole: delta.IsSnapshot, BaseRevision: int64(delta.Base),
 	}
-	for _, item := range difference.Items {
+	for _, item := range delta.Items {
 		update.Items = append(update.Items, &clusterv1.StoredItem{Key: item.Key, Value: item.Value, Revision: int64(item.Revision)})
 	}
-	for _, removal := range difference.Removals {
+	for _, removal := range delta.Removals {
 		update.Removals = append(update.Removals, &clusterv1.Removal{Key: removal.Key, Revision: int64(removal.Revision)})
 	}
 	return update
 }
 
-func decodeDifference(update *clusterv1.PrefixUpdate) *metadata.Difference {
-	difference := &metadata.Difference{
-		Prefix: update.GetPrefix(), Whole: update.GetWhole(), Base: metadata.Revision(update.GetBaseRevision()),
+func decodeDelta(update *clusterv1.PrefixUpdate) *metadata.Delta {
+	delta := &metadata.Delta{
+		Prefix: update.GetPrefix(), IsSnapshot: update.GetWhole(), Base: metadata.Revision(update.GetBaseRevision()),
 		Revision: metadata.Revision(update.GetRevision()),
 	}
 	for _, item := range update.GetItems() {
-		difference.Items = append(difference.Items, metadata.Item{Key: item.GetKey(), Value: item.GetValue(), Revision: metadata.Revision(item.GetRevision())})
+		delta.Items = append(delta.Items, metadata.Item{Key: item.GetKey(), Value: item.GetValue(), Revision: metadata.Revision(item.GetRevision())})
 	}
 	for _, removal := range update.GetRemovals() {
-		difference.Removals = append(difference.Removals, metadata.Removal{Key: removal.GetKey(), Revision: metadata.Revision(removal.GetRevision())})
+		delta.Removals = append(delta.Removals, metadata.Removal{Key: removal.GetKey(), Revision: metadata.Revision(removal.GetRevision())})
 	}
-	return difference
+	return delta
 }
 
-// withoutPace returns topics as a relay pushes them: immediately. The origin already applies the pace. Applied again at each level of the
-// tree it would add up, while a node is allowed the delay of one level.
-func withoutPace(topics []Topic) []Topic {
+// withoutMinInterval returns topics as a relay pushes them: immediately. The origin already applies the minimum interval. Applied again at
+// each level of the tree it would add up, while a node is allowed the delay of one level.
+func withoutMinInterval(topics []Topic) []Topic {
 	list := slices.Clone(topics)
 	for index := range list {
-		list[index].Pace = 0
+		list[index].MinInterval = 0
 	}
 	return list
 }
--- a/internal/dissemination/unread_test.go
+++ b/internal/dissemination/unread_test.go
@@ -24,7 +24,7 @@
 
 func newTestSubscriber() *Subscriber {
 	return &Subscriber{
-		Node: "node", Life: 1, Limits: LimitsFor(2*time.Second, false), Logger: log.New(io.Discard), Health: metadata.NewHealth(memstore.New(), log.New(io.Discard)),
+		Node: "node", Incarnation: 1, Limits: LimitsFor(2*time.Second, false), Logger: log.New(io.Discard), Health: metadata.NewHealth(memstore.New(), log.New(io.Discard)),
 		Topics: []Topic{{Mirror: metadata.NewMirror("op/config", metadata.Handlers{})}, {Mirror: metadata.NewMirror("servers/", metadata.Handlers{})}},
 		lags:   make(map[string]lag),
 	}
@@ -37,7 +37,7 @@
 		subscriber := newTestSubscriber()
 		number := rapid.Int32Range(20, 500).Draw(t, "field")
 		content := rapid.SliceOf(rapid.Byte()).Draw(t, "content")
-		update := encodeDifference(&metadata.Difference{Prefix: "servers/", Whole: true, Revision: 7, Items: replicaItems(rapid.IntRange(1, 9).Draw(t, "items"))})
+		update := encodeDelta(&metadata.Delta{Prefix: "servers/", IsSnapshot: true, Revision: 7, Items: replicaItems(rapid.IntRange(1, 9).Draw(t, "items"))})
 		update.Removals = []*clusterv1.Removal{{Key: "servers/x", Revision: 3}}
 		switch rapid.IntRange(0, 2).Draw(t, "where") {
 		case 0:
@@ -53,8 +53,8 @@
 			small.ProtoReflect().SetUnknown(update.ProtoReflect().GetUnknown())
 			update = small
 		}
-		readable := encodeDifference(&metadata.Difference{Prefix: "op/config", Whole: true, Revision: 9, Items: []metadata.Item{{Key: "op/config", Revision: 9}}})
-		subscriber.Heard(&clusterv1.Beacon{Changed: []*clusterv1.PrefixRevision{{Prefix: "op/config", Revision: 9}}}, nil)
+		readable := encodeDelta(&metadata.Delta{Prefix: "op/config", IsSnapshot: true, Revision: 9, Items: []metadata.Item{{Key: "op/config", Revision: 9}}})
+		subscriber.HandleBeacon(&clusterv1.Beacon{Changed: []*clusterv1.PrefixRevision{{Prefix: "op/config", Revision: 9}}}, nil)
 		response, err := subscriber.Publish(t.Context(), &clusterv1.PublishRequest{Updates: []*clusterv1.PrefixUpdate{update, readable}})
 		must.NoError(t, err)
 		must.Eq(t, []string{"servers/"}, response.GetUnread())
--- a/internal/forwarding/bodies.go
+++ b/internal/forwarding/bodies.go
@@ -7,11 +7,11 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// Errors of Bodies.Read. A caller may retry after ErrMemory, since nothing of the request has run.
+// Errors of BodyReader.Read. A caller may retry after ErrNoMemory, since nothing of the request has run.
 var (
-	ErrTooLarge = errors.New("the body is larger than the configured limit")
-	ErrMemory   = errors.New("no memory left for request bodies")
-	ErrNotRead  = errors.New("the body could not be read to its end")
+	ErrTooLarge       = errors.New("the body is larger than the configured limit")
+	ErrNoMemory       = errors.New("no memory left for request bodies")
+	ErrIncompleteBody = errors.New("the body could not be read to its end")
 )
 
 const (
@@ -23,21 +23,21 @@
 	defaultBodyLimit = 32 << 20
 )
 
-// Bodies reads request bodies and bounds the memory of the large ones. It is safe for concurrent use.
-type Bodies struct{ free *semaphore.Weighted }
+// BodyReader reads request bodies and bounds the memory of the large ones. It is safe for concurrent use.
+type BodyReader struct{ free *semaphore.Weighted }
 
-// NewBodies returns a reader of bodies without reservations.
-func NewBodies() *Bodies { return &Bodies{free: semaphore.NewWeighted(bodyMemory)} }
+// NewBodyReader returns a reader of bodies without reservations.
+func NewBodyReader() *BodyReader { return &BodyReader{free: semaphore.NewWeighted(bodyMemory)} }
 
 // Reserve reserves size bytes and reports whether they were available. Release returns them.
-func (bodies *Bodies) Reserve(size int64) bool { return bodies.free.TryAcquire(size) }
+func (bodyReader *BodyReader) Reserve(size int64) bool { return bodyReader.free.TryAcquire(size) }
 
 // Release returns size bytes taken by Reserve.
-func (bodies *Bodies) Release(size int64) { bodies.free.Release(size) }
+func (bodyReader *BodyReader) Release(size int64) { bodyReader.free.Release(size) }
 
 // Read reads a whole body of at most limit bytes. announced is the length that the caller declared, negative if it declared none.
 // release must be called once the body is no longer used, also after an error.
-func (bodies *Bodies) Read(source io.Reader, announced, limit int64) (body []byte, release func(), err error) {
+func (bodyReader *BodyReader) Read(source io.Reader, announced, limit int64) (body []byte, release func(), err error) {
 	release = func() {}
 	if limit <= 0 {
 		limit = defaultBodyLimit
@@ -52,17 +52,17 @@
 		if size < 0 {
 			size = limit
 		}
-		if !bodies.Reserve(size) {
-			return nil, release, ErrMemory
+		if !bodyReader.Reserve(size) {
+			return nil, release, ErrNoMemory
 		}
-		release = func() { bodies.Release(size) }
+		release = func() { bodyReader.Release(size) }
 		var rest []byte
 		rest, err = io.ReadAll(bounded)
 		body = append(body, rest...)
 	}
 	switch {
 	case err != nil:
-		return nil, release, errors.Mark(err, ErrNotRead)
+		return nil, release, errors.Mark(err, ErrIncompleteBody)
 	case int64(len(body)) > limit:
 		return nil, release, ErrTooLarge
 	}
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -182,14 +182,14 @@
 
 // publishDigest stores a digest. A change of its flags is announced immediately.
 func (home *Home) publishDigest(digest loads.Digest) {
-	if home.loads.Offer(digest, time.Now()) == loads.NewsFlags {
+	if home.loads.Offer(digest, time.Now()) == loads.ChangeFlags {
 		home.announce([]*loads.Digest{&digest})
 	}
 }
 
 func (home *Home) publish(target *replica, report engine.Report) {
-	held := make([]*controlv1.HeldVersion, 0, len(report.Held))
-	for _, version := range report.Held {
+	held := make([]*controlv1.HeldVersion, 0, len(report.Policies))
+	for _, version := range report.Policies {
 		held = append(held, &controlv1.HeldVersion{Policy: version.Policy, Active: version.Active, Staged: version.Staged})
 	}
 	slices.SortFunc(held, func(a, b *controlv1.HeldVersion) int { return strings.Compare(a.GetPolicy(), b.GetPolicy()) })
@@ -234,24 +234,24 @@
 
 // nextOrder returns the next order that brings a replica closer to the configuration of a policy, and whether an order is due.
 func nextOrder(policy experiment.Policy, report engine.Report) (engine.Order, bool) {
-	held := engine.Held{}
-	for _, candidate := range report.Held {
+	loaded := engine.LoadedPolicy{}
+	for _, candidate := range report.Policies {
 		if candidate.Policy == policy.Name {
-			held = candidate
+			loaded = candidate
 		}
 	}
 	order := engine.Order{Policy: policy.Name}
 	switch {
 	case policy.State == experiment.PolicyRetired:
 		order.Action = engine.ActionDiscard
-		return order, held.Active != 0 || held.Staged != 0
-	case held.Active != policy.Target && held.Staged == policy.Target:
+		return order, loaded.Active != 0 || loaded.Staged != 0
+	case loaded.Active != policy.Target && loaded.Staged == policy.Target:
 		order.Action, order.Version = engine.ActionActivate, policy.Target
 		return order, true
-	case held.Active != policy.Target:
+	case loaded.Active != policy.Target:
 		order.Action, order.Version = engine.ActionStage, policy.Target
 		return order, true
-	case policy.Published > policy.Target && held.Staged != policy.Published:
+	case policy.Published > policy.Target && loaded.Staged != policy.Published:
 		order.Action, order.Version = engine.ActionStage, policy.Published
 		return order, true
 	default:
--- a/internal/lab/hollow/day.go
+++ b/internal/lab/hollow/day.go
@@ -226,9 +226,9 @@
 // isolateZones disconnects zones 0 to zones-1 from all other zones and from the platform for the given duration.
 func (fleet *Fleet) isolateZones(duration time.Duration, zones int) {
 	isolated := func(host netip.Addr) bool { return int(host.As4()[1]) < zones }
-	fleet.memory.Sever(func(from, to netip.Addr) bool { return isolated(from) != isolated(to) })
+	fleet.memory.SetPartition(func(from, to netip.Addr) bool { return isolated(from) != isolated(to) })
 	time.Sleep(duration)
-	fleet.memory.Sever(nil)
+	fleet.memory.SetPartition(nil)
 }
 
 // sendChanges sends configuration commands until end is closed, each to a random node. A command to an isolated node fails
--- a/internal/lab/platform/soak/deployment.go
+++ b/internal/lab/platform/soak/deployment.go
@@ -254,11 +254,11 @@
 
 // write puts a key directly into the store, without the injected faults, as the platform itself does.
 func (deployment *Deployment) write(key string, value []byte) {
-	_, _ = deployment.Store.CommitDirectly(metadata.Txn{Puts: []metadata.Put{{Key: key, Value: value}}}) // without conditions: it cannot fail
+	_, _ = deployment.Store.CommitIgnoringFaults(metadata.Txn{Puts: []metadata.Put{{Key: key, Value: value}}}) // without conditions: it cannot fail
 }
 
 func (deployment *Deployment) remove(key string) {
-	_, _ = deployment.Store.CommitDirectly(metadata.Txn{Deletes: []string{key}}) // without conditions: it cannot fail
+	_, _ = deployment.Store.CommitIgnoringFaults(metadata.Txn{Deletes: []string{key}}) // without conditions: it cannot fail
 }
 
 func (deployment *Deployment) addNode(name, role string) error {
--- a/internal/lab/platform/soak/faults.go
+++ b/internal/lab/platform/soak/faults.go
@@ -339,10 +339,10 @@
 	case KindStoreDown:
 		store.SetFaults(memstore.Faults{Down: true})
 	case KindStoreSilent:
-		store.SetFaults(memstore.Faults{Silent: true})
+		store.SetFaults(memstore.Faults{Hang: true})
 	case KindStoreLost:
 		late := time.Duration(event.Variant%3) * time.Second
-		store.SetFaults(memstore.Faults{LoseAnswers: 1 + event.Variant%maxLostAnswers, LateBy: late})
+		store.SetFaults(memstore.Faults{LoseResponses: 1 + event.Variant%maxLostAnswers, CommitDelay: late})
 	case KindCompact:
 		store.Compact()
 	case KindStoreSlow:
--- a/internal/lab/scenario/run.go
+++ b/internal/lab/scenario/run.go
@@ -76,7 +76,7 @@
 		hosts: make(map[string]int), down: make(map[int]bool), version: 1, began: time.Now()}
 	ctx, cancel := context.WithTimeout(context.Background(), runTimeout)
 	defer cancel()
-	scenario.memory.Delay(scenario.latency)
+	scenario.memory.SetLatency(scenario.latency)
 	defer scenario.close()
 	if err := scenario.start(ctx); err != nil {
 		return Result{}, err
@@ -147,7 +147,7 @@
 				config.Steps.StragglerTime = 0
 			}
 			if scenario.side.QueueAtEngines {
-				config.Steps.RoomShare, config.Steps.AheadShare, config.Steps.SwapPatience = 0, 0, 0
+				config.Steps.RoomShare, config.Steps.AheadShare, config.Steps.SwapWaitTimeout = 0, 0, 0
 			}
 		})
 	if err != nil {
--- a/internal/metadata/memstore/store.go
+++ b/internal/metadata/memstore/store.go
@@ -15,12 +15,13 @@
 
 // Faults holds the faults to simulate. The zero value means no faults.
 type Faults struct {
-	// Down makes calls fail at once; Silent makes them hang until their context ends.
-	Down, Silent bool
-	// LoseAnswers is the number of next commits whose response is lost: each is applied, and the call hangs until its context ends.
-	LoseAnswers int
-	// LateBy delays the application of commits whose response is lost.
-	LateBy time.Duration
+	// Down makes calls fail at once; Hang makes them hang until their context ends.
+	Down, Hang bool
+	// LoseResponses is the number of next commits whose response is lost: each is applied, and the call hangs until its context
+	// ends.
+	LoseResponses int
+	// CommitDelay delays the application of commits whose response is lost.
+	CommitDelay time.Duration
 }
 
 // Store is an in-memory metadata.Store. It is safe for concurrent use.
@@ -73,7 +74,7 @@
 	return store.calls
 }
 
-// enter counts a call and applies the Down and Silent faults. It returns the faults in effect.
+// enter counts a call and applies the Down and Hang faults. It returns the faults in effect.
 func (store *Store) enter(ctx context.Context) (Faults, error) {
 	store.mu.Lock()
 	store.calls++
@@ -82,7 +83,7 @@
 	switch {
 	case ctx.Err() != nil:
 		return faults, metadata.ErrUnavailable
-	case faults.Silent:
+	case faults.Hang:
 		<-ctx.Done()
 		return faults, metadata.ErrUnavailable
 	case faults.Down:
@@ -173,8 +174,8 @@
 		return 0, err
 	}
 	if store.consumeLostAnswer() {
-		if faults.LateBy > 0 {
-			time.AfterFunc(faults.LateBy, func() { _, _ = store.apply(txn) }) // the response is lost
+		if faults.CommitDelay > 0 {
+			time.AfterFunc(faults.CommitDelay, func() { _, _ = store.apply(txn) }) // the response is lost
 		} else {
 			_, _ = store.apply(txn)
 		}
@@ -184,8 +185,8 @@
 	return store.apply(txn)
 }
 
-// CommitDirectly applies a transaction regardless of the faults.
-func (store *Store) CommitDirectly(txn metadata.Txn) (metadata.Revision, error) {
+// CommitIgnoringFaults applies a transaction regardless of the faults.
+func (store *Store) CommitIgnoringFaults(txn metadata.Txn) (metadata.Revision, error) {
 	return store.apply(txn)
 }
 
@@ -193,10 +194,10 @@
 func (store *Store) consumeLostAnswer() bool {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	if store.faults.LoseAnswers <= 0 {
+	if store.faults.LoseResponses <= 0 {
 		return false
 	}
-	store.faults.LoseAnswers--
+	store.faults.LoseResponses--
 	return true
 }
 
@@ -217,7 +218,7 @@
 	}
 	for _, written := range txn.Puts {
 		if written.Lease != 0 && store.leases[written.Lease] == nil {
-			return 0, metadata.ErrLeaseGone
+			return 0, metadata.ErrLeaseExpired
 		}
 	}
 	store.revision++
@@ -286,7 +287,7 @@
 	defer store.mu.Unlock()
 	held := store.leases[id]
 	if held == nil {
-		return metadata.ErrLeaseGone
+		return metadata.ErrLeaseExpired
 	}
 	held.timer.Reset(held.ttl)
 	return nil
--- a/internal/metering/cluster_test.go
+++ b/internal/metering/cluster_test.go
@@ -165,15 +165,15 @@
 	return metering.Service{Ledger: client.ledger}.Tell(ctx, request)
 }
 
-// frontListeners provides the listeners of a front.
-type frontListeners struct {
+// frontRecipients provides the recipients of a front.
+type frontRecipients struct {
 	cluster *cluster
 	name    string
 	index   int
 }
 
-func (listeners frontListeners) Collector() *metering.Listener {
-	cluster := listeners.cluster
+func (recipients frontRecipients) Collector() *metering.Recipient {
+	cluster := recipients.cluster
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	newest := ""
@@ -185,25 +185,25 @@
 	if newest == "" {
 		return nil
 	}
-	return &metering.Listener{Name: newest, Epoch: cluster.terms[newest], Client: localClient{cluster, listeners.name, newest, cluster.collectors[newest]}}
+	return &metering.Recipient{Name: newest, Epoch: cluster.terms[newest], Client: localClient{cluster, recipients.name, newest, cluster.collectors[newest]}}
 }
 
-func (listeners frontListeners) Witness() *metering.Listener {
-	cluster := listeners.cluster
+func (recipients frontRecipients) Witness() *metering.Recipient {
+	cluster := recipients.cluster
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
-	name := fmt.Sprint("front-", (listeners.index+1)%frontCount)
+	name := fmt.Sprint("front-", (recipients.index+1)%frontCount)
 	witness := cluster.fronts[name]
 	if witness == nil {
 		return nil // not started yet
 	}
-	return &metering.Listener{Name: name, Epoch: witness.incarnation, Client: localClient{cluster, listeners.name, name, witness.ledger}}
+	return &metering.Recipient{Name: name, Epoch: witness.incarnation, Client: localClient{cluster, recipients.name, name, witness.ledger}}
 }
 
-func (listeners frontListeners) Runs(node string, incarnation int64) bool {
-	listeners.cluster.mu.Lock()
-	defer listeners.cluster.mu.Unlock()
-	known := listeners.cluster.fronts[node]
+func (recipients frontRecipients) IsRunning(node string, incarnation int64) bool {
+	recipients.cluster.mu.Lock()
+	defer recipients.cluster.mu.Unlock()
+	known := recipients.cluster.fronts[node]
 	return known != nil && known.incarnation == incarnation
 }
 
@@ -218,8 +218,8 @@
 	created.meter = metering.NewMeter(name, created.incarnation, windows, clock, created.ledger)
 	cluster.fronts[name] = created
 	cluster.mu.Unlock()
-	teller := &metering.Teller{Meter: created.meter, Listeners: frontListeners{cluster, name, index}, Logger: log.New(io.Discard)}
-	go teller.Run(ctx)
+	sender := &metering.TallySender{Meter: created.meter, Recipients: frontRecipients{cluster, name, index}, Logger: log.New(io.Discard)}
+	go sender.Run(ctx)
 }
 
 func (cluster *cluster) killFront(index int) {
@@ -241,7 +241,7 @@
 	cluster.mu.Unlock()
 	reporter := &metering.Reporter{
 		Node: name, Windows: windows, Clock: clock, Ledger: ledger, Store: store, Sink: cluster.sink, Logger: log.New(io.Discard),
-		Overhang: 200 * time.Millisecond,
+		CallGrace: 200 * time.Millisecond,
 	}
 	election := weights.NewElection(store, name, weights.ElectionSettings{
 		Lease: 1300 * time.Millisecond, Renew: 300 * time.Millisecond, HandoverWait: minHolderGap + 300*time.Millisecond,
@@ -267,7 +267,7 @@
 	sender := cluster.fronts[fmt.Sprint("front-", index)]
 	cluster.expected[metering.Windows{Length: windowLength}.At(time.Now())]++
 	cluster.mu.Unlock()
-	sender.meter.Began("harbour")
+	sender.meter.CountStarted("harbour")
 }
 
 func newCluster() *cluster {
@@ -323,7 +323,7 @@
 	case "store down":
 		cluster.store.SetFaults(memstore.Faults{Down: true})
 	case "answers lost":
-		cluster.store.SetFaults(memstore.Faults{LoseAnswers: 3})
+		cluster.store.SetFaults(memstore.Faults{LoseResponses: 3})
 	case "sink slow":
 		cluster.sink.set(func(sink *sink) { sink.delay = 1900 * time.Millisecond })
 	case "sink broken", "sink late":
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -76,7 +76,7 @@
 	loads         *loads.Table
 	homes         *home.Home
 	store         *samplestore.Store // nil without a data folder
-	copies        *ownership.Copies
+	localReplicas *ownership.LocalReplicas
 	manager       *ownership.Manager
 	steps         *delivery.Service
 	executor      *delivery.Executor
@@ -166,8 +166,8 @@
 	if err != nil {
 		return err
 	}
-	if store.Replaced != "" {
-		node.logger.Error("sample store was unreadable; rebuilding it from the other copies", "moved", store.Replaced, "store", store.Identity())
+	if store.UnreadablePath != "" {
+		node.logger.Error("sample store was unreadable; rebuilding it from the other copies", "moved", store.UnreadablePath, "store", store.Identity())
 	}
 	node.store = store
 	return nil
@@ -196,7 +196,7 @@
 	node.committer = configuration.NewCommitter(node.keyValue, node.follower)
 
 	self := membership.Member{NodeID: config.Node.ID, Address: config.Node.Control, Zone: config.Node.Zone, Region: config.Node.Region,
-		Incarnation: node.processIncarnation * ownership.LifeStep}
+		Incarnation: node.processIncarnation * ownership.IncarnationsPerProcess}
 	if node.store != nil {
 		self.StoreID = node.store.Identity()
 	}
@@ -247,15 +247,15 @@
 
 	node.claims = claim.NewService(node.holderAlive)
 	node.steps = delivery.NewService(delivery.Settings{
-		AttemptSilence: config.Steps.AttemptSilence, AdoptTime: adoptRenewals * config.Steps.RenewInterval,
+		AttemptTimeout: config.Steps.AttemptSilence, AdoptTime: adoptRenewals * config.Steps.RenewInterval,
 		OutstandingSlots: config.Steps.OutstandingSlots, SlotsPerDispatch: config.Steps.SlotsPerDispatch,
 		StragglerShare: config.Steps.StragglerShare, StragglerTime: config.Steps.StragglerTime,
-		KeepClosed: config.Steps.KeepClosed, DispatchTimeout: config.Platform.Timeout,
+		ClosedRetention: config.Steps.ClosedRetention, DispatchTimeout: config.Platform.Timeout,
 	}, config.Node.ID, node.follower.Document, dispatcher{node}, node.logger)
 	scorer := scoring.NewHTTP(config.Platform.Scorer, node.client(node.networks.Data, controlConnections), config.Platform.Timeout)
 	node.executor = delivery.NewExecutor(delivery.ExecutorSettings{
 		MaximumSlots: config.Steps.MaximumSlots, RenewInterval: config.Steps.RenewInterval, CallTimeout: config.Platform.Timeout,
-		SwapPatience: config.Steps.SwapPatience, RoomShare: config.Steps.RoomShare, AheadShare: config.Steps.AheadShare,
+		SwapWaitTimeout: config.Steps.SwapWaitTimeout, MaxBatchFill: config.Steps.RoomShare, AheadMaxBatchFill: config.Steps.AheadShare,
 	}, config.Node.ID, node.runner, scorer, node, node.follower.Document, node.logger)
 	node.buildOwnership()
 	node.buildGateway(processMetrics)
@@ -273,13 +273,13 @@
 		storeID = node.store.Identity()
 		storage = node.store
 	}
-	node.copies = ownership.NewCopies(storage, storeID, ownership.MemoryReplicaID(config.Node.ID, node.processIncarnation*ownership.LifeStep))
+	node.localReplicas = ownership.NewLocalReplicas(storage, storeID, ownership.MemoryReplicaID(config.Node.ID, node.processIncarnation*ownership.IncarnationsPerProcess))
 	self := partition.Holder{NodeID: config.Node.ID, Address: config.Node.Control, Zone: config.Node.Zone}
 	handlers := map[partition.Kind]ownership.Handler{partition.KindSteps: node.steps, partition.KindClaims: node.claims}
 	node.manager = ownership.NewManager(ownership.Settings{
 		SettleTime: config.Ownership.SettleTime, WriteTimeout: config.Ownership.WriteTimeout, ReplaceAfter: config.Ownership.ReplaceAfter,
-		LeaseTime: config.Ownership.LeaseTime, HistoryPatience: config.Ownership.HistoryPatience,
-	}, self, node.copies, node.members, node.follower, node.keyValue, node.directory, handlers, node.removedFromMachineList, node.isolated, node.logger)
+		LeaseTime: config.Ownership.LeaseTime, HistoryRecoveryTimeout: config.Ownership.HistoryRecoveryTimeout,
+	}, self, node.localReplicas, node.members, node.follower, node.keyValue, node.directory, handlers, node.removedFromMachineList, node.isolated, node.logger)
 }
 
 // removedFromMachineList reports whether the node is missing from a machine list that contains other nodes. An empty list
@@ -353,7 +353,7 @@
 		PathPrefix() string
 	}{
 		controlv1.NewMembershipServer(node.prober), controlv1.NewConfigurationServer(node.synchronizer), controlv1.NewLoadServer(node.synchronizer),
-		controlv1.NewPartitionServer(node.copies), controlv1.NewStepsServer(node.steps), controlv1.NewExecutorServer(node.executor),
+		controlv1.NewPartitionServer(node.localReplicas), controlv1.NewStepsServer(node.steps), controlv1.NewExecutorServer(node.executor),
 		controlv1.NewClaimsServer(node.claims),
 	} {
 		control.Handle(server.PathPrefix(), server)
@@ -423,7 +423,7 @@
 	for _, member := range node.members.View().All {
 		if member.NodeID == nodeID {
 			// A member in the state left still finishes its requests.
-			return ownership.Life(member.Incarnation) == processIncarnation && member.State != membership.StateDead
+			return ownership.ProcessNumber(member.Incarnation) == processIncarnation && member.State != membership.StateDead
 		}
 	}
 	return false
--- a/internal/node/query.go
+++ b/internal/node/query.go
@@ -198,9 +198,9 @@
 
 // listAllSteps requests the steps of every owner of a steps partition. The notes name partitions without an owner and
 // owners that failed.
-func (node *Node) listAllSteps(ctx context.Context) ([]delivery.ListAnswer, []string) {
+func (node *Node) listAllSteps(ctx context.Context) ([]delivery.ListResponse, []string) {
 	asked := make(map[string]bool)
-	var answers []delivery.ListAnswer
+	var responses []delivery.ListResponse
 	var notes []string
 	single := 0
 	for index := range uint32(partition.Count) {
@@ -216,18 +216,18 @@
 			continue
 		}
 		asked[assignment.Owner.NodeID] = true
-		answer, err := node.listSteps(ctx, index)
+		response, err := node.listSteps(ctx, index)
 		if err != nil {
 			notes = append(notes, fmt.Sprintf("node %s did not answer: %v", assignment.Owner.NodeID, err))
 			continue
 		}
-		answers = append(answers, answer)
+		responses = append(responses, response)
 	}
-	return answers, append(notes, replicationNotes(single)...)
+	return responses, append(notes, replicationNotes(single)...)
 }
 
-func (node *Node) listSteps(ctx context.Context, index uint32) (delivery.ListAnswer, error) {
-	var list delivery.ListAnswer
+func (node *Node) listSteps(ctx context.Context, index uint32) (delivery.ListResponse, error) {
+	var list delivery.ListResponse
 	owner, err := node.Steps(index)
 	if err != nil {
 		return list, err
@@ -243,10 +243,10 @@
 
 func (node *Node) stepsTable(ctx context.Context) (query.Table, error) {
 	table := query.Table{Subject: "steps", Columns: []string{"step", "experiment", "state", "slots", "filled", "delivered", "running", "dropped", "owner", "copies", "created"}}
-	answers, notes := node.listAllSteps(ctx)
+	responses, notes := node.listAllSteps(ctx)
 	table.Notes = notes
-	for _, answer := range answers {
-		for _, step := range answer.Steps {
+	for _, response := range responses {
+		for _, step := range response.Steps {
 			table.Add(step.StepID, step.Experiment, string(step.State), formatInteger(step.Slots), formatInteger(step.Filled), formatInteger(step.Delivered),
 				formatInteger(step.Running), formatInteger(step.Dropped), step.Owner, formatInteger(step.Copies), step.Created.UTC().Format(time.RFC3339))
 		}
@@ -257,10 +257,10 @@
 func (node *Node) stalenessTable(ctx context.Context) (query.Table, error) {
 	table := query.Table{Subject: "staleness", Columns: []string{"policy", "owner_samples", "versions_p50", "versions_p90", "versions_p99", "versions_max",
 		"seconds_p50", "seconds_p90", "seconds_p99", "seconds_max"}}
-	answers, notes := node.listAllSteps(ctx)
+	responses, notes := node.listAllSteps(ctx)
 	table.Notes = append(notes, "one row for each owner that delivered samples in the last ten minutes")
-	for _, answer := range answers {
-		for _, row := range answer.Staleness {
+	for _, response := range responses {
+		for _, row := range response.Staleness {
 			table.Add(row.Policy, formatInteger(row.Count), formatInteger(row.Versions[0]), formatInteger(row.Versions[1]), formatInteger(row.Versions[2]), formatInteger(row.Versions[3]),
 				formatSeconds(row.Seconds[0]), formatSeconds(row.Seconds[1]), formatSeconds(row.Seconds[2]), formatSeconds(row.Seconds[3]))
 		}
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -19,8 +19,8 @@
 // requests and slots in progress and then closes the node. Requests are cut off only if the context ends.
 func (node *Node) Stop(ctx context.Context) error {
 	node.logger.Info("planned stop")
-	node.gateway.Refuse()
-	node.executor.Refuse()
+	node.gateway.StopAccepting()
+	node.executor.StopAccepting()
 	node.prober.Leave(ctx, leaveNotifications)
 	node.manager.Release(ctx)
 	// A refusal closes the connection that it is sent on. Idle connections are closed later, because closing one while a
@@ -46,7 +46,7 @@
 func (node *Node) awaitHandover(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	for ctx.Err() == nil && node.manager.Held() > 0 && len(node.members.View().Live) > 0 {
+	for ctx.Err() == nil && node.manager.PartitionCount() > 0 && len(node.members.View().Live) > 0 {
 		sleep(ctx, handoverPollInterval)
 	}
 }
--- a/internal/node/synchronizer.go
+++ b/internal/node/synchronizer.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// Revisions implements membership.Spread.
+// Revisions implements membership.RevisionExchange.
 func (synchronizer *synchronizer) Revisions() membership.Revisions {
 	follower := synchronizer.node.follower
 	return membership.Revisions{
@@ -73,7 +73,7 @@
 
 // Heard implements membership.Spread. It pulls from the other node if one of that node's revisions is newer. One pull runs
 // at a time.
-func (synchronizer *synchronizer) Heard(address string, other membership.Revisions) {
+func (synchronizer *synchronizer) HandleRevisions(address string, other membership.Revisions) {
 	own := synchronizer.Revisions()
 	if other.Configuration <= own.Configuration && other.Partitions <= own.Partitions && other.Machines <= own.Machines {
 		return
@@ -112,7 +112,7 @@
 	var failure error
 	if content := answer.GetConfiguration(); len(content) > 0 {
 		var document experiment.Document
-		if err := configuration.DecodeBetweenNodes(content, &document); err != nil {
+		if err := configuration.DecodeMessage(content, &document); err != nil {
 			failure = errors.CombineErrors(failure, err)
 		} else if synchronizer.node.follower.Offer(document) {
 			synchronizer.node.logger.Info("configuration in force", "revision", document.Revision)
@@ -120,7 +120,7 @@
 	}
 	if content := answer.GetPartitions(); len(content) > 0 {
 		var table partition.Table
-		if err := configuration.DecodeBetweenNodes(content, &table); err != nil {
+		if err := configuration.DecodeMessage(content, &table); err != nil {
 			failure = errors.CombineErrors(failure, err)
 		} else {
 			synchronizer.node.follower.OfferTable(table)
@@ -128,7 +128,7 @@
 	}
 	if content := answer.GetMachines(); len(content) > 0 {
 		var list machines.List
-		if err := configuration.DecodeBetweenNodes(content, &list); err != nil {
+		if err := configuration.DecodeMessage(content, &list); err != nil {
 			failure = errors.CombineErrors(failure, err)
 		} else {
 			synchronizer.node.follower.OfferMachines(list)
@@ -144,13 +144,13 @@
 	response := &controlv1.PullResponse{}
 	var err error
 	if document := follower.Document(); document.Revision > callerRevisions.GetConfiguration() {
-		response.Configuration, err = configuration.EncodeBetweenNodes(document)
+		response.Configuration, err = configuration.EncodeMessage(document)
 	}
 	if table := follower.Table(); err == nil && table.Revision > callerRevisions.GetPartitions() {
-		response.Partitions, err = configuration.EncodeBetweenNodes(table)
+		response.Partitions, err = configuration.EncodeMessage(table)
 	}
 	if list := follower.Machines(); err == nil && list.Revision > callerRevisions.GetMachines() {
-		response.Machines, err = configuration.EncodeBetweenNodes(list)
+		response.Machines, err = configuration.EncodeMessage(list)
 	}
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
@@ -194,7 +194,7 @@
 func (synchronizer *synchronizer) exchange(ctx context.Context) {
 	node := synchronizer.node
 	now := time.Now()
-	node.loads.Forget(now, forgetAfterAges*node.settings.Replicas.MaximumAge)
+	node.loads.EvictOlderThan(now, forgetAfterAges*node.settings.Replicas.MaximumAge)
 	peers := synchronizer.exchangePeers()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	for _, peer := range peers[:min(len(peers), node.settings.Membership.ExchangePeers)] {
@@ -261,7 +261,7 @@
 	err := synchronizer.node.relay.Poll(ctx, watchWait)
 	switch {
 	case err == nil || ctx.Err() != nil:
-	case errors.Is(err, configuration.ErrOlder):
+	case errors.Is(err, configuration.ErrStaleService):
 		synchronizer.reportOlder(err)
 		sleep(ctx, time.Second)
 	case errors.Is(err, keyvalue.ErrLimited):
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -20,14 +20,14 @@
 	Refuses(ctx context.Context, replica *catalog.Replica) bool
 }
 
-// Teller broadcasts notices of this node to all other nodes.
-type Teller interface {
-	Tell(Notice)
+// Broadcaster broadcasts notices of this node to all other nodes.
+type Broadcaster interface {
+	Broadcast(Notice)
 }
 
-// Keeper stores quarantined requests durably.
-type Keeper interface {
-	// Persist stores the record of a request as it is in the book; Lift deletes it.
+// Persister stores quarantined requests durably.
+type Persister interface {
+	// Persist stores the record of a request as it is in the tracker; Lift deletes it.
 	Persist(Fingerprint)
 	Lift(Fingerprint)
 }
@@ -38,11 +38,11 @@
 type Guard struct {
 	Sender  backend.Sender
 	Prober  Prober
-	Book    *Book
+	Tracker *Tracker
 	Catalog *catalog.Table
-	// Teller and Keeper may be nil.
-	Teller Teller
-	Keeper Keeper
+	// Broadcaster and Persister may be nil.
+	Broadcaster Broadcaster
+	Persister   Persister
 	// IsDeputy reports whether this node ranks first for a request among the running nodes.
 	IsDeputy func(Fingerprint) bool
 	Node     string
@@ -70,7 +70,7 @@
 }
 
 // Send implements backend.Sender. It returns a *backend.HeldError for a request that is withheld.
-func (guard *Guard) Send(ctx context.Context, replica *catalog.Replica, request *backend.Request) (*backend.Answer, error) {
+func (guard *Guard) Send(ctx context.Context, replica *catalog.Replica, request *backend.Request) (*backend.Response, error) {
 	if err := guard.admit(replica, request); err != nil {
 		return nil, err
 	}
@@ -78,9 +78,9 @@
 	if !request.Exclusive {
 		runCtx, release = withLinger(ctx)
 	}
-	answer, err := guard.Sender.Send(runCtx, replica, request)
+	response, err := guard.Sender.Send(runCtx, replica, request)
 	switch {
-	case errors.Is(err, backend.ErrRefused):
+	case errors.Is(err, backend.ErrConnectionRefused):
 		guard.connectionRefused(replica)
 	case err != nil && !errors.Is(err, backend.ErrNotSent):
 		guard.answerLost(runCtx, replica, request)
@@ -89,11 +89,11 @@
 		release()
 		return nil, err
 	}
-	answer.Body = &watchedBody{
-		ReadCloser: answer.Body, ctx: runCtx, release: release, guard: guard, replica: replica, request: request, status: answer.Status,
-		done: answer.NotExecuted,
+	response.Body = &watchedBody{
+		ReadCloser: response.Body, ctx: runCtx, release: release, guard: guard, replica: replica, request: request, status: response.Status,
+		done: response.NotExecuted,
 	}
-	return answer, nil
+	return response, nil
 }
 
 // lingerDuration is how long after its start a request keeps running if its caller leaves. A request that crashes a
@@ -108,7 +108,7 @@
 	run, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() {
 		left := lingerDuration - time.Since(begun)
-		if left <= 0 || errors.Is(context.Cause(ctx), backend.ErrUnneeded) {
+		if left <= 0 || errors.Is(context.Cause(ctx), backend.ErrSuperseded) {
 			cancel()
 			return
 		}
@@ -122,17 +122,17 @@
 
 // admit returns an error if a request must not be sent now.
 func (guard *Guard) admit(replica *catalog.Replica, request *backend.Request) error {
-	if !guard.Book.MayBeSuspected(replica.Service, request) {
+	if !guard.Tracker.MayBeSuspected(replica.Service, request) {
 		return nil
 	}
 	fingerprint := FingerprintOf(replica.Service, request)
-	decision := guard.Book.Admit(fingerprint, Claim{Exclusive: request.Exclusive, Deputy: guard.IsDeputy(fingerprint)}, time.Now())
+	decision := guard.Tracker.Admit(fingerprint, Claim{Exclusive: request.Exclusive, Deputy: guard.IsDeputy(fingerprint)}, time.Now())
 	switch {
 	case !decision.Allowed:
 		guard.Metrics.RequestHeld()
 		guard.Logger.Info("request held", "request", request.ID, "service", replica.Service, "fingerprint", fingerprint, "crashes", decision.Crashes,
 			"retry_after_ms", decision.RetryAfter.Milliseconds(), "put_down_to", decision.attributedTo())
-		return errors.Mark(&backend.HeldError{After: decision.RetryAfter}, backend.ErrNotSent)
+		return errors.Mark(&backend.HeldError{RetryAfter: decision.RetryAfter}, backend.ErrNotSent)
 	case decision.Crashes > 0:
 		guard.Logger.Info("suspected request sent", "request", request.ID, "service", replica.Service, "replica", replica.ID, "fingerprint", fingerprint,
 			"crashes", decision.Crashes, "trial", decision.Trial, "put_down_to", decision.attributedTo())
@@ -153,7 +153,7 @@
 	again := guard.unanswered.add(lost)
 	switch {
 	case ctx.Err() != nil:
-	case again || guard.Book.Suspected(fingerprint).Crashes > 0:
+	case again || guard.Tracker.Suspected(fingerprint).Crashes > 0:
 		guard.probeReplicas(ctx, fingerprint)
 	default:
 		time.AfterFunc(probeDelay, func() { guard.probeReplicas(context.Background(), fingerprint) })
@@ -196,38 +196,38 @@
 
 // recordCrash records a crash that this node has detected.
 func (guard *Guard) recordCrash(lost unansweredRequest, evidence string) {
-	crashes, fresh := guard.Book.RecordCrash(lost.fingerprint, lost.replica, guard.Node, lost.at, time.Now())
+	crashes, fresh := guard.Tracker.RecordCrash(lost.fingerprint, lost.replica, guard.Node, lost.at, time.Now())
 	if !fresh {
 		return
 	}
-	guard.Metrics.ReplicaEnded()
-	guard.Metrics.Quarantined(guard.Book.Quarantined())
+	guard.Metrics.ReplicaCrashed()
+	guard.Metrics.Quarantined(guard.Tracker.Quarantined())
 	guard.Logger.Warn("replica crashed while running a request", "request", lost.request, "service", lost.service, "replica", lost.replica,
 		"fingerprint", lost.fingerprint, "crashes", crashes, "evidence", evidence, "after_ms", time.Since(lost.at).Milliseconds())
-	guard.outbox.addCrashes(lost.fingerprint, guard.Book.Suspected(lost.fingerprint).Events)
+	guard.outbox.addCrashes(lost.fingerprint, guard.Tracker.Suspected(lost.fingerprint).Events)
 	guard.persistIfQuarantined(lost.fingerprint, crashes)
 }
 
 // persistIfQuarantined stores the record of a request once it is quarantined.
 func (guard *Guard) persistIfQuarantined(fingerprint Fingerprint, crashes int) {
-	if crashes >= quarantineThreshold && guard.Keeper != nil {
-		guard.Keeper.Persist(fingerprint)
+	if crashes >= quarantineThreshold && guard.Persister != nil {
+		guard.Persister.Persist(fingerprint)
 	}
 }
 
 // answerCompleted clears a request that a replica has answered in full, unless the replica reported a failure of its own.
 func (guard *Guard) answerCompleted(replica *catalog.Replica, request *backend.Request, status int) {
-	if status >= http.StatusInternalServerError || !(guard.unanswered.mayContain(replica.Service, request) || guard.Book.MayBeSuspected(replica.Service, request)) {
+	if status >= http.StatusInternalServerError || !(guard.unanswered.mayContain(replica.Service, request) || guard.Tracker.MayBeSuspected(replica.Service, request)) {
 		return
 	}
 	fingerprint := FingerprintOf(replica.Service, request)
 	guard.unanswered.drop(fingerprint)
-	crashes := guard.Book.Suspected(fingerprint).Crashes
-	if !guard.Book.Clear(fingerprint) {
+	crashes := guard.Tracker.Suspected(fingerprint).Crashes
+	if !guard.Tracker.Clear(fingerprint) {
 		return
 	}
 	guard.Metrics.SuspicionCleared()
-	guard.Metrics.Quarantined(guard.Book.Quarantined())
+	guard.Metrics.Quarantined(guard.Tracker.Quarantined())
 	guard.Logger.Info("suspicion cleared", "request", request.ID, "service", replica.Service, "replica", replica.ID, "fingerprint", fingerprint,
 		"crashes", crashes, "status", status)
 	guard.outbox.addCleared(fingerprint)
@@ -236,15 +236,15 @@
 
 // liftIfQuarantined deletes the record of a request that was quarantined.
 func (guard *Guard) liftIfQuarantined(fingerprint Fingerprint, crashes int) {
-	if crashes >= quarantineThreshold && guard.Keeper != nil {
-		guard.Keeper.Lift(fingerprint)
+	if crashes >= quarantineThreshold && guard.Persister != nil {
+		guard.Persister.Lift(fingerprint)
 	}
 }
 
-// Heard handles a notice from another node.
-func (guard *Guard) Heard(notice Notice) {
+// HandleNotice handles a notice from another node.
+func (guard *Guard) HandleNotice(notice Notice) {
 	for _, crash := range notice.Crashes {
-		crashes, fresh := guard.Book.RecordCrash(crash.Fingerprint, crash.Replica, notice.Reporter, crash.Broke, time.Now())
+		crashes, fresh := guard.Tracker.RecordCrash(crash.Fingerprint, crash.Replica, notice.Reporter, crash.InterruptedAt, time.Now())
 		if !fresh {
 			continue
 		}
@@ -252,8 +252,8 @@
 		guard.persistIfQuarantined(crash.Fingerprint, crashes)
 	}
 	for _, fingerprint := range notice.Cleared {
-		known := guard.Book.Suspected(fingerprint)
-		if !guard.Book.Clear(fingerprint) {
+		known := guard.Tracker.Suspected(fingerprint)
+		if !guard.Tracker.Clear(fingerprint) {
 			continue
 		}
 		guard.Logger.Info("suspicion cleared by another node", "reporter", notice.Reporter, "fingerprint", fingerprint, "crashes", known.Crashes)
@@ -261,7 +261,7 @@
 			guard.liftIfQuarantined(fingerprint, known.Crashes)
 		}
 	}
-	guard.Metrics.Quarantined(guard.Book.Quarantined())
+	guard.Metrics.Quarantined(guard.Tracker.Quarantined())
 }
 
 // watchedBody detects whether an answer is read to its end.
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -22,20 +22,20 @@
 
 // stubNetwork gives the same answer to each request and to each probe.
 type stubNetwork struct {
-	answer  *backend.Answer
-	err     error
-	refuses bool
+	response *backend.Response
+	err      error
+	refuses  bool
 	// hangs blocks each request until its context ends.
 	hangs  bool
 	probes atomic.Int64
 }
 
 // Send implements backend.Sender.
-func (network *stubNetwork) Send(ctx context.Context, _ *catalog.Replica, _ *backend.Request) (*backend.Answer, error) {
+func (network *stubNetwork) Send(ctx context.Context, _ *catalog.Replica, _ *backend.Request) (*backend.Response, error) {
 	if network.hangs {
 		<-ctx.Done()
 	}
-	return network.answer, network.err
+	return network.response, network.err
 }
 
 // Refuses implements quarantine.Prober.
@@ -47,11 +47,11 @@
 
 var (
 	errBroken  = errors.Mark(errors.New("connection closed"), backend.ErrBroken)
-	errRefused = errors.Mark(backend.ErrRefused, backend.ErrNotSent)
+	errRefused = errors.Mark(backend.ErrConnectionRefused, backend.ErrNotSent)
 )
 
-func answerOf(status int, body io.Reader) *backend.Answer {
-	return &backend.Answer{Status: status, Body: io.NopCloser(body)}
+func answerOf(status int, body io.Reader) *backend.Response {
+	return &backend.Response{Status: status, Body: io.NopCloser(body)}
 }
 
 // fixture is a guard over a stub network.
@@ -67,7 +67,7 @@
 func newFixture(t *testing.T) *fixture {
 	network, table := &stubNetwork{}, catalog.NewTable()
 	fixture := &fixture{network: network, table: table, guard: &quarantine.Guard{
-		Sender: network, Prober: network, Book: quarantine.NewBook("node", time.Now()), Catalog: table, Node: "node", Logger: log.New(io.Discard),
+		Sender: network, Prober: network, Tracker: quarantine.NewTracker("node", time.Now()), Catalog: table, Node: "node", Logger: log.New(io.Discard),
 		IsDeputy: func(quarantine.Fingerprint) bool { return false },
 	}}
 	fixture.register(target)
@@ -85,16 +85,16 @@
 
 // send sends a request and reads its answer.
 func (fixture *fixture) send(ctx context.Context) error {
-	answer, err := fixture.guard.Send(ctx, &target, requested)
+	response, err := fixture.guard.Send(ctx, &target, requested)
 	if err != nil {
 		return err
 	}
-	_, err = io.Copy(io.Discard, answer.Body)
+	_, err = io.Copy(io.Discard, response.Body)
 	return err
 }
 
 func (fixture *fixture) crashes() int {
-	return fixture.guard.Book.Suspected(quarantine.FingerprintOf(service, requested)).Crashes
+	return fixture.guard.Tracker.Suspected(quarantine.FingerprintOf(service, requested)).Crashes
 }
 
 // Only evidence of a crash may count against a request: not planned exits, answers cut short by a live replica, or
@@ -156,7 +156,7 @@
 		{"interrupted, then answered", func(t *testing.T, fixture *fixture) {
 			fixture.network.err, fixture.network.refuses = errBroken, true
 			_ = fixture.send(t.Context())
-			fixture.network.answer, fixture.network.err = answerOf(http.StatusOK, strings.NewReader("whole")), nil
+			fixture.network.response, fixture.network.err = answerOf(http.StatusOK, strings.NewReader("whole")), nil
 			_ = fixture.send(t.Context())
 		}, 0},
 		{"not sent", func(t *testing.T, fixture *fixture) {
@@ -179,11 +179,11 @@
 			_ = fixture.send(leavingAfter(0))
 		}, 1},
 		{"truncated answer", func(t *testing.T, fixture *fixture) {
-			fixture.network.answer, fixture.network.refuses = answerOf(http.StatusOK, io.MultiReader(strings.NewReader("ev"), iotest.ErrReader(io.ErrUnexpectedEOF))), true
+			fixture.network.response, fixture.network.refuses = answerOf(http.StatusOK, io.MultiReader(strings.NewReader("ev"), iotest.ErrReader(io.ErrUnexpectedEOF))), true
 			_ = fixture.send(t.Context())
 		}, 1},
 		{"complete answer", func(t *testing.T, fixture *fixture) {
-			fixture.network.answer, fixture.network.refuses = answerOf(http.StatusOK, strings.NewReader("whole")), true
+			fixture.network.response, fixture.network.refuses = answerOf(http.StatusOK, strings.NewReader("whole")), true
 			_ = fixture.send(t.Context())
 		}, 0},
 	} {
@@ -210,7 +210,7 @@
 	}{
 		{"caller leaves early", 30 * time.Millisecond, nil, false, 200 * time.Millisecond},
 		{"caller leaves late", 400 * time.Millisecond, nil, false, 400 * time.Millisecond},
-		{"answered by another replica", 30 * time.Millisecond, backend.ErrUnneeded, false, 30 * time.Millisecond},
+		{"answered by another replica", 30 * time.Millisecond, backend.ErrSuperseded, false, 30 * time.Millisecond},
 		{"batch request", 30 * time.Millisecond, nil, true, 30 * time.Millisecond},
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -233,9 +233,9 @@
 	refusal := answerOf(http.StatusServiceUnavailable, strings.NewReader(""))
 	refusal.NotExecuted = true
 	for _, check := range []struct {
-		name    string
-		answer  *backend.Answer
-		cleared bool
+		name     string
+		response *backend.Response
+		cleared  bool
 	}{
 		{"an answer", answerOf(http.StatusOK, strings.NewReader("whole")), true},
 		{"client error", answerOf(http.StatusNotFound, strings.NewReader("")), true},
@@ -246,8 +246,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			fixture := newFixture(t)
 			fingerprint := quarantine.FingerprintOf(service, requested)
-			fixture.guard.Book.RecordCrash(fingerprint, "r0", "other", time.Now(), time.Now())
-			fixture.network.answer = check.answer
+			fixture.guard.Tracker.RecordCrash(fingerprint, "r0", "other", time.Now(), time.Now())
+			fixture.network.response = check.response
 			_ = fixture.send(t.Context())
 			must.Eq(t, check.cleared, fixture.crashes() == 0, must.Sprint(check.name))
 		})
@@ -260,22 +260,22 @@
 		fixture := newFixture(t)
 		fingerprint := quarantine.FingerprintOf(service, requested)
 		for index, replica := range []string{"r7", "r8"} {
-			fixture.guard.Heard(quarantine.Notice{Reporter: "other", Crashes: []quarantine.Crash{{
-				Fingerprint: fingerprint, End: quarantine.End{Replica: replica, Broke: time.Now().Add(time.Duration(index) * time.Second)},
+			fixture.guard.HandleNotice(quarantine.Notice{Reporter: "other", Crashes: []quarantine.CrashReport{{
+				Fingerprint: fingerprint, CrashEvent: quarantine.CrashEvent{Replica: replica, InterruptedAt: time.Now().Add(time.Duration(index) * time.Second)},
 			}}})
 		}
-		fixture.network.answer = answerOf(http.StatusOK, strings.NewReader("whole"))
+		fixture.network.response = answerOf(http.StatusOK, strings.NewReader("whole"))
 		err := fixture.send(t.Context())
 		must.True(t, errors.Is(err, backend.ErrNotSent))
 		must.True(t, backend.IsHeld(err))
 		var held *backend.HeldError
 		must.True(t, errors.As(err, &held))
-		must.Eq(t, holdDuration, held.After)
+		must.Eq(t, holdDuration, held.RetryAfter)
 		other := *requested
 		other.Body = []byte("y")
 		_, err = fixture.guard.Send(t.Context(), &target, &other)
 		must.NoError(t, err)
-		fixture.guard.Heard(quarantine.Notice{Reporter: "other", Cleared: []quarantine.Fingerprint{fingerprint}})
+		fixture.guard.HandleNotice(quarantine.Notice{Reporter: "other", Cleared: []quarantine.Fingerprint{fingerprint}})
 		must.NoError(t, fixture.send(t.Context()))
 	})
 }
@@ -312,7 +312,7 @@
 		fixture := newFixture(t)
 		fixture.network.err = errBroken
 		_ = fixture.send(t.Context())
-		fixture.network.answer, fixture.network.err = answerOf(http.StatusOK, strings.NewReader("whole")), nil
+		fixture.network.response, fixture.network.err = answerOf(http.StatusOK, strings.NewReader("whole")), nil
 		must.NoError(t, fixture.send(t.Context()))
 		time.Sleep(time.Second)
 		must.Eq(t, 0, fixture.network.probes.Load())
--- a/internal/quarantine/world_test.go
+++ b/internal/quarantine/world_test.go
@@ -95,13 +95,13 @@
 	name := fmt.Sprint("node-", index)
 	ctx, cancel := context.WithCancel(context.Background())
 	logger := log.New(io.Discard)
-	book := quarantine.NewBook(name, time.Now())
+	tracker := quarantine.NewTracker(name, time.Now())
 	health := metadata.NewHealth(world.store, logger)
-	archive := quarantine.NewArchive(ctx, world.store, health, book, name, logger)
-	archive.IsDeputy = func(fingerprint quarantine.Fingerprint) bool { return world.isDeputy(fingerprint, name) }
+	recordStore := quarantine.NewRecordStore(ctx, world.store, health, tracker, name, logger)
+	recordStore.IsDeputy = func(fingerprint quarantine.Fingerprint) bool { return world.isDeputy(fingerprint, name) }
 	started := &node{world: world, name: name, started: time.Now(), ctx: ctx, cancel: cancel}
-	started.guard = &quarantine.Guard{Sender: started, Prober: world, Book: book, Catalog: world.table, Teller: started, Keeper: archive, IsDeputy: archive.IsDeputy, Node: name, Logger: logger}
-	follower := &metadata.Follower{Store: world.store, Prefix: quarantine.Prefix, Handler: archive, Logger: logger, Health: health}
+	started.guard = &quarantine.Guard{Sender: started, Prober: world, Tracker: tracker, Catalog: world.table, Broadcaster: started, Persister: recordStore, IsDeputy: recordStore.IsDeputy, Node: name, Logger: logger}
+	follower := &metadata.Follower{Store: world.store, Prefix: quarantine.Prefix, Handler: recordStore, Logger: logger, Health: health}
 	go health.Run(ctx)
 	go follower.Run(ctx)
 	go started.guard.Run(ctx)
@@ -239,13 +239,13 @@
 	return known == nil || known.gone
 }
 
-// Tell implements quarantine.Teller.
-func (node *node) Tell(notice quarantine.Notice) {
+// Broadcast implements quarantine.Broadcaster.
+func (node *node) Broadcast(notice quarantine.Notice) {
 	for _, other := range node.world.running() {
 		if other.name == node.name || node.world.dropsDatagram() {
 			continue
 		}
-		time.AfterFunc(delay, func() { other.guard.Heard(notice) })
+		time.AfterFunc(delay, func() { other.guard.HandleNotice(notice) })
 	}
 }
 
@@ -261,13 +261,13 @@
 }
 
 // Send implements backend.Sender. It simulates the network and the replica.
-func (node *node) Send(ctx context.Context, target *catalog.Replica, request *backend.Request) (*backend.Answer, error) {
+func (node *node) Send(ctx context.Context, target *catalog.Replica, request *backend.Request) (*backend.Response, error) {
 	world := node.world
 	world.mu.Lock()
 	known := world.replicas[target.ID]
 	if known == nil || known.gone {
 		world.mu.Unlock()
-		return nil, errors.Mark(backend.ErrRefused, backend.ErrNotSent)
+		return nil, errors.Mark(backend.ErrConnectionRefused, backend.ErrNotSent)
 	}
 	exited, reset := known.exited, known.reset
 	crashes := string(request.Body) == crashingBody
@@ -284,7 +284,7 @@
 	case <-exited:
 	case <-reset:
 	case <-time.After(work):
-		return &backend.Answer{Status: http.StatusOK, Body: io.NopCloser(strings.NewReader("whole"))}, nil
+		return &backend.Response{Status: http.StatusOK, Body: io.NopCloser(strings.NewReader("whole"))}, nil
 	}
 	return nil, errors.Mark(errors.New("connection reset"), backend.ErrBroken)
 }
@@ -332,10 +332,10 @@
 			return err
 		}
 		tried = target.ID
-		var answer *backend.Answer
-		answer, err = node.guard.Send(ctx, target, &backend.Request{ID: "q", Method: http.MethodPost, Target: "/book/1", Body: []byte(body)})
+		var response *backend.Response
+		response, err = node.guard.Send(ctx, target, &backend.Request{ID: "q", Method: http.MethodPost, Target: "/book/1", Body: []byte(body)})
 		if err == nil {
-			_, err = io.Copy(io.Discard, answer.Body)
+			_, err = io.Copy(io.Discard, response.Body)
 		}
 		if err == nil || backend.IsHeld(err) {
 			return err
--- a/internal/role/metering.go
+++ b/internal/role/metering.go
@@ -13,16 +13,16 @@
 type usage struct {
 	ledger      *metering.Ledger
 	meter       *metering.Meter
-	tallySender *metering.Teller
+	tallySender *metering.TallySender
 }
 
 // newUsage returns the usage components of a front for windows of the given length.
 func (front *Front) newUsage(window time.Duration) *usage {
 	windows, clock := metering.Windows{Length: window}, metering.NewClock(front.Clock)
 	ledger := metering.NewLedger(windows, clock)
-	meter := metering.NewMeter(front.Node, front.Life, windows, clock, ledger)
-	return &usage{ledger: ledger, meter: meter, tallySender: &metering.Teller{
-		Meter: meter, Listeners: &listeners{front: front, clients: make(map[string]meteringv1.Collector)}, Logger: front.Logger, Metrics: front.Metrics,
+	meter := metering.NewMeter(front.Node, front.Incarnation, windows, clock, ledger)
+	return &usage{ledger: ledger, meter: meter, tallySender: &metering.TallySender{
+		Meter: meter, Recipients: &recipients{front: front, clients: make(map[string]meteringv1.Collector)}, Logger: front.Logger, Metrics: front.Metrics,
 	}}
 }
 
@@ -32,8 +32,8 @@
 	return server.PathPrefix(), server
 }
 
-// listeners selects the nodes that receive a front's tallies. It implements metering.Listeners.
-type listeners struct {
+// recipients selects the nodes that receive a front's tallies. It implements metering.Recipients.
+type recipients struct {
 	front *Front
 
 	mu      sync.Mutex
@@ -43,39 +43,39 @@
 // maxClients bounds the number of cached clients; a full cache is cleared.
 const maxClients = 16
 
-func (listeners *listeners) client(address string) meteringv1.Collector {
-	listeners.mu.Lock()
-	defer listeners.mu.Unlock()
-	if client := listeners.clients[address]; client != nil {
+func (recipients *recipients) client(address string) meteringv1.Collector {
+	recipients.mu.Lock()
+	defer recipients.mu.Unlock()
+	if client := recipients.clients[address]; client != nil {
 		return client
 	}
-	if len(listeners.clients) >= maxClients {
-		clear(listeners.clients)
+	if len(recipients.clients) >= maxClients {
+		clear(recipients.clients)
 	}
-	client := meteringv1.NewCollectorProtobufClient("http://"+address, listeners.front.PeerClient)
-	listeners.clients[address] = client
+	client := meteringv1.NewCollectorProtobufClient("http://"+address, recipients.front.PeerClient)
+	recipients.clients[address] = client
 	return client
 }
 
-// Collector implements metering.Listeners.
-func (listeners *listeners) Collector() *metering.Listener {
-	collector := listeners.front.subscriber.Collector()
+// Collector implements metering.Recipients.
+func (recipients *recipients) Collector() *metering.Recipient {
+	collector := recipients.front.subscriber.Collector()
 	if collector == nil {
 		return nil
 	}
-	return &metering.Listener{Name: collector.Node, Epoch: collector.Term, Client: listeners.client(collector.Address)}
+	return &metering.Recipient{Name: collector.Node, Epoch: collector.Term, Client: recipients.client(collector.Address)}
 }
 
-// Witness implements metering.Listeners.
-func (listeners *listeners) Witness() *metering.Listener {
-	record := listeners.front.Registry.RemotePeer()
+// Witness implements metering.Recipients.
+func (recipients *recipients) Witness() *metering.Recipient {
+	record := recipients.front.Registry.RemotePeer()
 	if record == nil {
 		return nil
 	}
-	return &metering.Listener{Name: record.GetName(), Epoch: record.GetLife(), Client: listeners.client(record.GetAddress())}
+	return &metering.Recipient{Name: record.GetName(), Epoch: record.GetLife(), Client: recipients.client(record.GetAddress())}
 }
 
-// Runs implements metering.Listeners.
-func (listeners *listeners) Runs(node string, incarnation int64) bool {
-	return listeners.front.Registry.IsRegistered(node, incarnation)
+// IsRunning implements metering.Recipients.
+func (recipients *recipients) IsRunning(node string, incarnation int64) bool {
+	return recipients.front.Registry.IsRegistered(node, incarnation)
 }
--- a/internal/role/orderer.go
+++ b/internal/role/orderer.go
@@ -25,13 +25,13 @@
 
 // RetireReporter notifies the operator that a machine is empty.
 type RetireReporter interface {
-	PutRetired(ctx context.Context, node string) error
+	ReportRetired(ctx context.Context, node string) error
 }
 
 // OrdererOptions are the settings and dependencies of an orderer.
 type OrdererOptions struct {
 	Node, Role  string
-	Life        int64
+	Incarnation int64
 	PeerAddress string
 	Store       metadata.Store
 	Replicas    weights.Replicas
@@ -50,8 +50,8 @@
 	// UsageWindow is the length of the windows for usage reports to UsageSink; zero disables them.
 	UsageWindow time.Duration
 	UsageSink   metering.Sink
-	// CallOverhang is how long a call to the cloud may continue after the end of a term.
-	CallOverhang time.Duration
+	// CallGrace is how long a call to the cloud may continue after the end of a term.
+	CallGrace time.Duration
 	// Clock keeps running while the machine is suspended, as the leases do; nil means the process's monotonic clock.
 	Clock clock.Clock
 }
@@ -97,7 +97,7 @@
 func NewOrderer(options OrdererOptions) *Orderer {
 	options.Clock = clock.OrSteady(options.Clock)
 	ctx, cancel := context.WithCancel(context.Background())
-	self := &clusterv1.NodeRecord{Name: options.Node, Address: options.PeerAddress, Role: options.Role, Life: options.Life}
+	self := &clusterv1.NodeRecord{Name: options.Node, Address: options.PeerAddress, Role: options.Role, Life: options.Incarnation}
 	weightsOrderer := weights.NewOrderer(options.Node, options.Catalog, options.Replicas, loadShare, options.Logger)
 	weightsOrderer.Metrics = options.Metrics
 	registry := cluster.NewRegistry(self, options.Store, options.PeerClient, options.Logger)
@@ -109,7 +109,7 @@
 		windows, clock := metering.Windows{Length: options.UsageWindow}, metering.NewClock(options.Clock)
 		orderer.reporter = &metering.Reporter{
 			Node: options.Node, Windows: windows, Clock: clock, Ledger: metering.NewLedger(windows, clock), Store: options.Store,
-			Sink: options.UsageSink, Logger: options.Logger, Metrics: options.Metrics, Overhang: options.CallOverhang,
+			Sink: options.UsageSink, Logger: options.Logger, Metrics: options.Metrics, CallGrace: options.CallGrace,
 		}
 	}
 	return orderer
@@ -129,18 +129,18 @@
 	go orderer.datagrams.Receive(orderer.ctx, cluster.Handlers{
 		RelayReport: func(report *clusterv1.RelayReport) {
 			if publisher := orderer.publisher.Load(); publisher != nil {
-				publisher.Reported(report)
+				publisher.HandleReport(report)
 			}
 		},
 		Demand: func(demand *clusterv1.Demand) {
-			orderer.Weights.SetDemand(weights.Demand{
+			orderer.Weights.RecordDemand(weights.Demand{
 				Job: demand.GetJobId(), Model: demand.GetModel(), Minimum: demand.GetMinimumVersion(), Work: demand.GetWork(), Items: int(demand.GetItems()),
 			})
 		},
 	})
 	orderer.operator = operator
 	election := weights.NewElection(orderer.Store, orderer.Node, orderer.Election, orderer.Logger)
-	election.StandIn, election.Clock = orderer.standIn, orderer.Clock
+	election.OnEarlierIncarnation, election.Clock = orderer.publishBeforeTerm, orderer.Clock
 	orderer.done.Add(1)
 	go func() {
 		defer orderer.done.Done()
@@ -180,13 +180,14 @@
 	if orderer.reporter != nil {
 		reporting.Go(func() { orderer.reporter.Run(ctx, term.Fence, term) })
 	}
-	orderer.Weights.Lead(ctx, term)
+	orderer.Weights.RunTerm(ctx, term)
 	reporting.Wait() // the next term must not begin before the reporter has stopped
 }
 
-// standIn publishes before this node holds the lease, while the lease of its earlier process has not yet expired. After
-// a restart of all machines, fronts therefore need not wait for the lease to read the deployment's state.
-func (orderer *Orderer) standIn(ctx context.Context) {
+// publishBeforeTerm publishes before this node holds the lease, while the lease of its earlier process has not yet
+// expired. After a restart of all machines, fronts therefore need not wait for the lease to read the deployment's
+// state.
+func (orderer *Orderer) publishBeforeTerm(ctx context.Context) {
 	orderer.Logger.Info("publishing ahead of the lease", "node", orderer.Node)
 	orderer.publish(ctx, noTerm)
 }
@@ -205,12 +206,12 @@
 	}
 	topics := orderer.topics
 	go health.Run(ctx)
-	follow(metadata.Follower{Prefix: orderer.OperatorPrefix, Handler: metadata.Handlers{orderer.operator, topics.configuration}}, metadata.ShortWait)
-	follow(metadata.Follower{Prefix: topics.replicas.Prefix(), Handler: topics.replicas, From: topics.replicas.Revision, Pace: ordererReplicaInterval}, replicaWait)
-	follow(metadata.Follower{Prefix: topics.nodes.Prefix(), Handler: topics.nodes, From: topics.nodes.Revision, Pace: ordererRegistryInterval}, nodesWait)
-	follow(metadata.Follower{Prefix: topics.quarantine.Prefix(), Handler: topics.quarantine, From: topics.quarantine.Revision}, quarantineWait)
+	follow(metadata.Follower{Prefix: orderer.OperatorPrefix, Handler: metadata.Handlers{orderer.operator, topics.configuration}}, metadata.ShortWatchTimeout)
+	follow(metadata.Follower{Prefix: topics.replicas.Prefix(), Handler: topics.replicas, StartRevision: topics.replicas.Revision, MinInterval: ordererReplicaInterval}, replicaWait)
+	follow(metadata.Follower{Prefix: topics.nodes.Prefix(), Handler: topics.nodes, StartRevision: topics.nodes.Revision, MinInterval: ordererRegistryInterval}, nodesWait)
+	follow(metadata.Follower{Prefix: topics.quarantine.Prefix(), Handler: topics.quarantine, StartRevision: topics.quarantine.Revision}, quarantineWait)
 	publisher := &dissemination.Publisher{
-		Node: orderer.Node, Life: orderer.Life, Clock: orderer.Clock, Topics: topics.published(), Registry: orderer.registry, Relay: fence == noTerm, Term: fence, Address: orderer.PeerAddress,
+		Node: orderer.Node, Incarnation: orderer.Incarnation, Clock: orderer.Clock, Topics: topics.published(), Registry: orderer.registry, IsZoneReader: fence == noTerm, Term: fence, Address: orderer.PeerAddress,
 		Datagrams: orderer.datagrams, Health: health, Logger: orderer.Logger, Metrics: orderer.Metrics,
 	}
 	orderer.publisher.Store(publisher)
@@ -225,7 +226,7 @@
 // collectGarbage periodically removes jobs that ended longer than Retention ago, and quarantined requests that have
 // expired.
 func (orderer *Orderer) collectGarbage(ctx context.Context) {
-	jobs := &batchlog.Log{Store: orderer.Store, Node: orderer.Node, Life: orderer.Life}
+	jobs := &batchlog.Log{Store: orderer.Store, Node: orderer.Node, Incarnation: orderer.Incarnation}
 	ticker := time.NewTicker(collectInterval)
 	defer ticker.Stop()
 	for {
@@ -239,7 +240,7 @@
 		if count > 0 || err != nil {
 			orderer.Logger.Info("jobs collected", "count", count, "error", err)
 		}
-		count, err = quarantine.RemoveExpired(callCtx, orderer.Store, orderer.topics.quarantine.Difference(0).Items, time.Now())
+		count, err = quarantine.RemoveExpired(callCtx, orderer.Store, orderer.topics.quarantine.Delta(0).Items, time.Now())
 		if count > 0 || err != nil {
 			orderer.Logger.Info("quarantines over", "count", count, "error", err)
 		}
@@ -249,11 +250,11 @@
 
 const retireBackoff = 300 * time.Millisecond
 
-// Retired confirms a request to empty a machine, and retries until the confirmation succeeds.
-func (orderer *Orderer) Retired(node string) {
+// ConfirmRetired confirms a request to empty a machine, and retries until the confirmation succeeds.
+func (orderer *Orderer) ConfirmRetired(node string) {
 	go func() {
 		for orderer.ctx.Err() == nil {
-			err := orderer.Retire.PutRetired(orderer.ctx, node)
+			err := orderer.Retire.ReportRetired(orderer.ctx, node)
 			orderer.Logger.Info("retire", "node", node, "error", err)
 			if err == nil {
 				return
--- a/internal/role/subscription.go
+++ b/internal/role/subscription.go
@@ -21,7 +21,7 @@
 // itself.
 func (front *Front) newSubscriber() *dissemination.Subscriber {
 	return &dissemination.Subscriber{
-		Node: front.Node, Life: front.Life, Topics: front.topics.published(), Limits: front.Limits, Health: front.health,
+		Node: front.Node, Incarnation: front.Incarnation, Topics: front.topics.published(), Limits: front.Limits, Health: front.health,
 		Logger: front.Logger, Metrics: front.Metrics, Follow: front.followStore, Relay: front.publishToZone, Clock: front.Clock,
 		ReaderRank: func() int { return front.Registry.Rank(readerKey) },
 	}
@@ -30,7 +30,7 @@
 // startRelays lets publishers use this front as a relay.
 func (front *Front) startRelays() {
 	front.relays = &dissemination.Relays{
-		Node: front.Node, Life: front.Life, Address: front.PeerAddress, Topics: front.topics.published(), Registry: front.Registry, Datagrams: front.datagrams,
+		Node: front.Node, Incarnation: front.Incarnation, Address: front.PeerAddress, Topics: front.topics.published(), Registry: front.Registry, Datagrams: front.datagrams,
 		Logger: front.Logger, Metrics: front.Metrics,
 	}
 	front.relays.Start(front.ctx)
@@ -38,8 +38,8 @@
 }
 
 func (front *Front) handleBeacon(beacon *clusterv1.Beacon, from net.Addr) {
-	if front.subscriber.Heard(beacon, from) {
-		front.relays.Heard(beacon, from)
+	if front.subscriber.HandleBeacon(beacon, from) {
+		front.relays.HandleBeacon(beacon, from)
 	}
 }
 
@@ -47,9 +47,9 @@
 // zone or as a relay itself.
 func (front *Front) handleRelayReport(report *clusterv1.RelayReport) {
 	if publisher := front.zonePublisher.Load(); publisher != nil {
-		publisher.Reported(report)
+		publisher.HandleReport(report)
 	}
-	front.relays.Reported(report)
+	front.relays.HandleReport(report)
 }
 
 // announceStoreAnswers informs all other nodes that the metadata store answers again.
@@ -68,7 +68,7 @@
 // storeNeeded reports whether this front must detect an outage of the store quickly, because work depends on the store
 // or the publisher's beacons are late.
 func (front *Front) storeNeeded() bool {
-	return front.hasStoreWork() || front.subscriber.Doubts(time.Now())
+	return front.hasStoreWork() || front.subscriber.NeedsProbe(time.Now())
 }
 
 // hasStoreWork reports whether this front has work that an unavailable store blocks.
@@ -88,22 +88,22 @@
 func (front *Front) followStore(ctx context.Context) {
 	read := func(mirror *metadata.Mirror, interval, wait time.Duration) {
 		follower := &metadata.Follower{
-			Store: front.Store, Prefix: mirror.Prefix(), Handler: mirror, From: mirror.Revision, Logger: front.Logger, Pace: interval,
+			Store: front.Store, Prefix: mirror.Prefix(), Handler: mirror, StartRevision: mirror.Revision, Logger: front.Logger, MinInterval: interval,
 			Health: front.health, Wait: func() time.Duration { return wait },
 		}
 		go follower.Run(ctx)
 	}
-	read(front.topics.configuration, 0, metadata.ShortWait)
-	read(front.topics.nodes, registryInterval, metadata.LongWait)
-	read(front.topics.quarantine, quarantineInterval, metadata.LongWait)
+	read(front.topics.configuration, 0, metadata.ShortWatchTimeout)
+	read(front.topics.nodes, registryInterval, metadata.LongWatchTimeout)
+	read(front.topics.quarantine, quarantineInterval, metadata.LongWatchTimeout)
 	if front.topics.replicas.Revision() == 0 {
-		snapshots := &dissemination.Snapshots{
+		fetcher := &dissemination.SnapshotFetcher{
 			Topic: dissemination.Topic{Mirror: front.topics.replicas}, Nodes: dissemination.Topic{Mirror: front.topics.nodes}, Registry: front.Registry,
 			Logger: front.Logger, Metrics: front.Metrics,
 		}
-		snapshots.Take(ctx)
+		fetcher.Fetch(ctx)
 	}
-	read(front.topics.replicas, replicaInterval, metadata.ShortWait)
+	read(front.topics.replicas, replicaInterval, metadata.ShortWatchTimeout)
 }
 
 // storeUrgent reports whether this front must detect at once that the store has recovered. Other fronts are notified by
@@ -119,7 +119,7 @@
 // publishToZone publishes what this front reads from the store to the other fronts of its zone.
 func (front *Front) publishToZone(ctx context.Context) {
 	publisher := &dissemination.Publisher{
-		Node: front.Node, Life: front.Life, Clock: front.Clock, Topics: front.topics.published(), Registry: front.Registry, Nodes: front.Registry.Neighbours, Relay: true,
+		Node: front.Node, Incarnation: front.Incarnation, Clock: front.Clock, Topics: front.topics.published(), Registry: front.Registry, Nodes: front.Registry.Neighbours, IsZoneReader: true,
 		Address: front.PeerAddress, Datagrams: front.datagrams, Health: front.health, Logger: front.Logger, Metrics: front.Metrics,
 	}
 	front.zonePublisher.Store(publisher)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -24,7 +24,7 @@
 	plannedReplicas   *prometheus.GaugeVec
 	snapshots         *prometheus.CounterVec
 	relaysLost        prometheus.Counter
-	oldBeacons        prometheus.Counter
+	staleBeacons      prometheus.Counter
 	build             *prometheus.GaugeVec
 	updatesApplied    *prometheus.CounterVec
 	updatesUnreadable *prometheus.CounterVec
@@ -68,7 +68,7 @@
 	}
 	metrics.plannedReplicas = prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: "thistlewalk", Name: "planned_replicas", Help: "Replicas that a model is given, by the node that orders them."}, []string{"model"})
 	metrics.relaysLost = single("relays_lost_total", "Relays that did not relay, so that their nodes were given to others.")
-	metrics.oldBeacons = single("old_beacons_total", "Beacons that were under way for too long, and counted for nothing.")
+	metrics.staleBeacons = single("old_beacons_total", "Beacons that were under way for too long, and counted for nothing.")
 	metrics.build = prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: "thistlewalk", Name: "build_info", Help: "The build that this process runs; always 1."}, []string{"build"})
 	metrics.updatesApplied = counter("updates_taken_total", "Updates of other nodes by topic, whether they held all of it, and whether they were packed.", "topic", "whole", "packed")
 	metrics.updatesUnreadable = counter("updates_unread_total", "Updates of other nodes that this build could not read, by topic.", "topic")
@@ -81,7 +81,7 @@
 	lines := prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Namespace: "thistlewalk", Name: "log_lines_dropped_total", Help: "Log lines that found the queue full.",
 	}, func() float64 { return float64(dropped()) })
-	metrics.registry.MustRegister(metrics.forwarded, metrics.items, metrics.jobs, metrics.storeCalls, metrics.orders, metrics.published, metrics.storeReads, metrics.publishedBytes, metrics.plannedReplicas, metrics.snapshots, metrics.relaysLost, metrics.oldBeacons, metrics.build, metrics.updatesApplied, metrics.updatesUnreadable, metrics.entriesUnusable, metrics.usageSent, metrics.usageReports,
+	metrics.registry.MustRegister(metrics.forwarded, metrics.items, metrics.jobs, metrics.storeCalls, metrics.orders, metrics.published, metrics.storeReads, metrics.publishedBytes, metrics.plannedReplicas, metrics.snapshots, metrics.relaysLost, metrics.staleBeacons, metrics.build, metrics.updatesApplied, metrics.updatesUnreadable, metrics.entriesUnusable, metrics.usageSent, metrics.usageReports,
 		metrics.replicaCrashes, metrics.requestsHeld, metrics.suspicionsCleared, metrics.quarantined, metrics.suspensions, lines)
 	return metrics
 }
@@ -140,22 +140,22 @@
 	}
 }
 
-// UpdateTaken counts an update received from another node and applied.
-func (metrics *Metrics) UpdateTaken(topic string, whole, packed bool) {
+// UpdateApplied counts an update received from another node and applied.
+func (metrics *Metrics) UpdateApplied(topic string, whole, packed bool) {
 	if metrics != nil {
 		metrics.updatesApplied.WithLabelValues(topic, strconv.FormatBool(whole), strconv.FormatBool(packed)).Inc()
 	}
 }
 
-// UpdateUnread counts an update received from another node that this build can't decode.
-func (metrics *Metrics) UpdateUnread(topic string) {
+// UpdateUndecodable counts an update received from another node that this build can't decode.
+func (metrics *Metrics) UpdateUndecodable(topic string) {
 	if metrics != nil {
 		metrics.updatesUnreadable.WithLabelValues(topic).Inc()
 	}
 }
 
-// EntryNotUsable counts an invalid replica entry.
-func (metrics *Metrics) EntryNotUsable() {
+// InvalidEntry counts an invalid replica entry.
+func (metrics *Metrics) InvalidEntry() {
 	if metrics != nil {
 		metrics.entriesUnusable.Inc()
 	}
@@ -189,22 +189,22 @@
 	}
 }
 
-// OldBeacon counts a beacon, which is a publisher's heartbeat, that was ignored because it was in transit for too long.
-func (metrics *Metrics) OldBeacon() {
+// StaleBeacon counts a beacon, which is a publisher's heartbeat, that was ignored because it was in transit for too long.
+func (metrics *Metrics) StaleBeacon() {
 	if metrics != nil {
-		metrics.oldBeacons.Inc()
+		metrics.staleBeacons.Inc()
 	}
 }
 
-// Reading counts a switch of this node to reading the metadata store directly.
-func (metrics *Metrics) Reading(reason string) {
+// StoreReadStarted counts a switch of this node to reading the metadata store directly.
+func (metrics *Metrics) StoreReadStarted(reason string) {
 	if metrics != nil {
 		metrics.storeReads.WithLabelValues(reason).Inc()
 	}
 }
 
-// UsageTold counts a call that sends usage tallies to a node with the given role.
-func (metrics *Metrics) UsageTold(role string, ok bool) {
+// UsageTalliesSent counts a call that sends usage tallies to a node with the given role.
+func (metrics *Metrics) UsageTalliesSent(role string, ok bool) {
 	if metrics != nil {
 		metrics.usageSent.WithLabelValues(role, outcomeOf(ok)).Inc()
 	}
@@ -217,8 +217,8 @@
 	}
 }
 
-// ReplicaEnded counts a replica that crashed while it ran a request of this node.
-func (metrics *Metrics) ReplicaEnded() {
+// ReplicaCrashed counts a replica that crashed while it ran a request of this node.
+func (metrics *Metrics) ReplicaCrashed() {
 	if metrics != nil {
 		metrics.replicaCrashes.Inc()
 	}
--- a/internal/weights/election.go
+++ b/internal/weights/election.go
@@ -40,9 +40,9 @@
 	Node     string
 	Settings ElectionSettings
 	Logger   *log.Logger
-	// StandIn is called when an earlier incarnation of this node still holds the lease, which then has to expire. Its context ends
-	// when that holder is gone. This process gives no orders in the meantime. Nil disables the call.
-	StandIn func(context.Context)
+	// OnEarlierIncarnation is called when an earlier incarnation of this node still holds the lease, which then has to expire. Its
+	// context ends when that holder is gone. This process gives no orders in the meantime. Nil disables the call.
+	OnEarlierIncarnation func(context.Context)
 	// Clock measures terms; nil selects the steady clock. It has to advance while the machine is suspended, as the lease in the
 	// store does.
 	Clock clock.Clock
@@ -125,15 +125,15 @@
 	go election.health.Run(ctx)
 	follower := metadata.Follower{Store: election.Store, Prefix: electionPrefix, Handler: election, Logger: election.Logger, Health: election.health, Wait: func() time.Duration { return electionWatchTimeout }}
 	go follower.Run(ctx)
-	stopStandIn := func() {}
-	defer func() { stopStandIn() }()
+	stopCallback := func() {}
+	defer func() { stopCallback() }()
 	standingIn := false
 	for ctx.Err() == nil {
 		if earlier := election.earlierIncarnationHolds(); earlier != standingIn {
 			standingIn = earlier
-			stopStandIn()
+			stopCallback()
 			if earlier {
-				stopStandIn = election.standIn(ctx)
+				stopCallback = election.startOnEarlierIncarnation(ctx)
 			}
 		}
 		if !election.awaitVacancy(ctx) {
@@ -145,7 +145,7 @@
 			wait.Pause(ctx, electionBackoff)
 			continue
 		}
-		stopStandIn()
+		stopCallback()
 		standingIn = false
 		election.holdLease(ctx, term, lead)
 	}
@@ -159,13 +159,13 @@
 	return strings.HasPrefix(election.holder, election.Node+" ")
 }
 
-// standIn runs StandIn until the returned function is called.
-func (election *Election) standIn(ctx context.Context) (stop func()) {
-	if election.StandIn == nil {
+// startOnEarlierIncarnation runs OnEarlierIncarnation until the returned function is called.
+func (election *Election) startOnEarlierIncarnation(ctx context.Context) (stop func()) {
+	if election.OnEarlierIncarnation == nil {
 		return func() {}
 	}
-	standCtx, cancel := context.WithCancel(ctx)
-	go election.StandIn(standCtx)
+	publishCtx, cancel := context.WithCancel(ctx)
+	go election.OnEarlierIncarnation(publishCtx)
 	return cancel
 }
 
@@ -315,7 +315,7 @@
 		callCtx, stop := context.WithTimeout(ctx, electionCallTimeout)
 		err := election.Store.RenewLease(callCtx, term.lease)
 		stop()
-		if errors.Is(err, metadata.ErrLeaseGone) {
+		if errors.Is(err, metadata.ErrLeaseExpired) {
 			election.vacate()
 			break
 		}
--- a/internal/weights/standin_test.go
+++ b/internal/weights/standin_test.go
@@ -16,8 +16,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/weights"
 )
 
-// A node whose earlier incarnation still holds the lease runs StandIn until the lease expires, and leads only then. Another node
-// does not run it.
+// A node whose earlier incarnation still holds the lease runs OnEarlierIncarnation until the lease expires, and leads only then.
+// Another node does not run it.
 func TestNodeStandsInForItsFormerProcess(t *testing.T) {
 	for _, own := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -36,7 +36,7 @@
 				<-ctx.Done()
 				counter.Add(-1)
 			}
-			election.StandIn = func(ctx context.Context) { count(ctx, &standing) }
+			election.OnEarlierIncarnation = func(ctx context.Context) { count(ctx, &standing) }
 			ctx, cancel := context.WithCancel(t.Context())
 			go election.Run(ctx, func(ctx context.Context, _ *weights.Term) { count(ctx, &leading) })
 			time.Sleep(2 * time.Second)
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -51,11 +51,11 @@
 mutate 'report sent before it is stored' internal/metering/reporter.go '_, err = work.Store.Commit(callCtx, txn)' '_, err = work.Store.Commit(callCtx, metadata.Txn{Deletes: txn.Deletes})' ./internal/metering
 mutate 'report stored by a former holder' internal/metering/reporter.go 'Conditions: []metadata.Condition{work.term.Condition(), {Key: reportKey(work.next)}},' 'Conditions: []metadata.Condition{{Key: reportKey(work.next)}},' ./internal/metering
 mutate 'older tally wins' internal/metering/ledger.go 'known.GetSequence() < tally.GetSequence()' 'known.GetSequence() != tally.GetSequence()' ./internal/metering
-mutate 'refused run counted as usage' internal/forwarding/run.go 'return result.answer.NotExecuted' 'return false' ./internal/forwarding
+mutate 'refused run counted as usage' internal/forwarding/run.go 'return result.response.NotExecuted' 'return false' ./internal/forwarding
 mutate 'successor does not wait' internal/weights/election.go 'wait.Pause(ctx, election.Settings.HandoverWait)' '_ = election.Settings.HandoverWait' ./internal/weights
 mutate 'last holder replaced too early' internal/weights/election.go 'if last == "" {' 'if last != election.Node {' ./internal/weights
-mutate 'tallies not sent to the witness' internal/metering/teller.go 'witness.send(ctx, teller.Listeners.Witness(), teller.isOwn)' '_ = witness' ./internal/metering
-mutate 'revoked key accepted in a retry' internal/forwarding/run.go 'return run.call.StillAdmitted != nil && !run.call.StillAdmitted()' 'return run.call.StillAdmitted != nil && run.attempts == 0 && !run.call.StillAdmitted()' ./internal/forwarding
+mutate 'tallies not sent to the witness' internal/metering/tally_sender.go 'witness.send(ctx, sender.Recipients.Witness(), sender.isOwn)' '_ = witness' ./internal/metering
+mutate 'revoked key accepted in a retry' internal/forwarding/run.go 'return run.call.KeyValid != nil && !run.call.KeyValid()' 'return run.call.KeyValid != nil && run.attempts == 0 && !run.call.KeyValid()' ./internal/forwarding
 mutate "another tenant's job read" internal/batchrun/scope.go 'if strings.Contains(named, batch.ScopeSeparator) {' 'if strings.Contains(named, batch.ScopeSeparator) && named == "" {' ./internal/batchrun
 mutate "another tenant's text used" internal/batchrun/kept.go 'id = batch.InScopeOf(text.job, id)' '_ = batch.InScopeOf(text.job, id)' ./internal/batchrun
 mutate 'key refused by a lagging node' platform/ingress.go 'if !ingress.UpToDate() {' 'if ingress.UpToDate == nil {' ./platform
@@ -64,7 +64,7 @@
 mutate 'all nodes run a job in an outage' internal/batchrun/delegation.go 'if delegation.local.Load() {' 'if delegation.target == "" {' ./internal/batchrun
 mutate 'two nodes defer a job mutually' internal/batchrun/delegation.go 'owned.delegation.local.Store(true)' '_ = owned' ./internal/batchrun
 mutate 'holder waits for known tallies' internal/metering/reporter.go ' || !work.collectedAt.Before(end.Add(deliveryAllowance)))' ')' ./internal/metering
-mutate 'call outlasts a lost lease' internal/metering/reporter.go 'remaining := work.term.Remaining() + work.Overhang' 'remaining := work.term.Remaining() + work.Overhang + time.Hour' ./internal/metering
+mutate 'call outlasts a lost lease' internal/metering/reporter.go 'remaining := work.term.Remaining() + work.CallGrace' 'remaining := work.term.Remaining() + work.CallGrace + time.Hour' ./internal/metering
 mutate 'refusal not confirmed' internal/delivery/service.go 'if err := served.log.Append(ctx, nil, nil); err != nil {' 'if err := served.log.Failed(); err != nil {' ./internal/delivery
 mutate 'hanging probe not abandoned' internal/metadata/health.go 'if notified || health.Good() {' 'if !notified || health.Good() {' ./internal/metadata
 mutate 'slow probe abandoned repeatedly' internal/metadata/health.go 'if notified || health.Good() {' 'if health.Good() {' ./internal/metadata
@@ -72,11 +72,11 @@
 mutate 'deferred job not reclaimed' internal/batchrun/service.go 'other.delegation.reclaim()' '_ = other' ./internal/batchrun
 mutate 'no backoff for a failing replica' internal/batchrun/generate.go 'runner.scheduler.recordFailure(replica.ID, time.Now())' '_ = time.Now' ./internal/batchrun
 mutate 'item retried on its last replica' internal/batchrun/generate.go 'running.avoid, running.avoidUntil = replica.ID, now.Add(avoidAfterFailure)' '_ = avoidAfterFailure' ./internal/batchrun
-mutate 'crashes not reported to nodes' internal/quarantine/outbox.go 'if guard.Teller == nil {' 'if guard.Teller == nil || notice.Reporter == "" {' ./internal/quarantine
-mutate 'quarantine not stored' internal/quarantine/archive.go 'if known.Crashes < quarantineThreshold || stored.crashes >= known.Crashes {' 'if known.Crashes > 0 || stored.crashes >= known.Crashes {' ./internal/quarantine
+mutate 'crashes not reported to nodes' internal/quarantine/outbox.go 'if guard.Broadcaster == nil {' 'if guard.Broadcaster == nil || notice.Reporter == "" {' ./internal/quarantine
+mutate 'quarantine not stored' internal/quarantine/record_store.go 'if known.Crashes < quarantineThreshold || stored.crashes >= known.Crashes {' 'if known.Crashes > 0 || stored.crashes >= known.Crashes {' ./internal/quarantine
 mutate 'quarantine not published' internal/role/topics.go '		{Mirror: topics.quarantine},
 ' '' ./cmd/thistlewalk-rollout -run EndsReplicas
-mutate 'answer does not clear suspicion' internal/quarantine/guard.go 'if !guard.Book.Clear(fingerprint) {
+mutate 'answer does not clear suspicion' internal/quarantine/guard.go 'if !guard.Tracker.Clear(fingerprint) {
 		return
 	}
 	guard.Metrics' 'if fingerprint != (Fingerprint{}) {
@@ -84,12 +84,12 @@
 	}
 	guard.Metrics' ./internal/quarantine
 mutate 'interrupted answer not noticed' internal/quarantine/guard.go 'body.guard.answerLost(body.ctx, body.replica, body.request)' '_ = body.ctx' ./internal/quarantine
-mutate 'abandoned requests not suspected' internal/quarantine/guard.go 'case errors.Is(err, backend.ErrRefused):
-		guard.connectionRefused(replica)' 'case errors.Is(err, backend.ErrRefused):' ./internal/quarantine
+mutate 'abandoned requests not suspected' internal/quarantine/guard.go 'case errors.Is(err, backend.ErrConnectionRefused):
+		guard.connectionRefused(replica)' 'case errors.Is(err, backend.ErrConnectionRefused):' ./internal/quarantine
 mutate 'planned stop counted as a crash' internal/quarantine/guard.go 'return registered != nil && !registered.Draining' 'return registered != nil || replica != ""' ./internal/quarantine
-mutate 'simultaneous crashes all counted' internal/quarantine/book.go 'broke.Sub(other.Broke).Abs() < simultaneousWindow' 'broke.Sub(other.Broke).Abs() < 0' ./internal/quarantine
-mutate 'trial runs by all nodes at once' internal/quarantine/book.go 'return claim.Exclusive || known.reporter == book.node ||' 'return claim.Exclusive || book.node != "" ||' ./internal/quarantine
-mutate 'unconditional quarantine write' internal/quarantine/archive.go 'Conditions: []metadata.Condition{{Key: key, Revision: stored.revision}}, Puts' 'Conditions: []metadata.Condition{}, Puts' ./internal/quarantine
+mutate 'simultaneous crashes all counted' internal/quarantine/tracker.go 'interruptedAt.Sub(other.InterruptedAt).Abs() < simultaneousWindow' 'interruptedAt.Sub(other.InterruptedAt).Abs() < 0' ./internal/quarantine
+mutate 'trial runs by all nodes at once' internal/quarantine/tracker.go 'return claim.Exclusive || known.reporter == book.node ||' 'return claim.Exclusive || book.node != "" ||' ./internal/quarantine
+mutate 'unconditional quarantine write' internal/quarantine/record_store.go 'Conditions: []metadata.Condition{{Key: key, Revision: stored.revision}}, Puts' 'Conditions: []metadata.Condition{}, Puts' ./internal/quarantine
 mutate 'items bypass the guard' internal/role/front.go 'Catalog: options.Catalog, Loads: loads, Sender: front.guard,
 		Decoder' 'Catalog: options.Catalog, Loads: loads, Sender: options.Sender,
 		Decoder' ./cmd/thistlewalk-rollout -run EndsReplicas
