--- a/internal/metadata/mirror.go
+++ b/internal/metadata/mirror.go
@@ -163,22 +163,22 @@
 	if !mirror.loaded {
 		return
 	}
-	var fresh []Event
+	var applied []Event
 	var changes []change
 	for _, event := range events {
 		if strings.HasPrefix(event.Key, mirror.prefix) && event.Revision > mirror.appliedRevision(event.Key) {
 			mirror.put(event)
 			changes = append(changes, change{event.Revision, event.Key})
-			fresh = append(fresh, event)
+			applied = append(applied, event)
 		}
 	}
 	mirror.advanceTo(max(revision, mirror.revision))
-	if len(fresh) == 0 {
+	if len(applied) == 0 {
 		return
 	}
 	mirror.appendLog(changes)
 	mirror.notifyChanged()
-	mirror.handler.Apply(fresh, mirror.revision)
+	mirror.handler.Apply(applied, mirror.revision)
 }
 
 // appliedRevision returns the revision up to which the changes of a key have been applied. It must be called with mu held.
--- a/internal/metering/reporter.go
+++ b/internal/metering/reporter.go
@@ -40,7 +40,8 @@
 	storeTimeout  = 900 * time.Millisecond
 	// maxRemovedKeys limits the reports that one transaction removes.
 	maxRemovedKeys = 16
-	// maxUnsent limits the reports that are retained while the platform accepts none. Older reports are dropped.
+	// maxUnsent limits the reports that are retained while the platform accepts none, to those of one hour with windows of 5 s. Older
+	// reports are dropped.
 	maxUnsent = 720
 )
 
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// headBytes is the size of the part that is computed without the body. Bodies are hashed only for requests whose head
-	// is suspected.
+	// headBytes is the size of the head, which is computed without the content of the body. Bodies are hashed only for
+	// requests whose head is suspected.
 	headBytes = 8
 	// digestBytes is the size of the truncated digest of the whole request. At 128 bits a caller cannot construct a
 	// request with the fingerprint of another caller's.
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -14,7 +14,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/telemetry"
 )
 
-// Prober detects whether the process of a replica is gone.
+// Prober detects whether the process of a replica has ended.
 type Prober interface {
 	// Refuses reports whether connections to the replica's address are refused, which means that no process listens there.
 	Refuses(ctx context.Context, replica *catalog.Replica) bool
@@ -196,8 +196,8 @@
 
 // recordCrash records a crash that this node has detected.
 func (guard *Guard) recordCrash(lost unansweredRequest, evidence string) {
-	crashes, fresh := guard.Tracker.RecordCrash(lost.fingerprint, lost.replica, guard.Node, lost.at, time.Now())
-	if !fresh {
+	crashes, added := guard.Tracker.RecordCrash(lost.fingerprint, lost.replica, guard.Node, lost.at, time.Now())
+	if !added {
 		return
 	}
 	guard.Metrics.ReplicaCrashed()
@@ -244,8 +244,8 @@
 // HandleNotice handles a notice from another node.
 func (guard *Guard) HandleNotice(notice Notice) {
 	for _, crash := range notice.Crashes {
-		crashes, fresh := guard.Tracker.RecordCrash(crash.Fingerprint, crash.Replica, notice.Reporter, crash.InterruptedAt, time.Now())
-		if !fresh {
+		crashes, added := guard.Tracker.RecordCrash(crash.Fingerprint, crash.Replica, notice.Reporter, crash.InterruptedAt, time.Now())
+		if !added {
 			continue
 		}
 		guard.Logger.Info("replica crash reported by another node", "reporter", notice.Reporter, "replica", crash.Replica, "fingerprint", crash.Fingerprint, "crashes", crashes)
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -114,9 +114,9 @@
 }
 
 // RecordCrash records the crash of a replica under a request, as seen by the reporter, and returns how many crashes count;
-// fresh is false if the crash was already recorded. interruptedAt is when the request was interrupted, which may be
+// added is false if the crash was already recorded. interruptedAt is when the request was interrupted, which may be
 // seconds before the crash was detected.
-func (tracker *Tracker) RecordCrash(fingerprint Fingerprint, replica, reporter string, interruptedAt, now time.Time) (crashes int, fresh bool) {
+func (tracker *Tracker) RecordCrash(fingerprint Fingerprint, replica, reporter string, interruptedAt, now time.Time) (crashes int, added bool) {
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
 	known := tracker.getOrCreate(fingerprint, now)
--- a/internal/quarantine/unanswered.go
+++ b/internal/quarantine/unanswered.go
@@ -53,7 +53,7 @@
 		return false
 	}
 	wanted := headOf(service, request)
-	return slices.ContainsFunc(unanswered.list, func(left unansweredRequest) bool { return left.fingerprint.head() == wanted })
+	return slices.ContainsFunc(unanswered.list, func(lost unansweredRequest) bool { return lost.fingerprint.head() == wanted })
 }
 
 // replicasOf returns the replicas that left a request unanswered.
@@ -61,9 +61,9 @@
 	unanswered.mu.Lock()
 	defer unanswered.mu.Unlock()
 	var replicas []string
-	for _, left := range unanswered.list {
-		if left.fingerprint == fingerprint {
-			replicas = append(replicas, left.replica)
+	for _, lost := range unanswered.list {
+		if lost.fingerprint == fingerprint {
+			replicas = append(replicas, lost.replica)
 		}
 	}
 	return replicas
@@ -73,7 +73,7 @@
 func (unanswered *unanswered) drop(fingerprint Fingerprint) {
 	unanswered.mu.Lock()
 	defer unanswered.mu.Unlock()
-	unanswered.list = slices.DeleteFunc(unanswered.list, func(left unansweredRequest) bool { return left.fingerprint == fingerprint })
+	unanswered.list = slices.DeleteFunc(unanswered.list, func(lost unansweredRequest) bool { return lost.fingerprint == fingerprint })
 }
 
 // takeUnregistered removes and returns the requests whose replicas are no longer registered. It also drops requests that
@@ -81,32 +81,32 @@
 func (unanswered *unanswered) takeUnregistered(replicas *catalog.ReplicaSet, now time.Time) []unansweredRequest {
 	unanswered.mu.Lock()
 	defer unanswered.mu.Unlock()
-	var gone []unansweredRequest
-	unanswered.list = slices.DeleteFunc(unanswered.list, func(left unansweredRequest) bool {
-		if now.Sub(left.at) > unansweredRetention {
+	var unregistered []unansweredRequest
+	unanswered.list = slices.DeleteFunc(unanswered.list, func(lost unansweredRequest) bool {
+		if now.Sub(lost.at) > unansweredRetention {
 			return true
 		}
-		registered := replicas.Find(left.replica)
+		registered := replicas.Find(lost.replica)
 		if registered == nil {
-			gone = append(gone, left)
+			unregistered = append(unregistered, lost)
 		}
 		return registered == nil || registered.Draining
 	})
-	return gone
+	return unregistered
 }
 
 // takeReplica removes the requests that a replica left unanswered and returns those that are recent enough.
 func (unanswered *unanswered) takeReplica(replica string, now time.Time) []unansweredRequest {
 	unanswered.mu.Lock()
 	defer unanswered.mu.Unlock()
-	var taken []unansweredRequest
-	unanswered.list = slices.DeleteFunc(unanswered.list, func(left unansweredRequest) bool {
-		if left.replica == replica && now.Sub(left.at) <= unansweredRetention {
-			taken = append(taken, left)
+	var recent []unansweredRequest
+	unanswered.list = slices.DeleteFunc(unanswered.list, func(lost unansweredRequest) bool {
+		if lost.replica == replica && now.Sub(lost.at) <= unansweredRetention {
+			recent = append(recent, lost)
 		}
-		return left.replica == replica
+		return lost.replica == replica
 	})
-	return taken
+	return recent
 }
 
 // checkUnanswered records a crash for each unanswered request whose replica is no longer registered.
--- a/internal/role/front.go
+++ b/internal/role/front.go
@@ -39,7 +39,7 @@
 	PeerAddress string
 	Store       metadata.Store
 	Sender      backend.Sender
-	// Prober checks whether the process of a replica is gone.
+	// Prober checks whether the process of a replica has ended.
 	Prober     quarantine.Prober
 	Decoder    batchrun.Decoder
 	PeerClient *http.Client
@@ -85,8 +85,8 @@
 	activeCalls      atomic.Int64
 	// usage is nil if usage is not reported.
 	usage *usage
-	// guard sends all requests to replicas and blocks those in quarantine; recordStore stores the quarantine beyond the
-	// life of this process.
+	// guard sends all requests to replicas and withholds those that are quarantined; recordStore stores the quarantined
+	// requests, so that they outlast this process.
 	guard       *quarantine.Guard
 	recordStore *quarantine.RecordStore
 }
@@ -191,7 +191,7 @@
 
 // handleJobOwner records another node's announcement that it runs a job.
 func (front *Front) handleJobOwner(owner *clusterv1.JobOwner) {
-	front.owners.note(owner.GetNode(), time.Now())
+	front.owners.record(owner.GetNode(), time.Now())
 	if owner.Tenant != nil {
 		front.Runner.RememberTenant(owner.GetJobId(), owner.GetTenant())
 	}
@@ -241,8 +241,8 @@
 	// shutdownTime is the part of the grace period that is reserved for calls in progress after the servers stop
 	// accepting new ones.
 	shutdownTime = 2 * time.Second
-	// minimumStopTime gives load balancers time to notice that the front is not ready.
-	minimumStopTime = 2200 * time.Millisecond
+	// minStopTime gives load balancers time to notice that the front is not ready.
+	minStopTime = 2200 * time.Millisecond
 )
 
 // Stop shuts the front down within the grace period. The front reports itself as not ready, hands its jobs over, and
@@ -255,7 +255,7 @@
 	handedOver := front.Runner.HandOver(ctx)
 	lastActive := time.Now()
 	deadline := started.Add(grace - stopMargin - shutdownTime)
-	for time.Now().Before(deadline) && (time.Since(lastActive) < idleTime || time.Since(started) < minimumStopTime) {
+	for time.Now().Before(deadline) && (time.Since(lastActive) < idleTime || time.Since(started) < minStopTime) {
 		if front.activeCalls.Load() > 0 {
 			lastActive = time.Now()
 		}
--- a/internal/role/owners.go
+++ b/internal/role/owners.go
@@ -19,8 +19,8 @@
 
 func newOwners() *owners { return &owners{announced: make(map[string]time.Time)} }
 
-// note records that a node announced a job.
-func (owners *owners) note(node string, now time.Time) {
+// record records that a node announced a job.
+func (owners *owners) record(node string, now time.Time) {
 	owners.mu.Lock()
 	defer owners.mu.Unlock()
 	owners.announced[node] = now
