--- a/internal/cluster/monitor.go
+++ b/internal/cluster/monitor.go
@@ -80,7 +80,7 @@
 
 // HandleHeartbeat records the arrival of a heartbeat.
 func (monitor *Monitor) HandleHeartbeat(heartbeat *clusterv1.Heartbeat) {
-	monitor.Registry.markHeard(heartbeat.GetName(), time.Now())
+	monitor.Registry.markSeen(heartbeat.GetName(), time.Now())
 }
 
 // checkHeartbeats starts a check of each suspect. The checks run concurrently because a takeover may take seconds.
@@ -118,14 +118,14 @@
 // checkSuspect pings a suspect and takes it over if it does not answer.
 func (monitor *Monitor) checkSuspect(ctx context.Context, suspect string) {
 	if monitor.ping(ctx, suspect) {
-		monitor.Registry.markHeard(suspect, time.Now())
+		monitor.Registry.markSeen(suspect, time.Now())
 		return
 	}
-	monitor.Logger.Warn("node dead", "node", suspect, "silent_ms", monitor.Registry.silence(suspect, time.Now()).Milliseconds())
+	monitor.Logger.Warn("node dead", "node", suspect, "silent_ms", monitor.Registry.sinceSeen(suspect, time.Now()).Milliseconds())
 	if monitor.AwaitStore != nil {
 		monitor.AwaitStore(ctx)
 	}
-	if monitor.Registry.silence(suspect, time.Now()) < heartbeatTimeout {
+	if monitor.Registry.sinceSeen(suspect, time.Now()) < heartbeatTimeout {
 		return // a heartbeat arrived during the wait
 	}
 	if err := monitor.OnDead(ctx, suspect, monitor.Registry.incarnation(suspect)); err != nil {
@@ -136,7 +136,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
 	monitor.Registry.removeDead(callCtx, suspect)
-	monitor.Registry.markHeard(suspect, time.Now())
+	monitor.Registry.markSeen(suspect, time.Now())
 }
 
 func (monitor *Monitor) ping(ctx context.Context, name string) bool {
@@ -157,11 +157,11 @@
 	return registry.ring.Successors(registry.self.GetName(), monitorsPerNode)
 }
 
-func (registry *Registry) markHeard(name string, now time.Time) {
+func (registry *Registry) markSeen(name string, now time.Time) {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
 	if registry.nodes[name] != nil {
-		registry.lastHeard[name] = now
+		registry.lastSeen[name] = now
 	}
 }
 
@@ -172,18 +172,18 @@
 	return registry.nodes[name].GetLife()
 }
 
-func (registry *Registry) silence(name string, now time.Time) time.Duration {
+func (registry *Registry) sinceSeen(name string, now time.Time) time.Duration {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
-	return now.Sub(registry.lastHeard[name])
+	return now.Sub(registry.lastSeen[name])
 }
 
 // resetHeartbeats restarts the heartbeat timeout of every node.
 func (registry *Registry) resetHeartbeats(now time.Time) {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
-	for name := range registry.lastHeard {
-		registry.lastHeard[name] = now
+	for name := range registry.lastSeen {
+		registry.lastSeen[name] = now
 	}
 }
 
@@ -198,7 +198,7 @@
 		limit += isolationDelay
 	}
 	for name := range watched {
-		if now.Sub(registry.lastHeard[name]) >= limit+time.Duration(registry.rankAmongLive(name, now))*rankDelay {
+		if now.Sub(registry.lastSeen[name]) >= limit+time.Duration(registry.rankAmongLive(name, now))*rankDelay {
 			names = append(names, name)
 		}
 	}
@@ -213,8 +213,8 @@
 		if successor.GetName() == registry.self.GetName() {
 			break
 		}
-		heard, watched := registry.lastHeard[successor.GetName()]
-		if registry.ring.Rank(registry.self.GetName(), successor.GetName()) < 0 || !watched || now.Sub(heard) < heartbeatTimeout {
+		seen, watched := registry.lastSeen[successor.GetName()]
+		if registry.ring.Rank(registry.self.GetName(), successor.GetName()) < 0 || !watched || now.Sub(seen) < heartbeatTimeout {
 			rank++
 		}
 	}
@@ -246,7 +246,7 @@
 		return false
 	}
 	for name := range watched {
-		if now.Sub(registry.lastHeard[name]) < heartbeatTimeout {
+		if now.Sub(registry.lastSeen[name]) < heartbeatTimeout {
 			return false
 		}
 	}
--- a/internal/cluster/monitor_test.go
+++ b/internal/cluster/monitor_test.go
@@ -67,7 +67,7 @@
 	later := now.Add(heartbeatTimeout + time.Millisecond)
 	registry.RecordContact(later)
 	for _, name := range watched[:len(watched)-1] {
-		registry.markHeard(name, later)
+		registry.markSeen(name, later)
 	}
 	must.SliceNotContains(t, registry.suspects(later), last, must.Sprint("two higher-ranked successors are alive"))
 	latest := now.Add(heartbeatTimeout + (monitorsPerNode-1)*rankDelay)
@@ -108,13 +108,13 @@
 			registry.resetHeartbeats(time.Now())
 			time.Sleep(heartbeatTimeout)
 			for _, name := range watched[1:] {
-				registry.markHeard(name, time.Now())
+				registry.markSeen(name, time.Now())
 			}
 			monitor.checkHeartbeats(t.Context(), time.Now())
 			time.Sleep(3 * time.Second)
 			must.Eq(t, 0, len(takeovers))
 			if recovers {
-				registry.markHeard(watched[0], time.Now())
+				registry.markSeen(watched[0], time.Now())
 			}
 			close(storeAnswers)
 			synctest.Wait()
--- a/internal/cluster/registry.go
+++ b/internal/cluster/registry.go
@@ -44,13 +44,15 @@
 	// revisions holds the store revision of each node's record.
 	revisions map[string]metadata.Revision
 	clients   map[string]peerClient
-	lastHeard map[string]time.Time
+	// lastSeen is when the heartbeat timeout of each node was last restarted, by a heartbeat, an answered ping or a new
+	// record.
+	lastSeen map[string]time.Time
 	// lastContact is the arrival time of the last datagram from any other node.
-	lastContact    time.Time
-	ring           *Ring
-	views          views
-	joinedRevision metadata.Revision // revision of this process's own registration; zero before
-	leaving        bool
+	lastContact        time.Time
+	ring               *Ring
+	views              views
+	registeredRevision metadata.Revision // revision of this process's own registration; zero before
+	leaving            bool
 }
 
 type peerClient struct {
@@ -63,7 +65,7 @@
 func NewRegistry(self *clusterv1.NodeRecord, store metadata.Store, client *http.Client, logger *log.Logger) *Registry {
 	return &Registry{
 		self: self, store: store, http: client, logger: logger, nodes: make(map[string]*clusterv1.NodeRecord), revisions: make(map[string]metadata.Revision),
-		clients: make(map[string]peerClient), lastHeard: make(map[string]time.Time), ring: NewRing(nil), OnExpelled: func() {},
+		clients: make(map[string]peerClient), lastSeen: make(map[string]time.Time), ring: NewRing(nil), OnExpelled: func() {},
 	}
 }
 
@@ -88,13 +90,15 @@
 		cancel()
 		if err == nil {
 			registry.mu.Lock()
-			registry.joinedRevision = revision
+			registry.registeredRevision = revision
 			registry.mu.Unlock()
 			registry.logger.Info("node registered", "node", registry.self.GetName(), "address", registry.self.GetAddress(), "life", registry.self.GetLife(), "earlier", earlier)
 			return earlier
 		}
 		var conflict *metadata.ConflictError
-		if errors.As(err, &conflict) { // possibly with an own attempt whose answer was lost; the search is then needless
+		if errors.As(err, &conflict) {
+			// The conflict may be with an earlier attempt of this call whose answer was lost. The search for leftover work is
+			// unnecessary then.
 			earlier = true
 			continue
 		}
@@ -177,7 +181,7 @@
 	}
 	known := registry.nodes[record.GetName()]
 	if known == nil || known.GetLife() != record.GetLife() {
-		registry.lastHeard[record.GetName()] = time.Now()
+		registry.lastSeen[record.GetName()] = time.Now()
 	}
 	registry.nodes[record.GetName()] = record
 	registry.revisions[record.GetName()] = item.Revision
@@ -190,9 +194,9 @@
 	for _, record := range registry.nodes {
 		records = append(records, record)
 	}
-	for name := range registry.lastHeard {
+	for name := range registry.lastSeen {
 		if registry.nodes[name] == nil {
-			delete(registry.lastHeard, name)
+			delete(registry.lastSeen, name)
 		}
 	}
 	before := registry.watched()
@@ -200,10 +204,10 @@
 	registry.views = views{}
 	for name := range registry.watched() {
 		if _, known := before[name]; !known {
-			registry.lastHeard[name] = time.Now() // the node starts sending heartbeats to this node now
+			registry.lastSeen[name] = time.Now() // the node starts sending heartbeats to this node now
 		}
 	}
-	return registry.joinedRevision > 0 && revision >= registry.joinedRevision && !registry.leaving && registry.nodes[registry.self.GetName()] == nil
+	return registry.registeredRevision > 0 && revision >= registry.registeredRevision && !registry.leaving && registry.nodes[registry.self.GetName()] == nil
 }
 
 func (registry *Registry) reregister(expelled bool) {
--- a/internal/cluster/views.go
+++ b/internal/cluster/views.go
@@ -104,9 +104,9 @@
 	return views.preferredAnywhere[key]
 }
 
-// strongShare is the fraction of the strongest node's cores that a node needs to count as strong. Work that any node can
+// minCoreShare is the fraction of the strongest node's cores that a node needs to count as strong. Work that any node can
 // do is given to strong nodes only.
-const strongShare = 0.75
+const minCoreShare = 0.75
 
 // strongOf returns the names of the strong nodes among the eligible nodes of this node's role. The caller must hold mu.
 func (registry *Registry) strongOf(eligible func(*clusterv1.NodeRecord) bool) []string {
@@ -120,7 +120,7 @@
 	}
 	names := make([]string, 0, len(candidates))
 	for _, record := range candidates {
-		if record.GetCores() >= strongShare*strongest {
+		if record.GetCores() >= minCoreShare*strongest {
 			names = append(names, record.GetName())
 		}
 	}
--- a/internal/dissemination/beacon_delay.go
+++ b/internal/dissemination/beacon_delay.go
@@ -8,7 +8,7 @@
 
 const (
 	// maxBeaconDelay is how much longer than the fastest beacon of the same sender a beacon may take. A slower beacon was buffered while a
-	// relay or this node stood still, and its revisions are out of date. It equals the pause after which a process expects to have missed
+	// relay or this node was paused, and its revisions are out of date. It equals the pause after which a process expects to have missed
 	// beacons.
 	maxBeaconDelay = pauseThreshold
 	// delayDrift is added to the minimum delay with each beacon, 2.5 ms a second at beaconInterval. It exceeds the drift between two
--- a/internal/dissemination/publisher.go
+++ b/internal/dissemination/publisher.go
@@ -35,7 +35,8 @@
 	Nodes func() []*clusterv1.NodeRecord
 	// TreeVersion returns when the origin last changed the topology, by its clock, in microseconds; nil if this publisher is the origin.
 	TreeVersion func() int64
-	// IsZoneReader is true for the reader of a zone that stands in for the publisher. It is not the orderer.
+	// IsZoneReader is true for the reader of a zone, which publishes to the zone while the orderer does not, and for an orderer that
+	// publishes before its term. Neither gives orders to replicas.
 	IsZoneReader bool
 	// Term is the fence of the term in which this node is the orderer and collects usage tallies; zero for a relay.
 	Term int64
--- a/internal/dissemination/receiver.go
+++ b/internal/dissemination/receiver.go
@@ -143,8 +143,8 @@
 // active reports whether the process has acknowledged an assignment.
 func (state *relayState) active() bool { return state.acknowledged > 0 }
 
-// silent reports whether the process has nodes assigned but does not relay.
-func (state *relayState) silent(now time.Time) bool {
+// unresponsive reports whether the process has nodes assigned but does not relay.
+func (state *relayState) unresponsive(now time.Time) bool {
 	switch {
 	case state.assignedSince.IsZero():
 		return false
--- a/internal/dissemination/receiver_test.go
+++ b/internal/dissemination/receiver_test.go
@@ -15,23 +15,23 @@
 func TestSilentRelay(t *testing.T) {
 	now := time.Now()
 	for _, row := range []struct {
-		name              string
-		since, reported   time.Duration
-		acknowledged      int64
-		silent, isNoRelay bool
+		name                    string
+		since, reported         time.Duration
+		acknowledged            int64
+		unresponsive, isNoRelay bool
 	}{
 		{name: "last beacon answered", since: 9 * time.Second, reported: beaconInterval, acknowledged: 1},
 		{name: "one beacon was lost", since: 9 * time.Second, reported: 2*beaconInterval + 50*time.Millisecond, acknowledged: 1},
-		{name: "two beacons were lost", since: 9 * time.Second, reported: 3 * beaconInterval, acknowledged: 1, silent: true},
+		{name: "two beacons were lost", since: 9 * time.Second, reported: 3 * beaconInterval, acknowledged: 1, unresponsive: true},
 		{name: "just assigned", since: time.Second},
-		{name: "does not start", since: relayStartTimeout + time.Millisecond, silent: true},
+		{name: "does not start", since: relayStartTimeout + time.Millisecond, unresponsive: true},
 		{name: "nothing assigned", isNoRelay: true},
 	} {
 		state := &relayState{assignedSince: now.Add(-row.since), lastReport: now.Add(-row.reported), acknowledged: row.acknowledged}
 		if row.isNoRelay {
 			state.assignedSince = time.Time{}
 		}
-		must.Eq(t, row.silent, state.silent(now), must.Sprint(row.name))
+		must.Eq(t, row.unresponsive, state.unresponsive(now), must.Sprint(row.name))
 	}
 }
 
@@ -48,7 +48,7 @@
 	must.True(t, state.assign([]*clusterv1.NodeRecord{a, {Name: "b", Life: 2}}, now))
 	must.True(t, state.assign(nil, now), must.Sprint("assignment withdrawn"))
 	must.True(t, state.unsent())
-	must.False(t, state.silent(now.Add(time.Hour)))
+	must.False(t, state.unresponsive(now.Add(time.Hour)))
 }
 
 // Guards against excluding all relays at the first beacon after a period without beacons, such as an outage of the store.
--- a/internal/dissemination/relay.go
+++ b/internal/dissemination/relay.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// removeExpired removes an origin whose sender has been silent for assignmentExpiry, and reports whether it did.
+// removeExpired removes an origin if nothing has arrived from its sender for assignmentExpiry, and reports whether it did.
 func (relays *Relays) removeExpired(origin process, relayed *relayedOrigin) bool {
 	relays.mu.Lock()
 	defer relays.mu.Unlock()
--- a/internal/dissemination/relayed_origin.go
+++ b/internal/dissemination/relayed_origin.go
@@ -25,8 +25,8 @@
 
 	mu         sync.Mutex
 	assignment *clusterv1.Assignment
-	// lastHeard is when the sender last sent a beacon or an assignment.
-	lastHeard time.Time
+	// lastContact is when the sender last sent a beacon or an assignment.
+	lastContact time.Time
 	// beacon is the newest beacon; beaconPending is true until it has been forwarded.
 	beacon        *clusterv1.Beacon
 	beaconPending bool
@@ -40,7 +40,7 @@
 	if assignment.GetSender() == relayed.assignment.GetSender() {
 		return true
 	}
-	older := assignment.GetTreeUs() < relayed.assignment.GetTreeUs() && now.Sub(relayed.lastHeard) <= assignmentExpiry
+	older := assignment.GetTreeUs() < relayed.assignment.GetTreeUs() && now.Sub(relayed.lastContact) <= assignmentExpiry
 	return len(assignment.GetNodes()) > 0 && !older
 }
 
@@ -48,7 +48,7 @@
 func (relayed *relayedOrigin) assign(assignment *clusterv1.Assignment, now time.Time) {
 	relayed.mu.Lock()
 	defer relayed.mu.Unlock()
-	relayed.assignment, relayed.lastHeard = assignment, now
+	relayed.assignment, relayed.lastContact = assignment, now
 	relayed.beaconPending = relayed.beacon != nil
 }
 
@@ -61,18 +61,18 @@
 	if relayed.assignment.GetSender() != sender {
 		return nil
 	}
-	relayed.lastHeard = now
+	relayed.lastContact = now
 	if beacon.GetSentUs() > relayed.beacon.GetSentUs() {
 		relayed.beacon, relayed.beaconPending = beacon, true
 	}
 	return relayed.assignment
 }
 
-// senderActive reports whether the sender was heard within assignmentExpiry.
+// senderActive reports whether a beacon or an assignment of the sender has arrived within assignmentExpiry.
 func (relayed *relayedOrigin) senderActive(now time.Time) bool {
 	relayed.mu.Lock()
 	defer relayed.mu.Unlock()
-	return now.Sub(relayed.lastHeard) <= assignmentExpiry
+	return now.Sub(relayed.lastContact) <= assignmentExpiry
 }
 
 func (relayed *relayedOrigin) currentAssignment() *clusterv1.Assignment {
--- a/internal/dissemination/subscriber.go
+++ b/internal/dissemination/subscriber.go
@@ -25,7 +25,7 @@
 	// probeAfter is how long no beacon may arrive before this node has to know whether the store answers. Two beacons are late by then, and
 	// a probe still ends before the node would read the store.
 	probeAfter = 800 * time.Millisecond
-	// startProbeLead is how long before the end of Limits.Start a new process has to know whether the store answers.
+	// startProbeLead is how long before the end of Limits.StartTimeout a new process has to know whether the store answers.
 	startProbeLead = 100 * time.Millisecond
 	// resumeTimeout is how long a process waits for a beacon after a pause. It exceeds beaconInterval.
 	resumeTimeout = 500 * time.Millisecond
@@ -46,9 +46,9 @@
 	Metrics *telemetry.Metrics
 	// Follow reads all topics from the store until its context ends.
 	Follow func(context.Context)
-	// ReaderRank returns this node's rank, from 0, among the readers of its zone; negative if it is not one of them. While no publisher is
-	// heard, the reader with rank 0 relays what it reads; a reader with a higher rank does so while no sender is heard at all. Nil for a
-	// node that does not wait for readers. Relay publishes what this node reads until its context ends.
+	// ReaderRank returns this node's rank, from 0, among the readers of its zone; negative if it is not one of them. While no
+	// beacon of a publisher arrives, the reader with rank 0 relays what it reads; a reader with a higher rank does so while no beacon of any
+	// sender arrives. Nil for a node that does not wait for readers. Relay publishes what this node reads until its context ends.
 	ReaderRank func() int
 	Relay      func(context.Context)
 	// Assign handles assignments of nodes to relay to; nil for a node that does not relay.
@@ -69,9 +69,9 @@
 	// publisher is the name of the node that issued the last beacon of a publisher, and term its fence; zero for none.
 	publisher string
 	term      int64
-	// silenceFrom is the earliest time from which missing beacons count. It advances while the store does not answer and when this process
+	// missingFrom is the earliest time from which missing beacons count. It advances while the store does not answer and when this process
 	// was paused.
-	silenceFrom time.Time
+	missingFrom time.Time
 	lastCheckAt time.Time
 	// lastBeaconElapsed and lastCheckElapsed are the times of the last beacon and of the last check, by Clock.
 	lastBeaconElapsed, lastCheckElapsed time.Duration
@@ -230,7 +230,7 @@
 }
 
 // HandleBeacon handles a beacon of a publisher, received directly or through a relay, and reports whether it is fresh. It ignores a beacon
-// that was delayed while a process or machine stood still.
+// that was delayed while a process or machine was paused.
 func (subscriber *Subscriber) HandleBeacon(beacon *clusterv1.Beacon, from net.Addr) (fresh bool) {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
@@ -345,13 +345,13 @@
 	elapsed := subscriber.elapsed()
 	if pause := elapsed - subscriber.lastCheckElapsed; pause > pauseThreshold {
 		subscriber.shiftTimes(pause - now.Sub(subscriber.lastCheckAt))
-		subscriber.restartSilence(now.Add(resumeTimeout - subscriber.Limits.BeaconTimeout))
+		subscriber.restartBeaconTimeout(now.Add(resumeTimeout - subscriber.Limits.BeaconTimeout))
 		subscriber.readingSince = now // data read so far may be as old as the pause
 	}
 	subscriber.lastCheckAt, subscriber.lastCheckElapsed = now, elapsed
 	storeAnswers := subscriber.Health.Good()
 	if !storeAnswers {
-		subscriber.restartSilence(now)
+		subscriber.restartBeaconTimeout(now)
 		subscriber.lastMissedAt = time.Time{}
 	}
 	reason = subscriber.missingReason(now)
@@ -378,9 +378,9 @@
 	}
 }
 
-// restartSilence counts missing beacons from a given time at the earliest, and clears all lags. The caller holds mu.
-func (subscriber *Subscriber) restartSilence(from time.Time) {
-	subscriber.silenceFrom = later(subscriber.silenceFrom, from)
+// restartBeaconTimeout counts missing beacons from a given time at the earliest, and clears all lags. The caller holds mu.
+func (subscriber *Subscriber) restartBeaconTimeout(from time.Time) {
+	subscriber.missingFrom = later(subscriber.missingFrom, from)
 	clear(subscriber.lags)
 }
 
@@ -404,7 +404,7 @@
 // count. Other nodes count beacons of any sender and wait for the readers of lower rank, unless they have never received a beacon. The
 // caller holds mu.
 func (subscriber *Subscriber) beaconsMissing(now time.Time) bool {
-	since := later(subscriber.silenceFrom, subscriber.startedAt)
+	since := later(subscriber.missingFrom, subscriber.startedAt)
 	if subscriber.lastBeaconAt.IsZero() {
 		return now.Sub(since) > subscriber.Limits.StartTimeout
 	}
--- a/internal/dissemination/topology.go
+++ b/internal/dissemination/topology.go
@@ -107,7 +107,7 @@
 		}
 	}
 	for key, state := range publisher.receivers {
-		if relay := &state.relay; relay.silent(now) || (!relay.assignedSince.IsZero() && state.failed()) {
+		if relay := &state.relay; relay.unresponsive(now) || (!relay.assignedSince.IsZero() && state.failed()) {
 			publisher.Logger.Warn("relay silent", "node", key.node, "life", key.incarnation, "took", relay.acknowledged, "push_failed", state.failed(), "nodes", len(relay.assignment.GetNodes()))
 			publisher.Metrics.RelayLost()
 			publisher.exclude(key, now)
--- a/internal/dissemination/tree.go
+++ b/internal/dissemination/tree.go
@@ -66,7 +66,9 @@
 	if others := slices.DeleteFunc(slices.Clone(candidates), recent); len(others) >= count {
 		candidates = others
 	}
-	slices.SortFunc(candidates, func(a, b *clusterv1.NodeRecord) int { return cmp.Compare(rank("relay", b), rank("relay", a)) })
+	slices.SortFunc(candidates, func(a, b *clusterv1.NodeRecord) int {
+		return cmp.Compare(rendezvousWeight("relay", b), rendezvousWeight("relay", a))
+	})
 	groups := make([]group, 0, count)
 	chosen := make(map[string]bool, count)
 	for _, relay := range candidates[:min(count, len(candidates))] {
@@ -86,14 +88,14 @@
 func preferredGroup(groups []group, node *clusterv1.NodeRecord) *group {
 	best := &groups[0]
 	for index := range groups[1:] {
-		if rank(node.GetName(), groups[index+1].relay) > rank(node.GetName(), best.relay) {
+		if rendezvousWeight(node.GetName(), groups[index+1].relay) > rendezvousWeight(node.GetName(), best.relay) {
 			best = &groups[index+1]
 		}
 	}
 	return best
 }
 
-// rank returns the rendezvous hashing weight of a node for a key.
-func rank(key string, node *clusterv1.NodeRecord) uint64 {
+// rendezvousWeight returns the rendezvous hashing weight of a node for a key.
+func rendezvousWeight(key string, node *clusterv1.NodeRecord) uint64 {
 	return xxhash.Sum64String(node.GetName() + "/" + key)
 }
