--- a/internal/weights/assign.go
+++ b/internal/weights/assign.go
@@ -29,7 +29,7 @@
 	return replicas.At(replicas.Len() / 2).Slots
 }
 
-// prune drops replicas that are gone or draining, and models that the service no longer lists.
+// prune drops replicas that are draining or no longer registered, and models that the service no longer lists.
 func (planner *Planner) prune(models []string, fleet Fleet) {
 	for id := range planner.assigned {
 		if replica := fleet.Replicas.Find(id); replica == nil || replica.Draining {
--- a/internal/weights/election.go
+++ b/internal/weights/election.go
@@ -127,10 +127,10 @@
 	go follower.Run(ctx)
 	stopCallback := func() {}
 	defer func() { stopCallback() }()
-	standingIn := false
+	callbackRuns := false
 	for ctx.Err() == nil {
-		if earlier := election.earlierIncarnationHolds(); earlier != standingIn {
-			standingIn = earlier
+		if earlier := election.earlierIncarnationHolds(); earlier != callbackRuns {
+			callbackRuns = earlier
 			stopCallback()
 			if earlier {
 				stopCallback = election.startOnEarlierIncarnation(ctx)
@@ -146,7 +146,7 @@
 			continue
 		}
 		stopCallback()
-		standingIn = false
+		callbackRuns = false
 		election.holdLease(ctx, term, lead)
 	}
 }
--- a/internal/weights/lead.go
+++ b/internal/weights/lead.go
@@ -18,26 +18,26 @@
 	queried        time.Time
 }
 
-// termRun is the state of the orderer during one term. The fields above mu belong to the goroutine of Lead.
+// termRun is the state of the orderer during one term. The fields above mu belong to the goroutine of RunTerm.
 type termRun struct {
 	orderer       *Orderer
-	lease         *Term
+	term          *Term
 	planners      map[string]*Planner // by service
 	started       time.Time
 	plannedCounts map[string]int // replicas by model, as last logged
 
-	mu          sync.Mutex
-	loads       map[string]*load            // by replica
-	pausedUntil map[string]time.Time        // replicas that get no order before the given time
-	versions    map[string]map[string]int64 // by replica and model, as last reported
-	ordersTaken map[string]int64            // number of orders that each replica has taken
+	mu             sync.Mutex
+	loads          map[string]*load            // by replica
+	pausedUntil    map[string]time.Time        // replicas that get no order before the given time
+	versions       map[string]map[string]int64 // by replica and model, as last reported
+	ordersAccepted map[string]int64            // number of orders that each replica has accepted
 }
 
 // RunTerm gives orders until the term ends.
-func (orderer *Orderer) RunTerm(ctx context.Context, lease *Term) {
+func (orderer *Orderer) RunTerm(ctx context.Context, term *Term) {
 	run := &termRun{
-		orderer: orderer, lease: lease, planners: make(map[string]*Planner), started: time.Now(), plannedCounts: make(map[string]int),
-		loads: make(map[string]*load), pausedUntil: make(map[string]time.Time), versions: make(map[string]map[string]int64), ordersTaken: make(map[string]int64),
+		orderer: orderer, term: term, planners: make(map[string]*Planner), started: time.Now(), plannedCounts: make(map[string]int),
+		loads: make(map[string]*load), pausedUntil: make(map[string]time.Time), versions: make(map[string]map[string]int64), ordersAccepted: make(map[string]int64),
 	}
 	for ctx.Err() == nil {
 		changed := orderer.Catalog.Changed()
@@ -46,7 +46,7 @@
 		if run.round(ctx) {
 			idle = busyInterval
 		}
-		wait.Pause(ctx, min(maxRest, restFactor*time.Since(started)))
+		wait.Pause(ctx, min(maxRoundPause, roundPauseFactor*time.Since(started)))
 		timer := time.NewTimer(idle)
 		select {
 		case <-ctx.Done():
@@ -209,7 +209,7 @@
 	}
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	run.ordersTaken[replica.ID] = max(run.ordersTaken[replica.ID], report.Orders)
+	run.ordersAccepted[replica.ID] = max(run.ordersAccepted[replica.ID], report.Orders)
 	held := make(map[string]int64, len(report.Models))
 	for _, model := range report.Models {
 		held[model.Model] = model.Version
@@ -220,16 +220,16 @@
 	}
 }
 
-// start sends an order in the background. If the number of orders that the replica has taken is unknown, it queries the replica
-// instead and leaves the order to a later round.
+// start sends an order in the background. If the number of orders that the replica has accepted is unknown, it queries the
+// replica instead and leaves the order to a later round.
 func (run *termRun) start(ctx context.Context, service string, step Step) {
-	if !run.lease.Valid(orderMargin) {
+	if !run.term.Valid(orderMargin) {
 		return
 	}
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	now := time.Now()
-	expected, known := run.ordersTaken[step.Replica.ID]
+	expected, known := run.ordersAccepted[step.Replica.ID]
 	if !known {
 		run.pausedUntil[step.Replica.ID] = now.Add(queryPause)
 		go run.queryState(ctx, step.Replica)
@@ -243,16 +243,16 @@
 	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	reply, err := run.orderer.Replicas.Order(callCtx, step.Replica, Order{
-		Model: step.Model, Version: step.Version, Holder: run.orderer.Node, Fence: run.lease.Fence, ExpectedOrders: expected,
+		Model: step.Model, Version: step.Version, Holder: run.orderer.Node, Fence: run.term.Fence, ExpectedOrders: expected,
 	})
 	run.orderer.Logger.Info("order", "replica", step.Replica.ID, "model", step.Model, "version", step.Version, "from", step.Replica.Version(step.Model),
-		"fence", run.lease.Fence, "expected_orders", expected, "reply", reply, "error", err)
+		"fence", run.term.Fence, "expected_orders", expected, "reply", reply, "error", err)
 	run.orderer.Metrics.Order(reply.String())
 	switch {
 	case err == nil && reply == Started:
-		run.orderTaken(step, expected)
+		run.orderAccepted(step, expected)
 	case err == nil && reply == AlreadyLoaded:
-		run.orderTaken(step, expected)
+		run.orderAccepted(step, expected)
 		run.queryState(ctx, step.Replica)
 	default:
 		run.queryState(ctx, step.Replica)
@@ -262,9 +262,9 @@
 	}
 }
 
-// orderTaken counts an order that the replica has taken.
-func (run *termRun) orderTaken(step Step, expected int64) {
+// orderAccepted counts an order that the replica has accepted.
+func (run *termRun) orderAccepted(step Step, expected int64) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	run.ordersTaken[step.Replica.ID] = max(run.ordersTaken[step.Replica.ID], expected+1)
+	run.ordersAccepted[step.Replica.ID] = max(run.ordersAccepted[step.Replica.ID], expected+1)
 }
--- a/internal/weights/order.go
+++ b/internal/weights/order.go
@@ -8,7 +8,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/catalog"
 )
 
-// ErrOrderUnanswered is returned if no answer arrived. The replica may have taken the order, or may still take it later if
+// ErrOrderUnanswered is returned if no answer arrived. The replica may have accepted the order, or may still accept it later if
 // ExpectedOrders matches then.
 var ErrOrderUnanswered = errors.New("the order was not answered")
 
@@ -18,7 +18,7 @@
 	Version int64
 	Holder  string
 	Fence   int64
-	// ExpectedOrders is the number of orders that the replica must have taken before. It makes the replica refuse an order that
+	// ExpectedOrders is the number of orders that the replica must have accepted before. It makes the replica refuse an order that
 	// arrives after a later one.
 	ExpectedOrders int64
 }
@@ -34,7 +34,7 @@
 	AlreadyLoaded
 	// Conflicting means that another order is in progress or that ExpectedOrders does not match.
 	Conflicting
-	// Rejected is any other answer; the replica has not taken the order.
+	// Rejected is any other answer; the replica has not accepted the order.
 	Rejected
 )
 
@@ -43,7 +43,7 @@
 // String returns the name of the reply in logs and metrics.
 func (reply Reply) String() string { return replyNames[reply] }
 
-// Report is the state of a replica: its models, whether an order is in progress, and the number of orders taken.
+// Report is the state of a replica: its models, whether an order is in progress, and the number of orders accepted.
 type Report struct {
 	Models []catalog.ModelVersion
 	Busy   bool
--- a/internal/weights/orderer.go
+++ b/internal/weights/orderer.go
@@ -67,7 +67,7 @@
 	// not distort it.
 	maxIntervals = 3
 	// minInterval bounds the measured interval from below. Versions that arrive faster were queued, for example during an outage;
-	// taken at face value they would cost the model its replicas.
+	// without the bound, too few replicas would be assigned.
 	minInterval = 3 * time.Second
 )
 
@@ -150,12 +150,12 @@
 	loadQueryAfter = 1300 * time.Millisecond
 	loadTimeout    = 5 * time.Second
 	busyInterval   = 100 * time.Millisecond
-	// After a round the orderer rests restFactor times as long as the round took, at most maxRest. With thousands of replicas,
-	// changes arrive faster than rounds complete.
-	restFactor   = 10
-	maxRest      = 250 * time.Millisecond
-	idleInterval = time.Second
-	retryPause   = 300 * time.Millisecond
+	// After a round the orderer pauses for roundPauseFactor times the duration of the round, at most maxRoundPause. With thousands of
+	// replicas, changes arrive faster than rounds complete.
+	roundPauseFactor = 10
+	maxRoundPause    = 250 * time.Millisecond
+	idleInterval     = time.Second
+	retryPause       = 300 * time.Millisecond
 	// queryPause is how long a replica is paused while it is queried for the first time.
 	queryPause = 60 * time.Millisecond
 )
--- a/internal/weights/planner.go
+++ b/internal/weights/planner.go
@@ -13,7 +13,7 @@
 // Target is the newest published version of a model, with the lag and the size of its jobs.
 type Target struct {
 	Version int64
-	// Lag is how many versions older than the newest its newest jobs accept.
+	// Lag is by how many versions a replica may be behind Version and still serve the newest jobs of the model.
 	Lag int64
 	// Interval is the typical time between two versions; zero if unknown.
 	Interval time.Duration
