--- a/internal/admission/callers.go
+++ b/internal/admission/callers.go
@@ -9,8 +9,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/result"
 )
 
-// maximumCallers bounds the number of callers with a token bucket. Beyond it all buckets are discarded.
-const maximumCallers = 4096
+// maxCallers bounds the number of callers with a token bucket. Beyond it all buckets are discarded.
+const maxCallers = 4096
 
 // CallerLimits limits the request rate of each caller by a token bucket. It is safe for concurrent use.
 type CallerLimits struct {
@@ -51,7 +51,7 @@
 	if limiter, ok := limits.callers[caller]; ok {
 		return limiter
 	}
-	if len(limits.callers) >= maximumCallers {
+	if len(limits.callers) >= maxCallers {
 		clear(limits.callers)
 	}
 	limiter := rate.NewLimiter(limits.perSecond, limits.burst)
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -11,8 +11,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/result"
 )
 
-// Limiter runs a bounded number of requests at once and queues a bounded number more, the highest priority first and in
-// order of arrival within a priority. It is safe for concurrent use.
+// Limiter runs a bounded number of requests at once and queues a bounded number more. Requests with a greater priority
+// number are admitted first, and those of one priority in order of arrival. It is safe for concurrent use.
 type Limiter struct {
 	mu          sync.Mutex
 	concurrency int
@@ -69,8 +69,8 @@
 
 const (
 	initialService = time.Second
-	minimumWait    = 100 * time.Millisecond
-	maximumWait    = 30 * time.Second
+	minWait        = 100 * time.Millisecond
+	maxWait        = 30 * time.Second
 	serviceWeight  = 16 // a new duration has a weight of 1/16 in the average
 )
 
@@ -137,7 +137,7 @@
 // held.
 func (limiter *Limiter) overload() *result.Error {
 	wait := limiter.meanService * time.Duration(len(limiter.waiting)+1) / time.Duration(limiter.concurrency)
-	wait = min(max(wait, minimumWait), maximumWait)
+	wait = min(max(wait, minWait), maxWait)
 	return result.New(result.NotRunOverload, "%d running, %d queued", limiter.running, len(limiter.waiting)).WithRetryAfter(wait)
 }
 
--- a/internal/forwarding/bodies.go
+++ b/internal/forwarding/bodies.go
@@ -32,23 +32,23 @@
 // Reserve reserves size bytes and reports whether they were available. Release returns them.
 func (bodyReader *BodyReader) Reserve(size int64) bool { return bodyReader.free.TryAcquire(size) }
 
-// Release returns size bytes taken by Reserve.
+// Release returns size bytes reserved by Reserve.
 func (bodyReader *BodyReader) Release(size int64) { bodyReader.free.Release(size) }
 
-// Read reads a whole body of at most limit bytes. announced is the length that the caller declared, negative if it declared none.
+// Read reads a whole body of at most limit bytes. declared is the length that the caller declared, negative if it declared none.
 // release must be called once the body is no longer used, also after an error.
-func (bodyReader *BodyReader) Read(source io.Reader, announced, limit int64) (body []byte, release func(), err error) {
+func (bodyReader *BodyReader) Read(source io.Reader, declared, limit int64) (body []byte, release func(), err error) {
 	release = func() {}
 	if limit <= 0 {
 		limit = defaultBodyLimit
 	}
-	if announced > limit {
+	if declared > limit {
 		return nil, release, ErrTooLarge
 	}
 	bounded := io.LimitReader(source, limit+1)
 	body, err = io.ReadAll(io.LimitReader(bounded, SmallBody))
 	if err == nil && len(body) == SmallBody {
-		size := announced
+		size := declared
 		if size < 0 {
 			size = limit
 		}
--- a/internal/forwarding/run.go
+++ b/internal/forwarding/run.go
@@ -205,7 +205,7 @@
 // logFailure logs an attempt that did not serve the request, and whether the request may have run.
 func (run *run) logFailure(result attemptResult) {
 	switch {
-	case result.held() != nil: // logged by the quarantine
+	case result.held() != nil: // logged by quarantine.Guard
 	case result.err != nil:
 		run.forwarder.Logger.Info("attempt failed", "request", run.call.Request.ID, "replica", result.replica, "sent", !errors.Is(result.err, backend.ErrNotSent),
 			"after_ms", time.Since(run.started).Milliseconds(), "fingerprint", run.fingerprint(result), "error", result.err)
--- a/internal/loads/exchange.go
+++ b/internal/loads/exchange.go
@@ -44,18 +44,18 @@
 }
 
 // isFresh reports whether a digest is recent enough to be exchanged.
-func (digest *Digest) isFresh(now time.Time, maximumAge time.Duration) bool {
-	return now.Sub(digest.received) <= maximumAge
+func (digest *Digest) isFresh(now time.Time, maxAge time.Duration) bool {
+	return now.Sub(digest.received) <= maxAge
 }
 
-// Known returns a request that lists the digests of this node which are not older than maximumAge. Offsets are relative to
+// Known returns a request that lists the digests of this node which are not older than maxAge. Offsets are relative to
 // now.
-func (table *Table) Known(now time.Time, maximumAge time.Duration) *controlv1.ExchangeRequest {
+func (table *Table) Known(now time.Time, maxAge time.Duration) *controlv1.ExchangeRequest {
 	replicas := table.List()
 	request := &controlv1.ExchangeRequest{Base: uint64(now.UnixMilli())}
 	for _, replica := range replicas {
 		digest := replica.Digest()
-		if !digest.isFresh(now, maximumAge) {
+		if !digest.isFresh(now, maxAge) {
 			continue
 		}
 		request.Replicas = append(request.Replicas, Hash(digest.ID))
@@ -67,9 +67,9 @@
 	return request
 }
 
-// Newer returns the digests that are newer than those listed by a peer and not older than maximumAge. A digest whose
+// Newer returns the digests that are newer than those listed by a peer and not older than maxAge. A digest whose
 // sequence is ahead of the peer's clock is listed at the base, and is therefore sent again although the peer has it.
-func (table *Table) Newer(known *controlv1.ExchangeRequest, now time.Time, maximumAge time.Duration) *controlv1.ExchangeResponse {
+func (table *Table) Newer(known *controlv1.ExchangeRequest, now time.Time, maxAge time.Duration) *controlv1.ExchangeResponse {
 	sequences := make(map[uint32]uint64, len(known.GetReplicas()))
 	for index, hash := range known.GetReplicas() {
 		if index < len(known.GetOffsets()) {
@@ -79,7 +79,7 @@
 	var newer []*Digest
 	for _, replica := range table.List() {
 		digest := replica.Digest()
-		if digest.isFresh(now, maximumAge) && digest.Sequence > sequences[Hash(digest.ID)] {
+		if digest.isFresh(now, maxAge) && digest.Sequence > sequences[Hash(digest.ID)] {
 			newer = append(newer, digest)
 		}
 	}
--- a/internal/loads/table.go
+++ b/internal/loads/table.go
@@ -181,14 +181,14 @@
 	return shard.replicas[id]
 }
 
-// maximumHoldings bounds the cached holdings. Holdings that are still in use are received again with later digests.
-const maximumHoldings = 1024
+// maxHoldings bounds the cached holdings. Holdings that are still in use are received again with later digests.
+const maxHoldings = 1024
 
-// pruneHoldings removes holdings that no current digest has, once more than maximumHoldings are cached.
+// pruneHoldings removes holdings that no current digest has, once more than maxHoldings are cached.
 func (table *Table) pruneHoldings() {
 	count := 0
-	table.holdings.Range(func(any, any) bool { count++; return count <= maximumHoldings })
-	if count <= maximumHoldings {
+	table.holdings.Range(func(any, any) bool { count++; return count <= maxHoldings })
+	if count <= maxHoldings {
 		return
 	}
 	table.holdings.Clear()
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -231,8 +231,8 @@
 // Source: Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", IEEE TPDS 12(10), 2001.
 type TwoChoices struct{ Random *rand.Rand }
 
-// maximumDraws bounds the random draws for one choice. If none is accepted, a linear scan finds an accepted replica.
-const maximumDraws = 8
+// maxDraws bounds the random draws for one choice. If none is accepted, a linear scan finds an accepted replica.
+const maxDraws = 8
 
 // Pick implements Picker.
 func (picker TwoChoices) Pick(choices *Choices) int {
@@ -264,7 +264,7 @@
 	if choices.Len() == 0 {
 		return -1
 	}
-	for range maximumDraws {
+	for range maxDraws {
 		if index := picker.intN(choices.Len()); choices.Keep(index) {
 			return index
 		}
