--- a/cmd/thistlewalk-lab/demo.go
+++ b/cmd/thistlewalk-lab/demo.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	report.WriteWords(os.Stdout)
+	report.WriteText(os.Stdout)
 	if err := writeReport(command.String("report"), report); err != nil {
 		return err
 	}
--- a/cmd/thistlewalk-lab/scenario.go
+++ b/cmd/thistlewalk-lab/scenario.go
@@ -53,7 +53,7 @@
 }
 
 // runSide runs one side of a scenario, the system or a baseline, in its own bubble of modelled time.
-func runSide(t *testing.T, spec scenario.Spec, side scenario.Side, seed uint64) (scenario.Result, error) {
+func runSide(t *testing.T, spec scenario.Spec, side scenario.Variant, seed uint64) (scenario.Result, error) {
 	logger, err := logging.New(io.Discard, "fatal")
 	if err != nil {
 		return scenario.Result{}, err
@@ -72,14 +72,14 @@
 	if err != nil {
 		return err
 	}
-	side := scenario.Sides()[0]
+	side := scenario.Variants()[0]
 	bubble.Main(func(t *testing.T) bool {
 		result, err := runSide(t, spec, side, command.Uint64("seed"))
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "thistlewalk-lab:", err)
 			return false
 		}
-		result.Report.WriteWords(os.Stdout)
+		result.Report.WriteText(os.Stdout)
 		fmt.Printf("Idle %.1f s in all over %d steps; modelled time %s.\n", result.Report.TrainerIdleSeconds, len(result.Idle), result.Modelled)
 		if folder := command.String("report"); folder != "" {
 			err = errors.CombineErrors(report.Write(folder, spec.Name, side, result), writeReport(folder, result.Report))
@@ -106,7 +106,7 @@
 		return err
 	}
 	seeds := command.Int("seeds")
-	sides := scenario.Sides()
+	sides := scenario.Variants()
 	bubble.Main(func(t *testing.T) bool {
 		var runs []*comparisonRun
 		for seed := range seeds {
@@ -123,7 +123,7 @@
 }
 
 // writeComparison prints the comparison and reports whether all runs succeeded without violating a guarantee.
-func writeComparison(spec scenario.Spec, seeds int, sides []scenario.Side, runs []*comparisonRun) bool {
+func writeComparison(spec scenario.Spec, seeds int, sides []scenario.Variant, runs []*comparisonRun) bool {
 	results := make([][]scenario.Result, len(sides))
 	bound, ok := 0.0, true
 	for _, run := range runs {
--- a/cmd/thistlewalk-lab/verdict.go
+++ b/cmd/thistlewalk-lab/verdict.go
@@ -26,7 +26,7 @@
 			&cli.IntFlag{Name: "status", Usage: "the exit status of go test"},
 		},
 		Action: func(_ context.Context, command *cli.Command) error {
-			known, err := verdict.LoadKnown(command.String("known"))
+			known, err := verdict.LoadKnownFailures(command.String("known"))
 			if err != nil {
 				return err
 			}
@@ -34,7 +34,7 @@
 			if err := run.Read(os.Stdin, os.Stdout); err != nil {
 				return err
 			}
-			failures := run.Judge(command.Int("status"), os.Stdout)
+			failures := run.Failures(command.Int("status"), os.Stdout)
 			for _, line := range failures {
 				fmt.Println("red:", line)
 			}
--- a/cmd/thistlewalk-rollout/orderer.go
+++ b/cmd/thistlewalk-rollout/orderer.go
@@ -14,9 +14,9 @@
 	electionRenewInterval = 300 * time.Millisecond
 	// handoverSlack is how much longer a successor waits than the pause that the platform requires between two orderers.
 	handoverSlack = 300 * time.Millisecond
-	// callOverhang is how long a call may outlast the term in which it began. The difference from handoverSlack covers the time for
+	// callGrace is how long a call may outlast the term in which it began. The difference from handoverSlack covers the time for
 	// which a canceled call can still be in flight.
-	callOverhang = 200 * time.Millisecond
+	callGrace = 200 * time.Millisecond
 	// retentionSlack covers clock skew between machines.
 	retentionSlack = time.Minute
 )
@@ -42,7 +42,7 @@
 		OperatorPrefix: platform.PrefixOperator, ConfigurationPrefix: platform.KeyConfiguration, ReplicaPrefix: platform.PrefixReplicas,
 		ReplicaHandler: &platform.ReplicaHandler{Logger: process.logger, Catalog: table, Metrics: process.metrics},
 		Retention:      settings.Retention() + retentionSlack,
-		UsageWindow:    settings.UsageWindow(), UsageSink: platform.NewCloud(settings.Cloud.Address, dialer()), CallGrace: callOverhang, Clock: process.clock,
+		UsageWindow:    settings.UsageWindow(), UsageSink: platform.NewCloud(settings.Cloud.Address, dialer()), CallGrace: callGrace, Clock: process.clock,
 		Election: weights.ElectionSettings{
 			Lease: max(minElectionLease, settings.MinLease()), Renew: electionRenewInterval, HandoverWait: settings.HandoverWait() + handoverSlack,
 		},
--- a/cmd/thistlewalkd/main.go
+++ b/cmd/thistlewalkd/main.go
@@ -121,7 +121,7 @@
 	tcp := network.NewTCP(dialTimeout)
 	running, err := node.New(node.Options{
 		Settings: config, Networks: node.Networks{Control: tcp, Data: tcp}, Logger: logger,
-		Life: uint64(time.Now().UnixMilli()), Seed: uint64(time.Now().UnixNano()), ProcessMetrics: true,
+		ProcessIncarnation: uint64(time.Now().UnixMilli()), Seed: uint64(time.Now().UnixNano()), ProcessMetrics: true,
 	})
 	if err != nil {
 		return err
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -18,17 +18,17 @@
 // Elapsed implements Clock.
 func (read Func) Elapsed() time.Duration { return read() }
 
-// Steady returns a Clock based on Go's monotonic clock, which may exclude suspensions. It is for tests with simulated time
+// Monotonic returns a Clock based on Go's monotonic clock, which may exclude suspensions. It is for tests with simulated time
 // and for code whose guarantees do not depend on suspensions.
-func Steady() Clock {
+func Monotonic() Clock {
 	start := time.Now()
 	return Func(func() time.Duration { return time.Since(start) })
 }
 
-// OrSteady returns the given clock, or Steady if it is nil.
-func OrSteady(clock Clock) Clock {
+// OrMonotonic returns the given clock, or Steady if it is nil.
+func OrMonotonic(clock Clock) Clock {
 	if clock == nil {
-		return Steady()
+		return Monotonic()
 	}
 	return clock
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -18,7 +18,7 @@
 func TestSystem(t *testing.T) {
 	system, err := clock.System()
 	must.NoError(t, err)
-	before, monotonic := system.Elapsed(), clock.Steady()
+	before, monotonic := system.Elapsed(), clock.Monotonic()
 	time.Sleep(20 * time.Millisecond)
 	must.GreaterEq(t, monotonic.Elapsed()-time.Millisecond, system.Elapsed()-before)
 }
@@ -29,8 +29,8 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var drift atomic.Int64
 		var suspensions []time.Duration
-		monotonic, logged := clock.Steady(), &bytes.Buffer{}
-		watch := &clock.Watch{
+		monotonic, logged := clock.Monotonic(), &bytes.Buffer{}
+		watch := &clock.SuspensionDetector{
 			Clock:  clock.Func(func() time.Duration { return monotonic.Elapsed() + time.Duration(drift.Load()) }),
 			Logger: log.New(logged), OnResume: func(suspended time.Duration) { suspensions = append(suspensions, suspended) },
 		}
--- a/internal/clock/watch.go
+++ b/internal/clock/watch.go
@@ -18,8 +18,8 @@
 	minimumSuspension = 100 * time.Millisecond
 )
 
-// Watch detects suspensions of the machine by comparing a Clock with Go's monotonic clock.
-type Watch struct {
+// SuspensionDetector detects suspensions of the machine by comparing a Clock with Go's monotonic clock.
+type SuspensionDetector struct {
 	Clock   Clock
 	Logger  *log.Logger
 	Metrics *telemetry.Metrics
@@ -28,10 +28,10 @@
 }
 
 // Run compares the clocks until the context ends.
-func (watch *Watch) Run(ctx context.Context) {
+func (watch *SuspensionDetector) Run(ctx context.Context) {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
-	monotonic := Steady()
+	monotonic := Monotonic()
 	offset := watch.Clock.Elapsed() - monotonic.Elapsed()
 	for {
 		select {
--- a/internal/dissemination/fleet_test.go
+++ b/internal/dissemination/fleet_test.go
@@ -51,7 +51,7 @@
 	// padding is the width in bytes to which a written configuration is padded.
 	padding int
 	// formerBuild is the build that runs the nodes for which runsFormer returns true; nil for none.
-	formerBuild *former.Build
+	formerBuild *former.Schema
 	runsFormer  func(index int) bool
 	// publishesFormer reports whether the next publisher runs that build; nil for no.
 	publishesFormer func() bool
@@ -414,7 +414,7 @@
 	var failure string
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		created := &fleet{store: memstore.New(), ctx: ctx, clock: clock.Steady(), nodes: make(map[string]*node), fanOut: smallFanOut}
+		created := &fleet{store: memstore.New(), ctx: ctx, clock: clock.Monotonic(), nodes: make(map[string]*node), fanOut: smallFanOut}
 		defer func() {
 			stop()
 			time.Sleep(5 * time.Second)
--- a/internal/dissemination/former_build_test.go
+++ b/internal/dissemination/former_build_test.go
@@ -25,11 +25,11 @@
 // formerNode is a node of the former build as seen by other nodes.
 type formerNode struct {
 	*dissemination.Subscriber
-	build *former.Build
+	build *former.Schema
 }
 
 func (nodes formerNode) Publish(ctx context.Context, request *clusterv1.PublishRequest) (*clusterv1.PublishResponse, error) {
-	if err := nodes.build.Read(request); err != nil {
+	if err := nodes.build.Downgrade(request); err != nil {
 		return nil, err
 	}
 	return nodes.Subscriber.Publish(ctx, request)
@@ -48,7 +48,7 @@
 
 // receiveAsFormer handles a datagram as the former build does.
 func (node *node) receiveAsFormer(datagram *clusterv1.Datagram, from net.Addr) error {
-	if err := node.fleet.formerBuild.Read(datagram); err != nil {
+	if err := node.fleet.formerBuild.Downgrade(datagram); err != nil {
 		return err
 	}
 	if beacon := datagram.GetBeacon(); beacon != nil {
--- a/internal/dissemination/publisher.go
+++ b/internal/dissemination/publisher.go
@@ -79,7 +79,7 @@
 	for lane := range laneCount {
 		publisher.pushes[lane], publisher.retries[lane] = make(chan struct{}, maxConcurrentPushes), make(chan struct{}, maxConcurrentRetries)
 	}
-	publisher.Clock = clock.OrSteady(publisher.Clock)
+	publisher.Clock = clock.OrMonotonic(publisher.Clock)
 	if publisher.FanOut <= 0 {
 		publisher.FanOut = defaultFanOut
 	}
--- a/internal/dissemination/subscriber.go
+++ b/internal/dissemination/subscriber.go
@@ -259,7 +259,7 @@
 
 // elapsed returns the time of Clock. The caller holds mu.
 func (subscriber *Subscriber) elapsed() time.Duration {
-	subscriber.Clock = clock.OrSteady(subscriber.Clock)
+	subscriber.Clock = clock.OrMonotonic(subscriber.Clock)
 	return subscriber.Clock.Elapsed()
 }
 
--- a/internal/experiment/document.go
+++ b/internal/experiment/document.go
@@ -118,8 +118,8 @@
 	Drained []string `json:"drained" cbor:"5,keyasint"`
 }
 
-// DrainedReplica reports whether the replica is drained.
-func (document Document) DrainedReplica(replicaID string) bool {
+// IsDrained reports whether the replica is drained.
+func (document Document) IsDrained(replicaID string) bool {
 	_, found := slices.BinarySearch(document.Drained, replicaID)
 	return found
 }
--- a/internal/forwarding/forwarding.go
+++ b/internal/forwarding/forwarding.go
@@ -125,7 +125,7 @@
 	return result
 }
 
-func (forwarder *Forwarder) clock() clock.Clock { return clock.OrSteady(forwarder.Clock) }
+func (forwarder *Forwarder) clock() clock.Clock { return clock.OrMonotonic(forwarder.Clock) }
 
 func (forwarder *Forwarder) configurationVersion() int64 {
 	if configuration := forwarder.Catalog.Configuration(); configuration != nil {
--- a/internal/forwarding/forwarding_test.go
+++ b/internal/forwarding/forwarding_test.go
@@ -165,7 +165,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			suspended := time.Duration(0)
-			steady := clock.Steady()
+			steady := clock.Monotonic()
 			sender := &scripted{script: []behaviour{{after: 20 * time.Millisecond, status: http.StatusServiceUnavailable, notExecuted: true}, {status: http.StatusOK}}}
 			table := catalog.NewTable()
 			table.SetReplicas([]catalog.Replica{{ID: "r1", Service: "s", Slots: 6}, {ID: "r2", Service: "s", Slots: 6}}, 1)
--- a/internal/home/home_test.go
+++ b/internal/home/home_test.go
@@ -49,7 +49,7 @@
 
 // If two nodes both consider themselves the home of a replica, the later term wins and the orders of the other are refused.
 func TestOnlyOneHomeOrdersAReplica(t *testing.T) {
-	server := httptest.NewServer(platform.NewEngine(platform.EngineSettings{ID: "e"}, platform.NewTruth(), nil).Handler())
+	server := httptest.NewServer(platform.NewEngine(platform.EngineSettings{ID: "e"}, platform.NewEngineLog(), nil).Handler())
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
 	client := engine.NewHTTP(network.NewClient(network.NewTCP(time.Second), time.Minute, network.Connections{PerHost: 1}))
--- a/internal/lab/bench/oracle.go
+++ b/internal/lab/bench/oracle.go
@@ -45,8 +45,8 @@
 
 // Evidence is the input of the oracle: the log of the engines, and the results that trainers and callers received.
 type Evidence struct {
-	Begun    []platform.Begun
-	Produced []platform.Produced
+	Begun    []platform.StartedRequest
+	Produced []platform.ProducedChunk
 	Received []ReceivedSample
 	// Requested is the number of samples in the steps that trainers collected.
 	Requested int
--- a/internal/lab/bench/report.go
+++ b/internal/lab/bench/report.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// WriteWords writes a readable summary of the report.
-func (report Report) WriteWords(output io.Writer) {
+// WriteText writes a readable summary of the report.
+func (report Report) WriteText(output io.Writer) {
 	fmt.Fprintf(output, "\nStep: %d of %d samples delivered in %.1f s; %d went on at a second engine, %d span more than one version.\n",
 		report.SamplesDelivered, report.SamplesRequested, report.StepSeconds, report.ResumedSamples, report.MixedSamples)
 	fmt.Fprintf(output, "Staleness in versions: half at most %d, 99%% at most %d, greatest %d.\n",
--- a/internal/lab/bench/site.go
+++ b/internal/lab/bench/site.go
@@ -46,7 +46,7 @@
 	Machines *platform.MachineList
 	Weights  *platform.WeightStore
 	Scorer   *platform.Scorer
-	Truth    *platform.Truth
+	Truth    *platform.EngineLog
 
 	network   network.Network
 	addresses Addresses
@@ -87,7 +87,7 @@
 func NewSite(site SiteSettings, transport network.Network, addresses Addresses, logger *log.Logger) (*Site, error) {
 	running := &Site{
 		KeyValue: platform.NewKeyValue(site.KeyValuePerSecond), Machines: platform.NewMachineList(site.MachineLag),
-		Weights: platform.NewWeightStore(site.WeightsPerSecond), Scorer: platform.NewScorer(site.ScoreDelay), Truth: platform.NewTruth(),
+		Weights: platform.NewWeightStore(site.WeightsPerSecond), Scorer: platform.NewScorer(site.ScoreDelay), Truth: platform.NewEngineLog(),
 		network: transport, addresses: addresses, settings: site, logger: logger,
 	}
 	for _, service := range []struct {
@@ -232,7 +232,7 @@
 	if adjust != nil {
 		adjust(&config)
 	}
-	started, err := node.New(node.Options{Settings: config, Networks: networks, Logger: logger, Life: incarnation, Seed: incarnation})
+	started, err := node.New(node.Options{Settings: config, Networks: networks, Logger: logger, ProcessIncarnation: incarnation, Seed: incarnation})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/cost/cost.go
+++ b/internal/lab/cost/cost.go
@@ -130,7 +130,7 @@
 	var err error
 	measured.site, err = bench.NewSite(bench.SiteSettings{Zones: []bench.Zone{zone}, KeyValuePerSecond: 200, WeightsPerSecond: 100,
 		Engine: platform.EngineSettings{Capacity: nodeConcurrency / engines, TokensPerSecond: tokensPerSecond, PrefillPerSecond: 1e7, CachedPrefixes: 64,
-			ChunkTokens: tokens, RoundTime: time.Millisecond, Lengths: platform.Lengths{Median: tokens}, ReportLag: 100 * time.Millisecond}},
+			ChunkTokens: tokens, RoundInterval: time.Millisecond, Lengths: platform.Lengths{Median: tokens}, ReportLag: 100 * time.Millisecond}},
 		tcp, bench.LoopbackAddresses, measured.options.Logger)
 	if err != nil {
 		return err
--- a/internal/lab/former/former.go
+++ b/internal/lab/former/former.go
@@ -22,11 +22,11 @@
 //go:embed former.binpb
 var descriptorSet []byte
 
-// Build holds the message descriptors of the production build.
-type Build struct{ files *protoregistry.Files }
+// Schema holds the message descriptors of the production build.
+type Schema struct{ files *protoregistry.Files }
 
 // Load returns the message descriptors of the production build.
-func Load() (*Build, error) {
+func Load() (*Schema, error) {
 	set := &descriptorpb.FileDescriptorSet{}
 	if err := proto.Unmarshal(descriptorSet, set); err != nil {
 		return nil, errors.Wrap(err, "decode the message descriptors of the production build")
@@ -35,12 +35,12 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "resolve the message descriptors of the production build")
 	}
-	return &Build{files}, nil
+	return &Schema{files}, nil
 }
 
-// Read reduces a message to what a node of the production build decodes from it.
-func (build *Build) Read(message proto.Message) error {
-	descriptor, err := build.files.FindDescriptorByName(message.ProtoReflect().Descriptor().FullName())
+// Downgrade reduces a message to what a node of the production build decodes from it.
+func (schema *Schema) Downgrade(message proto.Message) error {
+	descriptor, err := schema.files.FindDescriptorByName(message.ProtoReflect().Descriptor().FullName())
 	if err != nil {
 		return errors.Wrap(err, "find the message in the production build")
 	}
--- a/internal/lab/hollow/day.go
+++ b/internal/lab/hollow/day.go
@@ -89,7 +89,7 @@
 	close(stopWatching)
 	background.Wait()
 	received, requested := trainer.Received()
-	outcome.Verdict = bench.Judge(bench.Evidence{Begun: fleet.site.Truth.Begun(), Produced: fleet.site.Truth.Produced(),
+	outcome.Verdict = bench.Judge(bench.Evidence{Begun: fleet.site.Truth.StartedRequests(), Produced: fleet.site.Truth.ProducedChunks(),
 		Received: received, Requested: requested, Bound: experiment.Bound{HasVersions: true, Versions: 2}})
 	return outcome, trainingError
 }
--- a/internal/lab/hollow/fleet.go
+++ b/internal/lab/hollow/fleet.go
@@ -83,7 +83,7 @@
 	fleet.site, err = bench.NewSite(bench.SiteSettings{
 		Zones: fleet.zones, KeyValuePerSecond: keyValueRate, WeightsPerSecond: weightsRate, MachineLag: time.Second, ScoreDelay: time.Millisecond,
 		Engine: platform.EngineSettings{Capacity: 64, TokensPerSecond: 50, ReportLag: time.Second, StageTime: time.Second, CachedPrefixes: 1, ChunkTokens: 16,
-			RoundTime: 100 * time.Millisecond, Lengths: platform.Lengths{Median: 20, Sigma: 0.5}, PrefillPerSecond: 10000},
+			RoundInterval: 100 * time.Millisecond, Lengths: platform.Lengths{Median: 20, Sigma: 0.5}, PrefillPerSecond: 10000},
 	}, platformNetwork, fleet.address, options.Logger)
 	if err != nil {
 		fleet.Close()
--- a/internal/lab/hollow/measure.go
+++ b/internal/lab/hollow/measure.go
@@ -78,7 +78,7 @@
 		return figures, err
 	}
 	for _, running := range fleet.Nodes() {
-		suspicions, deaths := running.FalseDeaths()
+		suspicions, deaths := running.SuspicionsAndRefutations()
 		figures.FalseSuspicions += suspicions
 		figures.FalseDeaths += deaths
 		figures.MostPartitions = max(figures.MostPartitions, running.OwnedPartitions())
@@ -255,7 +255,7 @@
 	victim := fleet.anyNode().Settings.Node.ID
 	began := time.Now()
 	fleet.KillNode(victim)
-	times, missed := measureDelays(fleet.Nodes(), began, func(running *bench.RunningNode) bool { return !running.Sees(victim) })
+	times, missed := measureDelays(fleet.Nodes(), began, func(running *bench.RunningNode) bool { return !running.MemberLive(victim) })
 	return summarizeDelays(times, missed)
 }
 
@@ -264,12 +264,12 @@
 	victim := fleet.site.Engines()[0]
 	observers := make(map[string]*bench.RunningNode)
 	for id, running := range fleet.Nodes() {
-		if running.Serves(victim.ID) {
+		if running.ReplicaServing(victim.ID) {
 			observers[id] = running
 		}
 	}
 	began := time.Now()
 	victim.Crash()
-	times, missed := measureDelays(observers, began, func(running *bench.RunningNode) bool { return !running.Serves(victim.ID) })
+	times, missed := measureDelays(observers, began, func(running *bench.RunningNode) bool { return !running.ReplicaServing(victim.ID) })
 	return summarizeDelays(times, missed)
 }
--- a/internal/lab/platform/engine.go
+++ b/internal/lab/platform/engine.go
@@ -28,24 +28,24 @@
 	ReportLag time.Duration
 	// StageTime is the time that loading weights takes after their transfer from the weight store.
 	StageTime time.Duration
-	// RoundTime is the interval between two scheduling rounds of the batch; zero selects 5 ms.
-	RoundTime time.Duration
+	// RoundInterval is the interval between two scheduling rounds of the batch; zero selects 5 ms.
+	RoundInterval time.Duration
 	// Lengths is the distribution of completion lengths.
 	Lengths Lengths
 }
 
 // EngineFaults are the faults injected into an engine. The zero value injects none.
 type EngineFaults struct {
-	// KeepVersion makes the engine acknowledge activations without changing its active version.
-	KeepVersion bool
-	// RefuseOrders makes every order fail.
-	RefuseOrders bool
+	// IgnoreActivations makes the engine acknowledge activations without changing its active version.
+	IgnoreActivations bool
+	// RejectOrders makes every order fail.
+	RejectOrders bool
 	// Frozen suspends token generation and new calls but keeps connections open.
 	Frozen bool
-	// CutAfterChunks breaks one stream after this many chunks, then resets to zero; zero breaks none.
-	CutAfterChunks int
-	// RefuseNew makes the engine reject new requests with the reason "leaving".
-	RefuseNew bool
+	// BreakAfterChunks breaks one stream after this many chunks, then resets to zero; zero breaks none.
+	BreakAfterChunks int
+	// RejectRequests makes the engine reject new requests with the reason "leaving".
+	RejectRequests bool
 }
 
 type policyWeights struct {
@@ -57,7 +57,7 @@
 // Engine simulates one model engine. It is safe for concurrent use.
 type Engine struct {
 	settings     EngineSettings
-	truth        *Truth
+	log          *EngineLog
 	fetchWeights func(ctx context.Context, policy string, version uint64) error
 
 	mu          sync.Mutex
@@ -86,12 +86,12 @@
 }
 
 // NewEngine returns an engine that has no weights loaded. fetchWeights transfers a version from the weight store.
-func NewEngine(settings EngineSettings, truth *Truth, fetchWeights func(ctx context.Context, policy string, version uint64) error) *Engine {
+func NewEngine(settings EngineSettings, log *EngineLog, fetchWeights func(ctx context.Context, policy string, version uint64) error) *Engine {
 	ctx, stop := context.WithCancel(context.Background())
-	if settings.RoundTime == 0 {
-		settings.RoundTime = defaultRoundTime
+	if settings.RoundInterval == 0 {
+		settings.RoundInterval = defaultRoundTime
 	}
-	return &Engine{settings: settings, truth: truth, fetchWeights: fetchWeights, policies: make(map[string]*policyWeights),
+	return &Engine{settings: settings, log: log, fetchWeights: fetchWeights, policies: make(map[string]*policyWeights),
 		cache: newPrefixCache(settings.CachedPrefixes), ctx: ctx, stop: stop}
 }
 
--- a/internal/lab/platform/keyvalue.go
+++ b/internal/lab/platform/keyvalue.go
@@ -21,8 +21,8 @@
 	Down bool
 	// Delay is added to every call.
 	Delay time.Duration
-	// LoseAnswers is the number of writes that take effect although their response is dropped.
-	LoseAnswers int
+	// LoseResponses is the number of writes that take effect although their response is dropped.
+	LoseResponses int
 }
 
 // KeyValue is an in-memory key-value service with leases and watches. It is safe for concurrent use.
@@ -132,10 +132,10 @@
 func (service *KeyValue) dropResponse() bool {
 	service.mu.Lock()
 	defer service.mu.Unlock()
-	if service.faults.LoseAnswers == 0 {
+	if service.faults.LoseResponses == 0 {
 		return false
 	}
-	service.faults.LoseAnswers--
+	service.faults.LoseResponses--
 	return true
 }
 
--- a/internal/lab/platform/orders.go
+++ b/internal/lab/platform/orders.go
@@ -17,7 +17,7 @@
 	}
 	model.mu.Lock()
 	defer model.mu.Unlock()
-	if model.faults.RefuseOrders {
+	if model.faults.RejectOrders {
 		http.Error(writer, "out of memory", http.StatusInternalServerError)
 		return
 	}
@@ -59,7 +59,7 @@
 		if !held || weights.staged != order.Version {
 			return false
 		}
-		if !model.faults.KeepVersion {
+		if !model.faults.IgnoreActivations {
 			weights.active = order.Version
 		}
 	case engine.ActionRole:
--- a/internal/lab/platform/streams.go
+++ b/internal/lab/platform/streams.go
@@ -130,7 +130,7 @@
 	defer model.mu.Unlock()
 	weights, held := model.policies[request.Policy]
 	switch {
-	case model.closed || model.leaving || model.faults.RefuseNew:
+	case model.closed || model.leaving || model.faults.RejectRequests:
 		return nil, "leaving"
 	case !held || weights.active == 0:
 		return nil, "policy not loaded"
@@ -141,7 +141,7 @@
 	}
 	accepted := &stream{request: request, arrived: time.Now(), chunks: make(chan wireChunk, streamBuffer),
 		length: model.settings.Lengths.Of(request.RequestID, request.MaxTokens), produced: len(request.ResumeTokens)}
-	model.truth.recordAttempt(Begun{Engine: model.settings.ID, RequestID: request.RequestID, Attempt: request.Attempt, At: time.Now()})
+	model.log.recordStart(StartedRequest{Engine: model.settings.ID, RequestID: request.RequestID, Attempt: request.Attempt, At: time.Now()})
 	model.waiting = append(model.waiting, accepted)
 	if !model.loopRunning {
 		model.loopRunning = true
@@ -162,7 +162,7 @@
 		select {
 		case <-model.ctx.Done():
 			return
-		case <-time.After(model.settings.RoundTime):
+		case <-time.After(model.settings.RoundInterval):
 		}
 		now := time.Now()
 		if !model.round(now, now.Sub(last)) {
@@ -244,12 +244,12 @@
 	if stream.produced >= stream.length {
 		chunk.FinishReason = "stop"
 	}
-	model.truth.recordChunk(Produced{Engine: model.settings.ID, RequestID: chunk.RequestID, Attempt: chunk.Attempt, Position: chunk.Position,
+	model.log.recordChunk(ProducedChunk{Engine: model.settings.ID, RequestID: chunk.RequestID, Attempt: chunk.Attempt, Position: chunk.Position,
 		TokenIDs: chunk.TokenIDs, Text: chunk.Text, Version: version})
 	stream.chunks <- chunk
 	stream.sentChunks++
-	if cut := model.faults.CutAfterChunks; cut > 0 && stream.sentChunks >= cut {
-		model.faults.CutAfterChunks = 0
+	if cut := model.faults.BreakAfterChunks; cut > 0 && stream.sentChunks >= cut {
+		model.faults.BreakAfterChunks = 0
 		stream.end(errCut)
 	}
 	if chunk.FinishReason != "" {
--- a/internal/lab/platform/truth.go
+++ b/internal/lab/platform/truth.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Produced is one chunk as the engine generated it.
-type Produced struct {
+// ProducedChunk is one chunk as the engine generated it.
+type ProducedChunk struct {
 	Engine    string   `json:"engine"`
 	RequestID string   `json:"request"`
 	Attempt   uint64   `json:"attempt"`
@@ -18,47 +18,47 @@
 	Version   uint64   `json:"version"`
 }
 
-// Begun is one attempt of a request that an engine accepted.
-type Begun struct {
+// StartedRequest is one attempt of a request that an engine accepted.
+type StartedRequest struct {
 	Engine    string    `json:"engine"`
 	RequestID string    `json:"request"`
 	Attempt   uint64    `json:"attempt"`
 	At        time.Time `json:"at"`
 }
 
-// Truth is the log of what the engines accepted and generated. It survives their crashes, and checks compare it with what
+// EngineLog is the log of what the engines accepted and generated. It survives their crashes, and checks compare it with what
 // callers received. It is safe for concurrent use.
-type Truth struct {
+type EngineLog struct {
 	mu       sync.Mutex
-	begun    []Begun
-	produced []Produced
+	started  []StartedRequest
+	produced []ProducedChunk
 }
 
-// NewTruth returns an empty log.
-func NewTruth() *Truth { return &Truth{} }
+// NewEngineLog returns an empty log.
+func NewEngineLog() *EngineLog { return &EngineLog{} }
 
-func (truth *Truth) recordAttempt(begun Begun) {
+func (truth *EngineLog) recordStart(started StartedRequest) {
 	truth.mu.Lock()
 	defer truth.mu.Unlock()
-	truth.begun = append(truth.begun, begun)
+	truth.started = append(truth.started, started)
 }
 
-func (truth *Truth) recordChunk(produced Produced) {
+func (truth *EngineLog) recordChunk(produced ProducedChunk) {
 	truth.mu.Lock()
 	defer truth.mu.Unlock()
 	truth.produced = append(truth.produced, produced)
 }
 
-// Begun returns every accepted attempt, in order.
-func (truth *Truth) Begun() []Begun {
+// StartedRequests returns every accepted attempt, in order.
+func (truth *EngineLog) StartedRequests() []StartedRequest {
 	truth.mu.Lock()
 	defer truth.mu.Unlock()
-	return append([]Begun(nil), truth.begun...)
+	return append([]StartedRequest(nil), truth.started...)
 }
 
-// Produced returns every generated chunk, in order.
-func (truth *Truth) Produced() []Produced {
+// ProducedChunks returns every generated chunk, in order.
+func (truth *EngineLog) ProducedChunks() []ProducedChunk {
 	truth.mu.Lock()
 	defer truth.mu.Unlock()
-	return append([]Produced(nil), truth.produced...)
+	return append([]ProducedChunk(nil), truth.produced...)
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -190,7 +190,7 @@
 `))
 
 // Write writes report.html and one PNG file per plot into a folder.
-func Write(folder, title string, side scenario.Side, result scenario.Result) error {
+func Write(folder, title string, side scenario.Variant, result scenario.Result) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return errors.Wrap(err, "report folder")
 	}
--- a/internal/lab/scenario/compare.go
+++ b/internal/lab/scenario/compare.go
@@ -12,7 +12,7 @@
 
 // Summary holds the results of a side over all seeds.
 type Summary struct {
-	Side Side
+	Variant Variant
 	// The slices hold one value per seed. Idle is the mean time in seconds that the trainer waited for a step, Step the mean
 	// time in seconds from submission of a step to its completion, and StepOverBound the ratio of Step to its lower bound.
 	Idle, Step, StepOverBound []float64
@@ -23,8 +23,8 @@
 }
 
 // Summarize summarizes the results of a side, one for each seed.
-func Summarize(side Side, results []Result) Summary {
-	summary := Summary{Side: side}
+func Summarize(side Variant, results []Result) Summary {
+	summary := Summary{Variant: side}
 	for _, result := range results {
 		summary.Idle = append(summary.Idle, meanSeconds(result.Idle))
 		summary.Step = append(summary.Step, meanSeconds(result.Step))
@@ -78,7 +78,7 @@
 	bestBaseline := math.Inf(1)
 	for index, summary := range summaries {
 		greatest, _ := Interval(summary.StalenessMax)
-		fmt.Fprintf(output, "%-24s %-18s %-18s %-16s %-20s %-10.1f %d\n", summary.Side.Name, formatInterval(summary.Idle), formatInterval(summary.Step),
+		fmt.Fprintf(output, "%-24s %-18s %-18s %-16s %-20s %-10.1f %d\n", summary.Variant.Name, formatInterval(summary.Idle), formatInterval(summary.Step),
 			formatInterval(summary.StepOverBound), formatInterval(summary.Staleness), greatest, summary.Breaches)
 		breaches += summary.Breaches
 		if mean, _ := Interval(summary.Idle); index > 0 {
--- a/internal/lab/scenario/run.go
+++ b/internal/lab/scenario/run.go
@@ -49,7 +49,7 @@
 // run is the state of one run.
 type run struct {
 	spec    Spec
-	side    Side
+	side    Variant
 	seed    uint64
 	folder  string
 	logger  *log.Logger
@@ -71,7 +71,7 @@
 
 // Run runs a side of a scenario in the testing/synctest bubble of the caller. It returns after all nodes and the platform
 // have stopped.
-func Run(spec Spec, side Side, seed uint64, folder string, logger *log.Logger) (Result, error) {
+func Run(spec Spec, side Variant, seed uint64, folder string, logger *log.Logger) (Result, error) {
 	scenario := &run{spec: spec, side: side, seed: seed, folder: folder, logger: logger, memory: network.NewMemory(),
 		hosts: make(map[string]int), down: make(map[int]bool), version: 1, began: time.Now()}
 	ctx, cancel := context.WithTimeout(context.Background(), runTimeout)
@@ -352,7 +352,7 @@
 
 func (scenario *run) judge(result *Result) {
 	received, requested := scenario.trainer.Received()
-	evidence := bench.Evidence{Begun: scenario.site.Truth.Begun(), Produced: scenario.site.Truth.Produced(), Received: received, Requested: requested,
+	evidence := bench.Evidence{Begun: scenario.site.Truth.StartedRequests(), Produced: scenario.site.Truth.ProducedChunks(), Received: received, Requested: requested,
 		Calls: scenario.callers.Calls(), Bound: experiment.Bound{HasVersions: true, Versions: scenario.spec.Trainer.BoundVersions}, Outages: scenario.outages}
 	result.Report = bench.NewReport(scenario.seed, evidence)
 	result.Report.Seconds = result.Modelled.Seconds()
--- a/internal/lab/scenario/spec.go
+++ b/internal/lab/scenario/spec.go
@@ -95,7 +95,7 @@
 	return platform.EngineSettings{
 		Capacity: engine.Capacity, TokensPerSecond: engine.TokensPerSecond, BatchSlowdown: engine.BatchSlowdown,
 		PrefillPerSecond: engine.PrefillPerSecond, CachedPrefixes: engine.CachedPrefixes, ChunkTokens: chunkTokens,
-		ReportLag: engine.ReportLag, StageTime: engine.StageTime, RoundTime: 50 * time.Millisecond,
+		ReportLag: engine.ReportLag, StageTime: engine.StageTime, RoundInterval: 50 * time.Millisecond,
 		Lengths: platform.Lengths{Median: engine.MedianLength, Sigma: engine.LengthSigma},
 	}
 }
@@ -108,8 +108,8 @@
 	return zones
 }
 
-// Side is a variant of the system in a comparison: the system with its default settings, or a baseline.
-type Side struct {
+// Variant is a variant of the system in a comparison: the system with its default settings, or a baseline.
+type Variant struct {
 	Name string
 	// Routing is the value of the setting rollout.routing.
 	Routing string
@@ -122,9 +122,9 @@
 	QueueAtEngines bool
 }
 
-// Sides returns the system, followed by its baselines.
-func Sides() []Side {
-	return []Side{
+// Variants returns the system, followed by its baselines.
+func Variants() []Variant {
+	return []Variant{
 		{Name: "thistlewalk", Routing: "scored", Stragglers: true},
 		{Name: "round robin", Routing: "round-robin", Stragglers: true, QueueAtEngines: true},
 		{Name: "least reported load", Routing: "least-reported", Stragglers: true, QueueAtEngines: true},
--- a/internal/lab/scenario/timeline.go
+++ b/internal/lab/scenario/timeline.go
@@ -89,9 +89,9 @@
 	case "service-down":
 		scenario.serviceFault(failure, platform.KeyValueFaults{Down: true})
 	case "lose-answers":
-		scenario.serviceFault(failure, platform.KeyValueFaults{LoseAnswers: 3})
+		scenario.serviceFault(failure, platform.KeyValueFaults{LoseResponses: 3})
 	case "keep-version":
-		engine.Model.SetFaults(platform.EngineFaults{KeepVersion: true})
+		engine.Model.SetFaults(platform.EngineFaults{IgnoreActivations: true})
 		time.Sleep(failure.Length)
 		engine.Model.SetFaults(platform.EngineFaults{})
 	case "cut-zone":
--- a/internal/lab/simulation/events.go
+++ b/internal/lab/simulation/events.go
@@ -27,17 +27,17 @@
 	case CrashEngine, LeaveEngine:
 		world.replaceEngine(event)
 	case KeepVersion:
-		world.engineFault(event, platform.EngineFaults{KeepVersion: true})
+		world.engineFault(event, platform.EngineFaults{IgnoreActivations: true})
 	case FreezeEngine:
 		world.engineFault(event, platform.EngineFaults{Frozen: true})
 	case CutStream:
-		world.engineFault(event, platform.EngineFaults{CutAfterChunks: 1 + event.Target%3})
+		world.engineFault(event, platform.EngineFaults{BreakAfterChunks: 1 + event.Target%3})
 	case ServiceDown:
 		world.serviceFault(event, platform.KeyValueFaults{Down: true})
 	case ServiceSlow:
 		world.serviceFault(event, platform.KeyValueFaults{Delay: event.Length / delayDivisor})
 	case LoseAnswers:
-		world.serviceFault(event, platform.KeyValueFaults{LoseAnswers: 1 + event.Target%3})
+		world.serviceFault(event, platform.KeyValueFaults{LoseResponses: 1 + event.Target%3})
 	case ScorerDown:
 		world.site.Scorer.SetDown(true)
 		time.Sleep(event.Length)
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -108,7 +108,7 @@
 		Zones: world.zones, KeyValuePerSecond: 500, WeightsPerSecond: 20, MachineLag: 500 * time.Millisecond, ScoreDelay: time.Millisecond,
 		Engine: platform.EngineSettings{
 			Capacity: 8, TokensPerSecond: 40, BatchSlowdown: 0.05, PrefillPerSecond: 10000, CachedPrefixes: 8, ChunkTokens: 8,
-			ReportLag: 500 * time.Millisecond, StageTime: 500 * time.Millisecond, Lengths: platform.Lengths{Median: 60, Sigma: 0.8}, RoundTime: 50 * time.Millisecond,
+			ReportLag: 500 * time.Millisecond, StageTime: 500 * time.Millisecond, Lengths: platform.Lengths{Median: 60, Sigma: 0.8}, RoundInterval: 50 * time.Millisecond,
 		},
 	}, world.memory.At(externalAddress(serviceHost)), world.allocateAddress, logger)
 	if err != nil {
@@ -366,7 +366,7 @@
 	world.mu.Lock()
 	defer world.mu.Unlock()
 	evidence := bench.Evidence{
-		Begun: world.site.Truth.Begun(), Produced: world.site.Truth.Produced(), Received: received, Requested: requested, Calls: calls,
+		Begun: world.site.Truth.StartedRequests(), Produced: world.site.Truth.ProducedChunks(), Received: received, Requested: requested, Calls: calls,
 		Bound: experiment.Bound{HasVersions: true, Versions: uint64(world.plan.Bound)}, Outages: world.outages,
 	}
 	outcome := Outcome{Verdict: bench.Judge(evidence), Breaches: world.breaches, Modelled: modelled, Commands: world.commands}
--- a/internal/lab/verdict/verdict.go
+++ b/internal/lab/verdict/verdict.go
@@ -56,7 +56,7 @@
 	// Module is the path of the module that the packages belong to.
 	Module string
 	// Known are the failures to ignore.
-	Known []Known
+	Known []KnownFailure
 
 	packages   map[string]*packageRun
 	endedTests int
@@ -135,9 +135,9 @@
 	}
 }
 
-// Judge returns the problems of the run, or none if it passed except for known failures. The status is the exit status of "go test". Judge also
+// Failures returns the problems of the run, or none if it passed except for known failures. The status is the exit status of "go test". Failures also
 // prints the known failures, and for each whether it occurred in this run.
-func (run *Run) Judge(status int, out io.Writer) []string {
+func (run *Run) Failures(status int, out io.Writer) []string {
 	var problems []string
 	observed := make(map[string]bool)
 	for _, path := range slices.Sorted(maps.Keys(run.packages)) {
@@ -173,7 +173,7 @@
 func (run *Run) unexpectedFailures(path string, state *packageRun, observed map[string]bool) []string {
 	var list []string
 	for _, test := range state.failedTests {
-		index := slices.IndexFunc(run.Known, func(known Known) bool { return known.matches(run.Module, path, test) })
+		index := slices.IndexFunc(run.Known, func(known KnownFailure) bool { return known.matches(run.Module, path, test) })
 		if index < 0 {
 			list = append(list, path+"."+test+": failed")
 			continue
--- a/internal/lab/verdict/verdict_test.go
+++ b/internal/lab/verdict/verdict_test.go
@@ -48,7 +48,7 @@
 			run := &verdict.Run{Module: "example", Known: known}
 			out := &bytes.Buffer{}
 			must.NoError(t, run.Read(bytes.NewReader(output), out))
-			problems := strings.Join(run.Judge(status, out), "\n")
+			problems := strings.Join(run.Failures(status, out), "\n")
 			must.Eq(t, check.passes, problems == "", must.Sprint(problems, "\n", out))
 			must.StrContains(t, problems, check.problems)
 			if check.known != "" {
@@ -88,13 +88,13 @@
 func TestWhatIsNotExplainedFails(t *testing.T) {
 	run := &verdict.Run{Module: "example"}
 	must.NoError(t, run.Read(strings.NewReader(""), &bytes.Buffer{}))
-	must.Eq(t, []string{"no test was run"}, run.Judge(0, &bytes.Buffer{}))
+	must.Eq(t, []string{"no test was run"}, run.Failures(0, &bytes.Buffer{}))
 	passed := `{"Action":"run","Package":"example/a","Test":"TestOne"}` + "\n" + `{"Action":"pass","Package":"example/a","Test":"TestOne"}` + "\n"
 	must.NoError(t, run.Read(strings.NewReader(passed), &bytes.Buffer{}))
-	must.SliceLen(t, 1, run.Judge(1, &bytes.Buffer{}))
-	must.SliceEmpty(t, run.Judge(0, &bytes.Buffer{}))
+	must.SliceLen(t, 1, run.Failures(1, &bytes.Buffer{}))
+	must.SliceEmpty(t, run.Failures(0, &bytes.Buffer{}))
 	must.NoError(t, run.Read(strings.NewReader(`{"Action":"run","Package":"example/a","Test":"TestOne"}`+"\n"), &bytes.Buffer{}))
-	must.SliceContains(t, run.Judge(1, &bytes.Buffer{}), "example/a.TestOne: began and did not end")
+	must.SliceContains(t, run.Failures(1, &bytes.Buffer{}), "example/a.TestOne: began and did not end")
 }
 
 // Guards against accepting a list with an invalid line or with too many lines.
@@ -108,7 +108,7 @@
 		_, err := verdict.ParseKnown(strings.NewReader(line))
 		must.ErrorIs(t, err, verdict.ErrInvalidKnown, must.Sprint(line))
 	}
-	none, err := verdict.LoadKnown(filepath.Join(t.TempDir(), "none.txt"))
+	none, err := verdict.LoadKnownFailures(filepath.Join(t.TempDir(), "none.txt"))
 	must.NoError(t, err)
 	must.SliceEmpty(t, none)
 }
--- a/internal/metering/cluster_test.go
+++ b/internal/metering/cluster_test.go
@@ -210,7 +210,7 @@
 // startFront starts a process of a front.
 func (cluster *cluster) startFront(index int) {
 	name := fmt.Sprint("front-", index)
-	clock, windows := metering.NewClock(clock.Steady()), metering.Windows{Length: windowLength}
+	clock, windows := metering.NewClock(clock.Monotonic()), metering.Windows{Length: windowLength}
 	ctx, stop := context.WithCancel(context.Background())
 	cluster.mu.Lock()
 	cluster.incarnations++
@@ -231,7 +231,7 @@
 
 // startCandidate starts a process of a candidate for the reporter role.
 func (cluster *cluster) startCandidate(name string) {
-	clock, windows := metering.NewClock(clock.Steady()), metering.Windows{Length: windowLength}
+	clock, windows := metering.NewClock(clock.Monotonic()), metering.Windows{Length: windowLength}
 	ledger := metering.NewLedger(windows, clock)
 	store := nodeStore{cluster.store, cluster, name}
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/metering/history_test.go
+++ b/internal/metering/history_test.go
@@ -177,7 +177,7 @@
 			_, err := store.Commit(t.Context(), metadata.Txn{Puts: []metadata.Put{{Key: "holder", Value: []byte(holder)}}})
 			must.NoError(t, err)
 		}
-		clock, windows := metering.NewClock(clock.Steady()), metering.Windows{Length: windowLength}
+		clock, windows := metering.NewClock(clock.Monotonic()), metering.Windows{Length: windowLength}
 		reporter := &metering.Reporter{
 			Node: "former", Windows: windows, Clock: clock, Ledger: metering.NewLedger(windows, clock), Store: store, Sink: taken, Logger: log.New(io.Discard),
 		}
--- a/internal/metering/ledger_test.go
+++ b/internal/metering/ledger_test.go
@@ -22,7 +22,7 @@
 // Tallies may arrive repeatedly, late and out of order: only the newest of each process must count, and only once.
 func TestLedgerTakesTheNewest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ledger := NewLedger(testWindows, NewClock(clock.Steady()))
+		ledger := NewLedger(testWindows, NewClock(clock.Monotonic()))
 		present := testWindows.At(time.Now())
 		counted := func(window int64) int64 { report, _ := ledger.Report(window); return total(report) }
 		ledger.Merge(tally("a", 1, present, 2, 7))
@@ -51,7 +51,7 @@
 // A request that did not run must be withdrawn from the window in which it was counted.
 func TestMeter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		clock := NewClock(clock.Steady())
+		clock := NewClock(clock.Monotonic())
 		ledger := NewLedger(testWindows, clock)
 		meter := NewMeter("a", 1, testWindows, clock, ledger)
 		first := testWindows.At(time.Now())
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -96,7 +96,7 @@
 	router := &routing.Router{
 		Filters: []routing.Filter{
 			routing.Serviceable{Now: time.Now, MaxAge: config.Replicas.MaximumAge, Drained: func(replicaID string) bool {
-				return follower.Document().DrainedReplica(replicaID)
+				return follower.Document().IsDrained(replicaID)
 			}},
 			routing.HoldsVersion{},
 			routing.HasCapacity{},
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -49,9 +49,9 @@
 	Settings settings.Settings
 	Networks Networks
 	Logger   *log.Logger
-	// Life numbers the incarnation of the process. It must be greater than in every earlier process with the same node
+	// ProcessIncarnation numbers the incarnation of the process. It must be greater than in every earlier process with the same node
 	// identifier; the start time in milliseconds meets this.
-	Life uint64
+	ProcessIncarnation uint64
 	// Seed seeds the random number generator of the failure detector.
 	Seed uint64
 	// ProcessMetrics registers the metrics of the process. It must be false for nodes that share a process.
@@ -114,7 +114,7 @@
 // New assembles a node and opens its listeners and data folder. Start runs it.
 func New(options Options) (*Node, error) {
 	node := &Node{
-		settings: options.Settings, networks: options.Networks, processIncarnation: options.Life,
+		settings: options.Settings, networks: options.Networks, processIncarnation: options.ProcessIncarnation,
 		logger:   options.Logger.With("node", options.Settings.Node.ID),
 		follower: configuration.NewFollower(), loads: loads.NewTable(),
 	}
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -11,8 +11,8 @@
 // Revision returns the revision of the configuration in force.
 func (node *Node) Revision() uint64 { return node.follower.Document().Revision }
 
-// Sees reports whether the node is a live member in this node's view. Suspects count as live.
-func (node *Node) Sees(nodeID string) bool {
+// MemberLive reports whether the node is a live member in this node's view. Suspects count as live.
+func (node *Node) MemberLive(nodeID string) bool {
 	for _, member := range node.members.View().Live {
 		if member.NodeID == nodeID {
 			return true
@@ -24,8 +24,8 @@
 // LiveMembers returns the number of live members in this node's view, including itself.
 func (node *Node) LiveMembers() int { return len(node.members.View().Live) }
 
-// Serves reports whether this node considers a replica to be serving, by its newest digest.
-func (node *Node) Serves(replicaID string) bool {
+// ReplicaServing reports whether this node considers a replica to be serving, by its newest digest.
+func (node *Node) ReplicaServing(replicaID string) bool {
 	replica := node.loads.Get(replicaID)
 	if replica == nil {
 		return false
@@ -37,8 +37,8 @@
 // KnownReplicas returns the number of replicas with a load digest on this node.
 func (node *Node) KnownReplicas() int { return len(node.loads.List()) }
 
-// FalseDeaths returns the number of suspicions that this node received or raised, and how often it refuted its own death.
-func (node *Node) FalseDeaths() (suspicions, deaths int) {
+// SuspicionsAndRefutations returns the number of suspicions that this node received or raised, and how often it refuted its own death.
+func (node *Node) SuspicionsAndRefutations() (suspicions, deaths int) {
 	counters := node.members.Counters()
 	return counters.Suspects, counters.RefutedDeaths
 }
--- a/internal/node/query.go
+++ b/internal/node/query.go
@@ -131,7 +131,7 @@
 			state = "failed"
 		case digest.Leaving:
 			state = "leaving"
-		case document.DrainedReplica(digest.ID):
+		case document.IsDrained(digest.ID):
 			state = "drained"
 		case time.Since(digest.Received()) > node.settings.Replicas.MaximumAge:
 			state = "silent"
--- a/internal/role/front.go
+++ b/internal/role/front.go
@@ -100,7 +100,7 @@
 
 // NewFront returns a front. It does nothing until Start is called.
 func NewFront(options FrontOptions) *Front {
-	options.Clock = clock.OrSteady(options.Clock)
+	options.Clock = clock.OrMonotonic(options.Clock)
 	ctx, cancel := context.WithCancel(context.Background())
 	loads := backend.NewLoads()
 	self := &clusterv1.NodeRecord{Name: options.Node, Address: options.PeerAddress, Zone: options.Zone, Role: options.Role, Life: options.Incarnation, Cores: options.Cores, Capabilities: capability.Own()}
@@ -153,7 +153,7 @@
 	})
 	go monitor.Run(front.ctx)
 	go front.guard.Run(front.ctx)
-	go (&clock.Watch{Clock: front.Clock, Logger: front.Logger, Metrics: front.Metrics, OnResume: front.handleResume}).Run(front.ctx)
+	go (&clock.SuspensionDetector{Clock: front.Clock, Logger: front.Logger, Metrics: front.Metrics, OnResume: front.handleResume}).Run(front.ctx)
 	go subscriber.Run(front.ctx)
 	if front.StartOrderer != nil {
 		go front.standBy(front.ctx)
--- a/internal/role/orderer.go
+++ b/internal/role/orderer.go
@@ -95,7 +95,7 @@
 
 // NewOrderer returns a candidate. It does nothing until Start is called.
 func NewOrderer(options OrdererOptions) *Orderer {
-	options.Clock = clock.OrSteady(options.Clock)
+	options.Clock = clock.OrMonotonic(options.Clock)
 	ctx, cancel := context.WithCancel(context.Background())
 	self := &clusterv1.NodeRecord{Name: options.Node, Address: options.PeerAddress, Role: options.Role, Life: options.Incarnation}
 	weightsOrderer := weights.NewOrderer(options.Node, options.Catalog, options.Replicas, loadShare, options.Logger)
--- a/internal/weights/election.go
+++ b/internal/weights/election.go
@@ -121,7 +121,7 @@
 
 // Run takes part in the election until the context ends. It calls lead for each term, with a context that ends with the term.
 func (election *Election) Run(ctx context.Context, lead func(context.Context, *Term)) {
-	election.Clock = clock.OrSteady(election.Clock)
+	election.Clock = clock.OrMonotonic(election.Clock)
 	go election.health.Run(ctx)
 	follower := metadata.Follower{Store: election.Store, Prefix: electionPrefix, Handler: election, Logger: election.Logger, Health: election.health, Wait: func() time.Duration { return electionWatchTimeout }}
 	go follower.Run(ctx)
--- a/internal/weights/suspension_test.go
+++ b/internal/weights/suspension_test.go
@@ -34,7 +34,7 @@
 func withTerm(t *testing.T, run func(term *weights.Term, machine *suspendable, store *memstore.Store)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		machine, store := &suspendable{Clock: clock.Steady()}, memstore.New()
+		machine, store := &suspendable{Clock: clock.Monotonic()}, memstore.New()
 		election := weights.NewElection(store, "node", electionSettings, log.New(io.Discard))
 		election.Clock = machine
 		var term atomic.Pointer[weights.Term]
@@ -76,7 +76,7 @@
 // An orderer gives no order under its old term after a suspension.
 func TestSuspendedOrdererGivesNoOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engines, machine := newEngines(4), &suspendable{Clock: clock.Steady()}
+		engines, machine := newEngines(4), &suspendable{Clock: clock.Monotonic()}
 		ctx, cancel := context.WithCancel(t.Context())
 		orderer := weights.NewOrderer("node", engines.table, engines, 0.5, log.New(io.Discard))
 		store := &nodeStore{Store: memstore.New()}
