--- a/cmd/thistlewalk-lab/scenario.go
+++ b/cmd/thistlewalk-lab/scenario.go
@@ -52,8 +52,8 @@
 	return scenario.Parse(content)
 }
 
-// runSide runs one side of a scenario, the system or a baseline, in its own bubble of modelled time.
-func runSide(t *testing.T, spec scenario.Spec, side scenario.Variant, seed uint64) (scenario.Result, error) {
+// runVariant runs one variant of a scenario, the system or a baseline, in its own bubble of modelled time.
+func runVariant(t *testing.T, spec scenario.Spec, variant scenario.Variant, seed uint64) (scenario.Result, error) {
 	logger, err := logging.New(io.Discard, "fatal")
 	if err != nil {
 		return scenario.Result{}, err
@@ -61,7 +61,7 @@
 	var result scenario.Result
 	err = bubble.Run(t, func(folder string) error {
 		var err error
-		result, err = scenario.Run(spec, side, seed, folder, logger)
+		result, err = scenario.Run(spec, variant, seed, folder, logger)
 		return err
 	})
 	return result, err
@@ -72,9 +72,9 @@
 	if err != nil {
 		return err
 	}
-	side := scenario.Variants()[0]
+	variant := scenario.Variants()[0]
 	bubble.Main(func(t *testing.T) bool {
-		result, err := runSide(t, spec, side, command.Uint64("seed"))
+		result, err := runVariant(t, spec, variant, command.Uint64("seed"))
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "thistlewalk-lab:", err)
 			return false
@@ -82,7 +82,7 @@
 		result.Report.WriteText(os.Stdout)
 		fmt.Printf("Idle %.1f s in all over %d steps; modelled time %s.\n", result.Report.TrainerIdleSeconds, len(result.Idle), result.Modelled)
 		if folder := command.String("report"); folder != "" {
-			err = errors.CombineErrors(report.Write(folder, spec.Name, side, result), writeReport(folder, result.Report))
+			err = errors.CombineErrors(report.Write(folder, spec.Name, variant, result), writeReport(folder, result.Report))
 		}
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "thistlewalk-lab:", err)
@@ -92,12 +92,12 @@
 	return nil
 }
 
-// comparisonRun is a run of one side with one seed. Its seed counts from 0; the seed of the scenario is greater by one.
+// comparisonRun is a run of one variant with one seed. Its seed counts from 0; the seed of the scenario is greater by one.
 type comparisonRun struct {
-	side   int
-	seed   int
-	result scenario.Result
-	err    error
+	variant int
+	seed    int
+	result  scenario.Result
+	err     error
 }
 
 func compareScenario(_ context.Context, command *cli.Command) error {
@@ -106,35 +106,35 @@
 		return err
 	}
 	seeds := command.Int("seeds")
-	sides := scenario.Variants()
+	variants := scenario.Variants()
 	bubble.Main(func(t *testing.T) bool {
 		var runs []*comparisonRun
 		for seed := range seeds {
-			for side := range sides {
-				runs = append(runs, &comparisonRun{side: side, seed: seed})
+			for variant := range variants {
+				runs = append(runs, &comparisonRun{variant: variant, seed: seed})
 			}
 		}
 		bubble.Each(t, runs, func(t *testing.T, run *comparisonRun) {
-			run.result, run.err = runSide(t, spec, sides[run.side], uint64(run.seed+1))
+			run.result, run.err = runVariant(t, spec, variants[run.variant], uint64(run.seed+1))
 		})
-		return writeComparison(spec, seeds, sides, runs)
+		return writeComparison(spec, seeds, variants, runs)
 	})
 	return nil
 }
 
 // writeComparison prints the comparison and reports whether all runs succeeded without violating a guarantee.
-func writeComparison(spec scenario.Spec, seeds int, sides []scenario.Variant, runs []*comparisonRun) bool {
-	results := make([][]scenario.Result, len(sides))
+func writeComparison(spec scenario.Spec, seeds int, variants []scenario.Variant, runs []*comparisonRun) bool {
+	results := make([][]scenario.Result, len(variants))
 	bound, ok := 0.0, true
 	for _, run := range runs {
 		if run.err != nil {
-			fmt.Printf("%s, seed %d: %v\n", sides[run.side].Name, run.seed+1, run.err)
+			fmt.Printf("%s, seed %d: %v\n", variants[run.variant].Name, run.seed+1, run.err)
 			ok = false
 			continue
 		}
-		results[run.side] = append(results[run.side], run.result)
+		results[run.variant] = append(results[run.variant], run.result)
 		for _, example := range run.result.Report.Examples {
-			fmt.Printf("%s, seed %d: %s\n", sides[run.side].Name, run.seed+1, example)
+			fmt.Printf("%s, seed %d: %s\n", variants[run.variant].Name, run.seed+1, example)
 		}
 		for _, step := range run.result.Bound {
 			bound += step.Seconds() / float64(len(run.result.Bound)*len(runs))
@@ -143,9 +143,9 @@
 	if !ok {
 		return false
 	}
-	summaries := make([]scenario.Summary, 0, len(sides))
-	for index, side := range sides {
-		summaries = append(summaries, scenario.Summarize(side, results[index]))
+	summaries := make([]scenario.Summary, 0, len(variants))
+	for index, variant := range variants {
+		summaries = append(summaries, scenario.Summarize(variant, results[index]))
 	}
 	return scenario.WriteComparison(os.Stdout, spec, seeds, bound, summaries) == 0
 }
--- a/cmd/thistlewalk-rollout/crash_test.go
+++ b/cmd/thistlewalk-rollout/crash_test.go
@@ -77,10 +77,10 @@
 	go func() { _ = server.Serve(listener) }() // returns when the replica crashes or the test ends
 	deployment.t.Cleanup(func() { server.Close() })
 	address = listener.Addr().String()
-	register := func() { deployment.put("servers/"+replica.ID, replica.Entry(address)) }
+	register := func() { deployment.put("servers/"+replica.ID, replica.RegistryEntry(address)) }
 	replica.OnChange = register
 	var once sync.Once
-	replica.OnEnd = func(string) {
+	replica.OnCrash = func(string) {
 		once.Do(func() {
 			crashes.add(time.Now())
 			server.Close()
@@ -110,7 +110,7 @@
 	}
 	for index := range 3 {
 		replica := site.NewReplica(fmt.Sprint(service, index), service, model)
-		replica.EndsUnder, replica.EndTime, replica.WorkTime = crashBody, timeToCrash, 10*time.Millisecond
+		replica.CrashBody, replica.CrashDelay, replica.WorkTime = crashBody, timeToCrash, 10*time.Millisecond
 		deployment.serveCrashing(replica, "127.0.0.1:0", crashes)
 	}
 	deployment.put("op/config", fmt.Appendf(nil, configurationDocument, 3))
--- a/cmd/thistlewalk-rollout/restart_test.go
+++ b/cmd/thistlewalk-rollout/restart_test.go
@@ -13,11 +13,11 @@
 
 // restartReplica restarts a replica under its identifier at a new address, before the registry entry of its previous incarnation has expired.
 func (deployment *deployment) restartReplica(id string, startedAt int64) {
-	restarted := deployment.replicas[id].StartAgain(startedAt)
+	restarted := deployment.replicas[id].RestartInPlace(startedAt)
 	server := httptest.NewServer(restarted)
 	deployment.t.Cleanup(server.Close)
 	register := func() {
-		deployment.put("servers/"+id, restarted.Entry(strings.TrimPrefix(server.URL, "http://")))
+		deployment.put("servers/"+id, restarted.RegistryEntry(strings.TrimPrefix(server.URL, "http://")))
 	}
 	restarted.OnChange = register
 	deployment.replicas[id] = restarted
@@ -71,7 +71,7 @@
 		id := fmt.Sprint("q", index)
 		status, _, _ := deployment.call(front, http.MethodPost, "/book/1", id, "x")
 		must.Eq(t, http.StatusOK, status)
-		must.Zero(t, deployment.replicas["a1"].Ran(id))
+		must.Zero(t, deployment.replicas["a1"].RunCount(id))
 	}
 	deployment.replicas["a1"].OnChange()
 	eventually(t, 3*time.Second, "the next valid entry registers the replica again", func() bool { return front.front.Catalog.Replicas().FindByName("a1") != nil })
--- a/cmd/thistlewalk-rollout/site_test.go
+++ b/cmd/thistlewalk-rollout/site_test.go
@@ -98,7 +98,7 @@
 	server := httptest.NewServer(replica)
 	deployment.t.Cleanup(server.Close)
 	register := func() {
-		deployment.put("servers/"+replica.ID, replica.Entry(strings.TrimPrefix(server.URL, "http://")))
+		deployment.put("servers/"+replica.ID, replica.RegistryEntry(strings.TrimPrefix(server.URL, "http://")))
 	}
 	replica.OnChange = register
 	deployment.replicas[replica.ID] = replica
@@ -255,8 +255,8 @@
 
 func runBatchJob(t *testing.T, deployment *deployment, first, second *runningFront) {
 	t.Helper()
-	deployment.replicas["e1"].SetFaults(site.ReplicaFaults{CutAfter: 2})
-	deployment.replicas["e2"].SetFaults(site.ReplicaFaults{Full: true})
+	deployment.replicas["e1"].SetFaults(site.ReplicaFaults{BreakAfterEvent: 2})
+	deployment.replicas["e2"].SetFaults(site.ReplicaFaults{RejectRequests: true})
 	status, _, _ := deployment.call(first, http.MethodPost, "/jobs/j1", "job1", `{"items":[]}`)
 	must.Eq(t, http.StatusBadRequest, status)
 	for _, front := range []*runningFront{first, second} { // submitted again at another node, the job must run only once
@@ -269,7 +269,7 @@
 	must.Eq(t, deployment.results(first, "job1"), deployment.results(second, "job1"))
 	for _, result := range deployment.results(second, "job1").Results {
 		var texts []string
-		for event := int64(1); event <= site.EventsOf(result.ID); event++ {
+		for event := int64(1); event <= site.EventCount(result.ID); event++ {
 			texts = append(texts, site.EventData(result.ID, event))
 		}
 		must.Eq(t, "completed", result.State)
@@ -306,7 +306,7 @@
 		must.Eq(t, []int64{2}, result.Versions)
 	}
 	for _, replica := range deployment.replicas {
-		for _, holder := range replica.Holders() {
+		for _, holder := range replica.OrderHolders() {
 			must.StrContains(t, holder, "orderer-")
 		}
 	}
@@ -374,7 +374,7 @@
 		must.Eq(t, http.StatusBadRequest, status, must.Sprint(name))
 	}
 	for _, replica := range deployment.replicas {
-		must.Eq(t, 0, replica.Ran("q")+replica.Ran("i")+replica.Ran(""))
+		must.Eq(t, 0, replica.RunCount("q")+replica.RunCount("i")+replica.RunCount(""))
 	}
 }
 
@@ -391,7 +391,7 @@
 	eventually(t, 16*time.Second, "the job is complete", func() bool { return len(deployment.results(second, "job1").Results) == 6 })
 	holders := make(map[string]bool)
 	for _, replica := range deployment.replicas {
-		for _, holder := range replica.Holders() {
+		for _, holder := range replica.OrderHolders() {
 			holders[strings.Fields(holder)[0]] = true
 		}
 	}
--- a/cmd/thistlewalk-rollout/tenants_test.go
+++ b/cmd/thistlewalk-rollout/tenants_test.go
@@ -36,7 +36,7 @@
 // callerSeenByReplica returns the tenant and the Authorization header that reached the replica which ran a request.
 func (deployment *deployment) callerSeenByReplica(id string) (tenant, authorization string) {
 	for _, replica := range deployment.replicas {
-		if replica.Ran(id) > 0 {
+		if replica.RunCount(id) > 0 {
 			caller := replica.CallerOf(id)
 			return caller.Tenant, caller.Authorization
 		}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -25,7 +25,7 @@
 	return Func(func() time.Duration { return time.Since(start) })
 }
 
-// OrMonotonic returns the given clock, or Steady if it is nil.
+// OrMonotonic returns the given clock, or Monotonic if it is nil.
 func OrMonotonic(clock Clock) Clock {
 	if clock == nil {
 		return Monotonic()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -30,11 +30,11 @@
 		var drift atomic.Int64
 		var suspensions []time.Duration
 		monotonic, logged := clock.Monotonic(), &bytes.Buffer{}
-		watch := &clock.SuspensionDetector{
+		detector := &clock.SuspensionDetector{
 			Clock:  clock.Func(func() time.Duration { return monotonic.Elapsed() + time.Duration(drift.Load()) }),
 			Logger: log.New(logged), OnResume: func(suspended time.Duration) { suspensions = append(suspensions, suspended) },
 		}
-		go watch.Run(ctx)
+		go detector.Run(ctx)
 		for range 20 { // 0.4 s in total
 			time.Sleep(500 * time.Millisecond)
 			drift.Add(int64(20 * time.Millisecond))
--- a/internal/clock/system_other.go
+++ b/internal/clock/system_other.go
@@ -2,5 +2,5 @@
 
 package clock
 
-// System returns Steady. Whether it includes suspensions depends on the operating system.
-func System() (Clock, error) { return Steady(), nil }
+// System returns Monotonic. Whether it includes suspensions depends on the operating system.
+func System() (Clock, error) { return Monotonic(), nil }
--- a/internal/clock/watch.go
+++ b/internal/clock/watch.go
@@ -23,27 +23,27 @@
 	Clock   Clock
 	Logger  *log.Logger
 	Metrics *telemetry.Metrics
-	// Woken is called after each suspension with its length.
+	// OnResume is called after each suspension with its length.
 	OnResume func(suspended time.Duration)
 }
 
 // Run compares the clocks until the context ends.
-func (watch *SuspensionDetector) Run(ctx context.Context) {
+func (detector *SuspensionDetector) Run(ctx context.Context) {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	monotonic := Monotonic()
-	offset := watch.Clock.Elapsed() - monotonic.Elapsed()
+	offset := detector.Clock.Elapsed() - monotonic.Elapsed()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		now := watch.Clock.Elapsed() - monotonic.Elapsed()
+		now := detector.Clock.Elapsed() - monotonic.Elapsed()
 		if suspended := now - offset; suspended >= minimumSuspension {
-			watch.Logger.Warn("machine was suspended", "suspended_ms", suspended.Milliseconds())
-			watch.Metrics.Suspended()
-			watch.OnResume(suspended)
+			detector.Logger.Warn("machine was suspended", "suspended_ms", suspended.Milliseconds())
+			detector.Metrics.Suspended()
+			detector.OnResume(suspended)
 		}
 		offset = now
 	}
--- a/internal/lab/bench/api_test.go
+++ b/internal/lab/bench/api_test.go
@@ -83,7 +83,7 @@
 	var failure *openai.Error
 	must.True(t, errors.As(err, &failure), must.Sprint(err))
 	must.Eq(t, "invalid_not_found", failure.Code)
-	must.Len(t, 3, site.Truth.StartedRequests())
+	must.Len(t, 3, site.EngineLog.StartedRequests())
 }
 
 func TestBadInputIsANumberedErrorAndNothingRuns(t *testing.T) {
@@ -146,7 +146,7 @@
 		_, err := client.Execute(t.Context(), running.API(), text)
 		must.Eq(t, want, result.CodeOf(err), must.Sprint(text))
 	}
-	for _, begun := range site.Truth.StartedRequests() {
+	for _, begun := range site.EngineLog.StartedRequests() {
 		must.StrHasPrefix(t, "s#", begun.RequestID, must.Sprint("only the good step runs"))
 	}
 }
@@ -161,7 +161,7 @@
 	must.Eq(t, first.Text, again.Text)
 	other := callers.Send(context.Background(), running.API(), "booking-1", "another seat", 20, false)
 	must.Eq(t, result.ConflictContent, other.Code)
-	must.Len(t, 1, site.Truth.StartedRequests())
+	must.Len(t, 1, site.EngineLog.StartedRequests())
 }
 
 func TestARolloutOfSeveralTurnsKeepsItsPolicyAndReplica(t *testing.T) {
--- a/internal/lab/bench/site.go
+++ b/internal/lab/bench/site.go
@@ -42,11 +42,11 @@
 
 // Site is a running simulated platform.
 type Site struct {
-	KeyValue *platform.KeyValue
-	Machines *platform.MachineList
-	Weights  *platform.WeightStore
-	Scorer   *platform.Scorer
-	Truth    *platform.EngineLog
+	KeyValue  *platform.KeyValue
+	Machines  *platform.MachineList
+	Weights   *platform.WeightStore
+	Scorer    *platform.Scorer
+	EngineLog *platform.EngineLog
 
 	network   network.Network
 	addresses Addresses
@@ -87,7 +87,7 @@
 func NewSite(site SiteSettings, transport network.Network, addresses Addresses, logger *log.Logger) (*Site, error) {
 	running := &Site{
 		KeyValue: platform.NewKeyValue(site.KeyValuePerSecond), Machines: platform.NewMachineList(site.MachineLag),
-		Weights: platform.NewWeightStore(site.WeightsPerSecond), Scorer: platform.NewScorer(site.ScoreDelay), Truth: platform.NewEngineLog(),
+		Weights: platform.NewWeightStore(site.WeightsPerSecond), Scorer: platform.NewScorer(site.ScoreDelay), EngineLog: platform.NewEngineLog(),
 		network: transport, addresses: addresses, settings: site, logger: logger,
 	}
 	for _, service := range []struct {
@@ -147,7 +147,7 @@
 	site.mu.Unlock()
 	started := &RunningEngine{ID: model.ID, Zone: zone}
 	client := network.NewClient(site.network, time.Minute, network.Connections{PerHost: 2})
-	started.Model = platform.NewEngine(model, site.Truth, func(ctx context.Context, policy string, version uint64) error {
+	started.Model = platform.NewEngine(model, site.EngineLog, func(ctx context.Context, policy string, version uint64) error {
 		return site.fetchWeights(ctx, client, policy, version)
 	})
 	address, server, err := site.startServer(zone.Name, started.Model.Handler())
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -264,7 +264,7 @@
 	received, requested := demo.trainer.Received()
 	calls := demo.callers.Calls()
 	evidence := bench.Evidence{
-		Begun: demo.site.Truth.StartedRequests(), Produced: demo.site.Truth.ProducedChunks(), Received: received, Requested: requested, Calls: calls,
+		Begun: demo.site.EngineLog.StartedRequests(), Produced: demo.site.EngineLog.ProducedChunks(), Received: received, Requested: requested, Calls: calls,
 		Bound: experiment.Bound{HasVersions: true, Versions: boundVersions},
 	}
 	report := bench.NewReport(demo.options.Seed, evidence)
--- a/internal/lab/hollow/day.go
+++ b/internal/lab/hollow/day.go
@@ -89,7 +89,7 @@
 	close(stopWatching)
 	background.Wait()
 	received, requested := trainer.Received()
-	outcome.Verdict = bench.Judge(bench.Evidence{Begun: fleet.site.Truth.StartedRequests(), Produced: fleet.site.Truth.ProducedChunks(),
+	outcome.Verdict = bench.Judge(bench.Evidence{Begun: fleet.site.EngineLog.StartedRequests(), Produced: fleet.site.EngineLog.ProducedChunks(),
 		Received: received, Requested: requested, Bound: experiment.Bound{HasVersions: true, Versions: 2}})
 	return outcome, trainingError
 }
--- a/internal/lab/platform/engine.go
+++ b/internal/lab/platform/engine.go
@@ -89,7 +89,7 @@
 func NewEngine(settings EngineSettings, log *EngineLog, fetchWeights func(ctx context.Context, policy string, version uint64) error) *Engine {
 	ctx, stop := context.WithCancel(context.Background())
 	if settings.RoundInterval == 0 {
-		settings.RoundInterval = defaultRoundTime
+		settings.RoundInterval = defaultRoundInterval
 	}
 	return &Engine{settings: settings, log: log, fetchWeights: fetchWeights, policies: make(map[string]*policyWeights),
 		cache: newPrefixCache(settings.CachedPrefixes), ctx: ctx, stop: stop}
--- a/internal/lab/platform/site/cloud.go
+++ b/internal/lab/platform/site/cloud.go
@@ -17,35 +17,35 @@
 	At     time.Time
 }
 
-// CloudFaults are the injected faults. The zero value injects none.
-type CloudFaults struct {
+// UsageFaults are the injected faults. The zero value injects none.
+type UsageFaults struct {
 	// Down rejects reports without recording them. Lost records reports and closes the connection without a response.
 	Down, Lost bool
 }
 
-// Cloud is the platform's endpoint for usage reports. It is safe for concurrent use.
-type Cloud struct {
+// UsageEndpoint is the platform's endpoint for usage reports. It is safe for concurrent use.
+type UsageEndpoint struct {
 	mu      sync.Mutex
-	faults  CloudFaults
+	faults  UsageFaults
 	reports []UsageReport
 }
 
 // SetFaults replaces the injected faults.
-func (cloud *Cloud) SetFaults(faults CloudFaults) {
-	cloud.mu.Lock()
-	defer cloud.mu.Unlock()
-	cloud.faults = faults
+func (endpoint *UsageEndpoint) SetFaults(faults UsageFaults) {
+	endpoint.mu.Lock()
+	defer endpoint.mu.Unlock()
+	endpoint.faults = faults
 }
 
 // Reports returns the accepted reports, oldest first.
-func (cloud *Cloud) Reports() []UsageReport {
-	cloud.mu.Lock()
-	defer cloud.mu.Unlock()
-	return append([]UsageReport(nil), cloud.reports...)
+func (endpoint *UsageEndpoint) Reports() []UsageReport {
+	endpoint.mu.Lock()
+	defer endpoint.mu.Unlock()
+	return append([]UsageReport(nil), endpoint.reports...)
 }
 
 // ServeHTTP serves the endpoint /usage.
-func (cloud *Cloud) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (endpoint *UsageEndpoint) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	report := struct {
 		Window int64            `json:"window-id"`
 		Counts map[string]int64 `json:"counts"`
@@ -56,12 +56,12 @@
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	cloud.mu.Lock()
-	faults := cloud.faults
+	endpoint.mu.Lock()
+	faults := endpoint.faults
 	if !faults.Down {
-		cloud.reports = append(cloud.reports, UsageReport{Holder: holder, Fence: fence, Window: report.Window, Counts: report.Counts, At: time.Now()})
+		endpoint.reports = append(endpoint.reports, UsageReport{Holder: holder, Fence: fence, Window: report.Window, Counts: report.Counts, At: time.Now()})
 	}
-	cloud.mu.Unlock()
+	endpoint.mu.Unlock()
 	switch {
 	case faults.Down:
 		writer.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/lab/platform/site/executions.go
+++ b/internal/lab/platform/site/executions.go
@@ -10,20 +10,20 @@
 	Request, Replica string
 	Started          time.Time
 	Caller           Caller
-	// Resumed is the ID of the last event before this execution; zero if it started from the beginning.
-	Resumed int64
+	// ResumedAfter is the ID of the last event before this execution; zero if it started from the beginning.
+	ResumedAfter int64
 	// Events holds the events that this execution generated, by event ID.
-	Events map[int64]EventRecord
+	Events map[int64]ProducedEvent
 }
 
-// EventRecord records the version of the weights that generated an event, and the time.
-type EventRecord struct {
+// ProducedEvent records the version of the weights that generated an event, and the time.
+type ProducedEvent struct {
 	Version int64
 	At      time.Time
 }
 
-// OrderTaken is an order that a replica accepted.
-type OrderTaken struct {
+// ReceivedOrder is an order that a replica accepted.
+type ReceivedOrder struct {
 	Replica, Holder string
 	Fence           int64
 	At              time.Time
@@ -34,7 +34,7 @@
 type Executions struct {
 	mu     sync.Mutex
 	byID   map[string][]*Execution
-	orders []OrderTaken
+	orders []ReceivedOrder
 }
 
 // NewExecutions returns an empty log.
@@ -45,7 +45,7 @@
 	if log == nil {
 		return nil
 	}
-	execution := &Execution{Request: request, Replica: replica, Caller: caller, Started: time.Now(), Resumed: resumed, Events: make(map[int64]EventRecord)}
+	execution := &Execution{Request: request, Replica: replica, Caller: caller, Started: time.Now(), ResumedAfter: resumed, Events: make(map[int64]ProducedEvent)}
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	log.byID[request] = append(log.byID[request], execution)
@@ -59,11 +59,11 @@
 	}
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	execution.Events[event] = EventRecord{Version: version, At: time.Now()}
+	execution.Events[event] = ProducedEvent{Version: version, At: time.Now()}
 }
 
 // recordOrder records an accepted order.
-func (log *Executions) recordOrder(order OrderTaken) {
+func (log *Executions) recordOrder(order ReceivedOrder) {
 	if log == nil {
 		return
 	}
@@ -80,7 +80,7 @@
 	var list []Execution
 	for _, execution := range log.byID[request] {
 		copied := *execution
-		copied.Events = make(map[int64]EventRecord, len(execution.Events))
+		copied.Events = make(map[int64]ProducedEvent, len(execution.Events))
 		for event, record := range execution.Events {
 			copied.Events[event] = record
 		}
@@ -105,8 +105,8 @@
 }
 
 // Orders returns the accepted orders, oldest first.
-func (log *Executions) Orders() []OrderTaken {
+func (log *Executions) Orders() []ReceivedOrder {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	return append([]OrderTaken(nil), log.orders...)
+	return append([]ReceivedOrder(nil), log.orders...)
 }
--- a/internal/lab/platform/site/replica.go
+++ b/internal/lab/platform/site/replica.go
@@ -14,12 +14,12 @@
 // Replica is one replica of a service: a model engine if Model is set, otherwise an application.
 type Replica struct {
 	ID string
-	// Born is the start time of the process in Unix milliseconds; zero leaves it out of the replica's entry.
-	Born    int64
-	Service string
-	Zone    string
-	Slots   int
-	Model   string
+	// StartedAt is the start time of the process in Unix milliseconds; zero leaves it out of the replica's entry.
+	StartedAt int64
+	Service   string
+	Zone      string
+	Slots     int
+	Model     string
 	// EventTime is the interval between two events of a stream. LoadTime is the duration of a version change. WorkTime is the
 	// time from the request to the start of the response.
 	EventTime, LoadTime, WorkTime time.Duration
@@ -34,14 +34,14 @@
 	callers    map[string]Caller
 	refused    int
 	holders    []string
-	// OnChange is called after a change of the state that Entry returns.
+	// OnChange is called after a change of the state that RegistryEntry returns.
 	OnChange func()
-	// EndsUnder marks the requests that crash the replica: it crashes EndTime after it starts a request whose body contains
+	// CrashBody marks the requests that crash the replica: it crashes CrashDelay after it starts a request whose body contains
 	// this text. The empty string disables crashes.
-	EndsUnder string
-	EndTime   time.Duration
-	// OnEnd is called when the replica crashes. It must close all connections of the replica.
-	OnEnd func(request string)
+	CrashBody  string
+	CrashDelay time.Duration
+	// OnCrash is called when the replica crashes. It must close all connections of the replica.
+	OnCrash func(request string)
 	// Log records executions and orders; nil disables it.
 	Log      *Executions
 	draining bool
@@ -49,21 +49,21 @@
 
 // ReplicaFaults are the injected faults. The zero value injects none.
 type ReplicaFaults struct {
-	// CutAfter is the ID of the last event that a stream sends whole; the stream breaks inside the next one. Zero disables it.
-	CutAfter int64
-	// OtherAnswer makes responses carry the ID of another request.
-	OtherAnswer bool
+	// BreakAfterEvent is the ID of the last event that a stream sends whole; the stream breaks inside the next one. Zero disables it.
+	BreakAfterEvent int64
+	// WrongRequestID makes responses carry the ID of another request.
+	WrongRequestID bool
 	// CloseSilently closes the connection without a response after the request has been executed.
 	CloseSilently bool
-	// Full makes the replica reject requests.
-	Full bool
+	// RejectRequests makes the replica reject requests.
+	RejectRequests bool
 }
 
 // NewReplica returns a replica that serves version 1 of its weights.
 func NewReplica(id, service, model string) *Replica {
 	return &Replica{
 		ID: id, Service: service, Model: model, Slots: 8, EventTime: 5 * time.Millisecond, LoadTime: 50 * time.Millisecond,
-		version: 1, runCounts: make(map[string]int), requests: make(map[string]string), callers: make(map[string]Caller), OnChange: func() {}, OnEnd: func(string) {},
+		version: 1, runCounts: make(map[string]int), requests: make(map[string]string), callers: make(map[string]Caller), OnChange: func() {}, OnCrash: func(string) {},
 	}
 }
 
@@ -75,14 +75,14 @@
 	next.Zone, next.Slots = replica.Zone, replica.Slots
 	next.EventTime, next.LoadTime, next.WorkTime = replica.EventTime, replica.LoadTime, replica.WorkTime
 	next.version, next.Log = replica.version, replica.Log
-	next.EndsUnder, next.EndTime = replica.EndsUnder, replica.EndTime
+	next.CrashBody, next.CrashDelay = replica.CrashBody, replica.CrashDelay
 	return next
 }
 
-// StartAgain returns a new incarnation of the replica under the same ID. It serves version 1 and counts orders from zero.
-func (replica *Replica) StartAgain(born int64) *Replica {
+// RestartInPlace returns a new incarnation of the replica under the same ID. It serves version 1 and counts orders from zero.
+func (replica *Replica) RestartInPlace(startedAt int64) *Replica {
 	next := replica.Restart(replica.ID)
-	next.Born, next.version = born, 1
+	next.StartedAt, next.version = startedAt, 1
 	return next
 }
 
@@ -101,8 +101,8 @@
 	replica.faults = faults
 }
 
-// Ran returns how often this replica has started to execute a request.
-func (replica *Replica) Ran(id string) int {
+// RunCount returns how often this replica has started to execute a request.
+func (replica *Replica) RunCount(id string) int {
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
 	return replica.runCounts[id]
@@ -115,15 +115,15 @@
 	return replica.version
 }
 
-// Holders returns the holder and the fence of each accepted order, as "holder fence".
-func (replica *Replica) Holders() []string {
+// OrderHolders returns the holder and the fence of each accepted order, as "holder fence".
+func (replica *Replica) OrderHolders() []string {
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
 	return append([]string(nil), replica.holders...)
 }
 
-// Entry returns the JSON document with which the replica registers itself.
-func (replica *Replica) Entry(address string) []byte {
+// RegistryEntry returns the JSON document with which the replica registers itself.
+func (replica *Replica) RegistryEntry(address string) []byte {
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
 	state := "ready"
@@ -134,8 +134,8 @@
 		"service": replica.Service, "address": address, "zone": replica.Zone, "slots": replica.Slots, "state": state, "version": "v1",
 		"seq-no": 17, "cold-left-ms": 0,
 	}
-	if replica.Born > 0 {
-		entry["born"] = replica.Born
+	if replica.StartedAt > 0 {
+		entry["born"] = replica.StartedAt
 	}
 	if replica.Model != "" {
 		entry["models"] = []map[string]any{{"name": replica.Model, "version": replica.version, "adapters": []string{}}}
@@ -144,8 +144,8 @@
 	return encoded
 }
 
-// EventsOf returns the number of events in the stream of an item.
-func EventsOf(id string) int64 { return int64(len(id))%4 + 3 }
+// EventCount returns the number of events in the stream of an item.
+func EventCount(id string) int64 { return int64(len(id))%4 + 3 }
 
 // EventData returns the data of an event of an item.
 func EventData(id string, event int64) string { return fmt.Sprintf("%s/%d", id, event) }
@@ -178,7 +178,7 @@
 	caller := Caller{Tenant: request.Header.Get("Tenant"), Authorization: request.Header.Get("Authorization")}
 	replica.mu.Lock()
 	faults, loading := replica.faults, replica.loading
-	refuse := faults.Full || (loading && replica.Model != "")
+	refuse := faults.RejectRequests || (loading && replica.Model != "")
 	if refuse {
 		replica.refused++
 	} else {
@@ -194,9 +194,9 @@
 	}
 	after, _ := strconv.ParseInt(request.Header.Get("Last-Event-Id"), 10, 64)
 	execution := replica.Log.recordStart(id, replica.ID, caller, after)
-	if replica.EndsUnder != "" && strings.Contains(string(body), replica.EndsUnder) {
-		time.Sleep(replica.EndTime)
-		replica.OnEnd(id)
+	if replica.CrashBody != "" && strings.Contains(string(body), replica.CrashBody) {
+		time.Sleep(replica.CrashDelay)
+		replica.OnCrash(id)
 		panic(http.ErrAbortHandler)
 	}
 	time.Sleep(replica.workTime(request))
@@ -204,7 +204,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	writer.Header().Set("Request-Id", id)
-	if faults.OtherAnswer {
+	if faults.WrongRequestID {
 		writer.Header().Set("Request-Id", "another")
 	}
 	writer.Header().Set("Server-Stamp", "stamp."+replica.ID+"."+id)
@@ -247,13 +247,13 @@
 	writer.Header().Set("Content-Type", "text/event-stream")
 	writer.Header().Set("Weight-Versions", strconv.FormatInt(version, 10))
 	flusher, _ := writer.(http.Flusher)
-	for event := after + 1; event <= EventsOf(id); event++ {
+	for event := after + 1; event <= EventCount(id); event++ {
 		select {
 		case <-request.Context().Done():
 			return
 		case <-time.After(replica.EventTime):
 		}
-		if faults.CutAfter > 0 && event > faults.CutAfter {
+		if faults.BreakAfterEvent > 0 && event > faults.BreakAfterEvent {
 			_, _ = fmt.Fprintf(writer, "id: %d\nda", event)
 			panic(http.ErrAbortHandler)
 		}
@@ -294,7 +294,7 @@
 		replica.orderCount++
 		replica.loading = true
 		replica.holders = append(replica.holders, fmt.Sprint(order.Holder, " ", order.Fence))
-		replica.Log.recordOrder(OrderTaken{Replica: replica.ID, Holder: order.Holder, Fence: order.Fence})
+		replica.Log.recordOrder(ReceivedOrder{Replica: replica.ID, Holder: order.Holder, Fence: order.Fence})
 		time.AfterFunc(replica.LoadTime, func() { replica.finishLoad(order.Version) })
 		writer.WriteHeader(http.StatusAccepted)
 	}
@@ -311,7 +311,7 @@
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
 	_ = json.NewEncoder(writer).Encode(map[string]any{ // fails if the caller has disconnected
-		"born": replica.Born, "stage": "both", "busy": replica.loading, "seq-no": replica.orderCount, "num-waiting": 0, "num-running": 0,
+		"born": replica.StartedAt, "stage": "both", "busy": replica.loading, "seq-no": replica.orderCount, "num-waiting": 0, "num-running": 0,
 		"models": []map[string]any{{"name": replica.Model, "version": replica.version, "adapters": []string{}}},
 	})
 }
--- a/internal/lab/platform/soak/checks_test.go
+++ b/internal/lab/platform/soak/checks_test.go
@@ -45,7 +45,7 @@
 
 func wholeText(item string) string {
 	var texts []string
-	for event := int64(1); event <= site.EventsOf(item); event++ {
+	for event := int64(1); event <= site.EventCount(item); event++ {
 		texts = append(texts, site.EventData(item, event))
 	}
 	return strings.Join(texts, "\n")
@@ -150,13 +150,13 @@
 // Guards against missing a second node that sends orders to a replica without a higher fence or within the lease of the first.
 func TestOrderChecksCanFail(t *testing.T) {
 	now := time.Unix(100, 0)
-	order := func(holder string, fence int64, after time.Duration) site.OrderTaken {
-		return site.OrderTaken{Replica: "r", Holder: holder, Fence: fence, At: now.Add(after)}
+	order := func(holder string, fence int64, after time.Duration) site.ReceivedOrder {
+		return site.ReceivedOrder{Replica: "r", Holder: holder, Fence: fence, At: now.Add(after)}
 	}
-	must.SliceEmpty(t, checkOrders([]site.OrderTaken{order("a", 1, 0), order("a", 1, time.Second), order("b", 2, time.Second+leaseDuration)}))
-	must.Len(t, 1, checkOrders([]site.OrderTaken{order("a", 1, 0), order("b", 2, leaseDuration/2)}))
-	must.Len(t, 1, checkOrders([]site.OrderTaken{order("a", 2, 0), order("b", 1, 2*leaseDuration)}))
-	must.Len(t, 1, checkOrders([]site.OrderTaken{order("a", 2, 0), order("b", 2, 2*leaseDuration)}))
+	must.SliceEmpty(t, checkOrders([]site.ReceivedOrder{order("a", 1, 0), order("a", 1, time.Second), order("b", 2, time.Second+leaseDuration)}))
+	must.Len(t, 1, checkOrders([]site.ReceivedOrder{order("a", 1, 0), order("b", 2, leaseDuration/2)}))
+	must.Len(t, 1, checkOrders([]site.ReceivedOrder{order("a", 2, 0), order("b", 1, 2*leaseDuration)}))
+	must.Len(t, 1, checkOrders([]site.ReceivedOrder{order("a", 2, 0), order("b", 2, 2*leaseDuration)}))
 }
 
 // Guards against accepting a usage report with a wrong count, and against rejecting one for a run near a boundary.
--- a/internal/lab/platform/soak/deployment.go
+++ b/internal/lab/platform/soak/deployment.go
@@ -85,7 +85,7 @@
 	tenants    bool
 	Store      *memstore.Store
 	Executions *site.Executions
-	Cloud      *site.Cloud
+	Cloud      *site.UsageEndpoint
 	Members    []*Member
 	Nodes      []*Node
 	storeHTTP  *httptest.Server
@@ -101,7 +101,7 @@
 
 // newDeployment starts the stand-ins and writes the settings of the nodes. It starts no process.
 func newDeployment(options Options, report func(Violation)) (*Deployment, error) {
-	store, cloud := memstore.New(), &site.Cloud{}
+	store, cloud := memstore.New(), &site.UsageEndpoint{}
 	deployment := &Deployment{
 		folder: options.Folder, programs: map[Build]string{BuildCurrent: options.Binary, BuildProduction: options.Production}, builds: options.Plan.Builds,
 		tenants: len(options.Plan.Builds) == 0, Store: store, Executions: site.NewExecutions(), report: report,
@@ -152,7 +152,7 @@
 	member.Link = link
 	replica := site.NewReplica(name+"-0", service, model)
 	replica.EventTime, replica.LoadTime, replica.WorkTime, replica.Log = eventTime, loadTime, workTime, deployment.Executions
-	replica.EndsUnder, replica.EndTime = crashBody, crashDelay
+	replica.CrashBody, replica.CrashDelay = crashBody, crashDelay
 	member.install(replica)
 	deployment.Members = append(deployment.Members, member)
 	return nil
@@ -161,7 +161,7 @@
 // install makes an incarnation the current one and registers it.
 func (member *Member) install(replica *site.Replica) {
 	replica.OnChange = func() { member.register(replica) }
-	replica.OnEnd = func(string) { member.crashAndRestart(replica) }
+	replica.OnCrash = func(string) { member.crashAndRestart(replica) }
 	member.mu.Lock()
 	member.replica, member.down = replica, false
 	member.mu.Unlock()
@@ -174,7 +174,7 @@
 	current := member.replica == replica && !member.down
 	member.mu.Unlock()
 	if current {
-		member.deployment.write("servers/"+replica.ID, replica.Entry(member.Link.Address()))
+		member.deployment.write("servers/"+replica.ID, replica.RegistryEntry(member.Link.Address()))
 	}
 }
 
--- a/internal/lab/platform/soak/faults.go
+++ b/internal/lab/platform/soak/faults.go
@@ -103,9 +103,9 @@
 	case KindConfigure:
 		deployment.Configure()
 	case KindCloudDown, KindCloudLost:
-		deployment.Cloud.SetFaults(site.CloudFaults{Down: event.Kind == KindCloudDown, Lost: event.Kind == KindCloudLost})
+		deployment.Cloud.SetFaults(site.UsageFaults{Down: event.Kind == KindCloudDown, Lost: event.Kind == KindCloudLost})
 		time.Sleep(event.For)
-		deployment.Cloud.SetFaults(site.CloudFaults{})
+		deployment.Cloud.SetFaults(site.UsageFaults{})
 	default:
 		injector.injectStoreFault(event)
 	}
@@ -306,7 +306,7 @@
 		defer member.noteLinkFault()()
 		setLinkStateFor(member.Link, event, []LinkState{{HoldAnswers: true}, {HoldRequests: true}, {Delay: slowLinkDelay}, {Refuse: true}}[event.Variant%4])
 	case KindReplicaBad:
-		faults := []site.ReplicaFaults{{Full: true}, {CutAfter: 2}, {OtherAnswer: true}, {CloseSilently: true}}[event.Variant%4]
+		faults := []site.ReplicaFaults{{RejectRequests: true}, {BreakAfterEvent: 2}, {WrongRequestID: true}, {CloseSilently: true}}[event.Variant%4]
 		replica := member.Current()
 		replica.SetFaults(faults)
 		time.Sleep(event.For)
--- a/internal/lab/platform/soak/soak.go
+++ b/internal/lab/platform/soak/soak.go
@@ -227,9 +227,9 @@
 
 // checkOrders checks that only one node at a time sends orders to a replica: a new holder has a higher fence and starts no earlier than a lease
 // duration after the last order of the previous holder.
-func checkOrders(orders []site.OrderTaken) []Violation {
+func checkOrders(orders []site.ReceivedOrder) []Violation {
 	var list []Violation
-	last := make(map[string]site.OrderTaken)
+	last := make(map[string]site.ReceivedOrder)
 	for _, order := range orders {
 		before, known := last[order.Replica]
 		last[order.Replica] = order
--- a/internal/lab/platform/soak/trainer.go
+++ b/internal/lab/platform/soak/trainer.go
@@ -305,7 +305,7 @@
 		return &Violation{Promise: PromiseText, Detail: entry.ID + " was terminated although the end of its job was not requested"}
 	}
 	var texts []string
-	for event := int64(1); event <= site.EventsOf(entry.ID); event++ {
+	for event := int64(1); event <= site.EventCount(entry.ID); event++ {
 		texts = append(texts, site.EventData(entry.ID, event))
 	}
 	if entry.State != stateCompleted || entry.Text != strings.Join(texts, "\n") {
@@ -324,7 +324,7 @@
 // minimum. It returns the problem found, or an empty string.
 func checkVersions(runs []site.Execution, job *trainerJob, entry result) string {
 	made := make(map[int64]bool)
-	for event := int64(1); event <= site.EventsOf(entry.ID); event++ {
+	for event := int64(1); event <= site.EventCount(entry.ID); event++ {
 		covered := false
 		for _, run := range runs {
 			if version, ok := run.Events[event]; ok {
@@ -347,7 +347,7 @@
 // checkScore checks that the score is the stamp of a scorer call that started after the text was complete. It returns the problem found, or an
 // empty string.
 func checkScore(executions *site.Executions, entry result) string {
-	last := site.EventsOf(entry.ID)
+	last := site.EventCount(entry.ID)
 	var completedAt time.Time
 	for _, run := range executions.Of(entry.ID) {
 		if made, ok := run.Events[last]; ok && (completedAt.IsZero() || made.At.Before(completedAt)) {
--- a/internal/lab/platform/streams.go
+++ b/internal/lab/platform/streams.go
@@ -153,7 +153,7 @@
 // queuePerSlot is the maximum queue length as a multiple of the capacity.
 const queuePerSlot = 8
 
-const defaultRoundTime = 5 * time.Millisecond
+const defaultRoundInterval = 5 * time.Millisecond
 
 // loop runs the batch until the engine is idle or closed.
 func (model *Engine) loop() {
--- a/internal/lab/platform/truth.go
+++ b/internal/lab/platform/truth.go
@@ -37,28 +37,28 @@
 // NewEngineLog returns an empty log.
 func NewEngineLog() *EngineLog { return &EngineLog{} }
 
-func (truth *EngineLog) recordStart(started StartedRequest) {
-	truth.mu.Lock()
-	defer truth.mu.Unlock()
-	truth.started = append(truth.started, started)
+func (log *EngineLog) recordStart(started StartedRequest) {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	log.started = append(log.started, started)
 }
 
-func (truth *EngineLog) recordChunk(produced ProducedChunk) {
-	truth.mu.Lock()
-	defer truth.mu.Unlock()
-	truth.produced = append(truth.produced, produced)
+func (log *EngineLog) recordChunk(produced ProducedChunk) {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	log.produced = append(log.produced, produced)
 }
 
 // StartedRequests returns every accepted attempt, in order.
-func (truth *EngineLog) StartedRequests() []StartedRequest {
-	truth.mu.Lock()
-	defer truth.mu.Unlock()
-	return append([]StartedRequest(nil), truth.started...)
+func (log *EngineLog) StartedRequests() []StartedRequest {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	return append([]StartedRequest(nil), log.started...)
 }
 
 // ProducedChunks returns every generated chunk, in order.
-func (truth *EngineLog) ProducedChunks() []ProducedChunk {
-	truth.mu.Lock()
-	defer truth.mu.Unlock()
-	return append([]ProducedChunk(nil), truth.produced...)
+func (log *EngineLog) ProducedChunks() []ProducedChunk {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	return append([]ProducedChunk(nil), log.produced...)
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -190,7 +190,7 @@
 `))
 
 // Write writes report.html and one PNG file per plot into a folder.
-func Write(folder, title string, side scenario.Variant, result scenario.Result) error {
+func Write(folder, title string, variant scenario.Variant, result scenario.Result) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return errors.Wrap(err, "report folder")
 	}
@@ -198,7 +198,7 @@
 	if err != nil {
 		return err
 	}
-	content := page{Title: title, Side: side.Name, Result: result, Written: time.Now().Format(time.RFC3339)}
+	content := page{Title: title, Side: variant.Name, Result: result, Written: time.Now().Format(time.RFC3339)}
 	if len(result.Idle) > 0 {
 		content.Idle = result.Report.TrainerIdleSeconds / float64(len(result.Idle))
 	}
--- a/internal/lab/scenario/compare.go
+++ b/internal/lab/scenario/compare.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Summary holds the results of a side over all seeds.
+// Summary holds the results of a variant over all seeds.
 type Summary struct {
 	Variant Variant
 	// The slices hold one value per seed. Idle is the mean time in seconds that the trainer waited for a step, Step the mean
@@ -22,9 +22,9 @@
 	Dropped                 int
 }
 
-// Summarize summarizes the results of a side, one for each seed.
-func Summarize(side Variant, results []Result) Summary {
-	summary := Summary{Variant: side}
+// Summarize summarizes the results of a variant, one for each seed.
+func Summarize(variant Variant, results []Result) Summary {
+	summary := Summary{Variant: variant}
 	for _, result := range results {
 		summary.Idle = append(summary.Idle, meanSeconds(result.Idle))
 		summary.Step = append(summary.Step, meanSeconds(result.Step))
@@ -69,7 +69,7 @@
 	return fmt.Sprintf("%.2f ± %.2f", mean, half)
 }
 
-// WriteComparison prints a table with one row per side and returns the total number of breaches. The first summary is that
+// WriteComparison prints a table with one row per variant and returns the total number of breaches. The first summary is that
 // of the system, the others are baselines.
 func WriteComparison(output io.Writer, spec Spec, seeds int, bound float64, summaries []Summary) int {
 	fmt.Fprintf(output, "%s, %d seeds; mean and 95%% confidence interval over seeds; perfect packing needs %.2f s a step\n", spec.Name, seeds, bound)
--- a/internal/lab/scenario/run.go
+++ b/internal/lab/scenario/run.go
@@ -31,7 +31,7 @@
 	runTimeout     = 6 * time.Hour
 )
 
-// Result is the result of running one side with one seed.
+// Result is the result of running one variant with one seed.
 type Result struct {
 	Report bench.Report
 	// Idle is how long the trainer waited for each step.
@@ -49,7 +49,7 @@
 // run is the state of one run.
 type run struct {
 	spec    Spec
-	side    Variant
+	variant Variant
 	seed    uint64
 	folder  string
 	logger  *log.Logger
@@ -69,10 +69,10 @@
 	version  uint64
 }
 
-// Run runs a side of a scenario in the testing/synctest bubble of the caller. It returns after all nodes and the platform
+// Run runs a variant of a scenario in the testing/synctest bubble of the caller. It returns after all nodes and the platform
 // have stopped.
-func Run(spec Spec, side Variant, seed uint64, folder string, logger *log.Logger) (Result, error) {
-	scenario := &run{spec: spec, side: side, seed: seed, folder: folder, logger: logger, memory: network.NewMemory(),
+func Run(spec Spec, variant Variant, seed uint64, folder string, logger *log.Logger) (Result, error) {
+	scenario := &run{spec: spec, variant: variant, seed: seed, folder: folder, logger: logger, memory: network.NewMemory(),
 		hosts: make(map[string]int), down: make(map[int]bool), version: 1, began: time.Now()}
 	ctx, cancel := context.WithTimeout(context.Background(), runTimeout)
 	defer cancel()
@@ -142,11 +142,11 @@
 		uint64(time.Now().UnixMilli()), func(config *settings.Settings) {
 			config.Node.Control = control
 			config.Node.API = netip.AddrPortFrom(host, port+1).String()
-			config.Rollout.Routing = scenario.side.Routing
-			if !scenario.side.Stragglers {
+			config.Rollout.Routing = scenario.variant.Routing
+			if !scenario.variant.Stragglers {
 				config.Steps.StragglerTime = 0
 			}
-			if scenario.side.QueueAtEngines {
+			if scenario.variant.QueueAtEngines {
 				config.Steps.RoomShare, config.Steps.AheadShare, config.Steps.SwapWaitTimeout = 0, 0, 0
 			}
 		})
@@ -211,7 +211,7 @@
 	return true
 }
 
-// stepID returns the ID of a step. The simulated engines derive completion lengths from it, so that all sides with the same
+// stepID returns the ID of a step. The simulated engines derive completion lengths from it, so that all variants with the same
 // seed have the same work.
 func (scenario *run) stepID(number int) string {
 	return fmt.Sprintf("step-%d-%d", scenario.seed, number)
@@ -295,13 +295,13 @@
 	if err := scenario.trainer.Publish(ctx, policyName, version); err != nil {
 		return errors.Wrap(err, "publish")
 	}
-	if scenario.side.DrainBeforeSwap {
+	if scenario.variant.DrainBeforeSwap {
 		if err := scenario.drain(ctx); err != nil {
 			return err
 		}
 	}
 	text := fmt.Sprintf("swap policy %s to %d", policyName, version)
-	if scenario.side.DrainBeforeSwap {
+	if scenario.variant.DrainBeforeSwap {
 		text += "; resume policy " + policyName
 	}
 	scenario.recordEvent("swap to version %d", version)
@@ -352,7 +352,7 @@
 
 func (scenario *run) judge(result *Result) {
 	received, requested := scenario.trainer.Received()
-	evidence := bench.Evidence{Begun: scenario.site.Truth.StartedRequests(), Produced: scenario.site.Truth.ProducedChunks(), Received: received, Requested: requested,
+	evidence := bench.Evidence{Begun: scenario.site.EngineLog.StartedRequests(), Produced: scenario.site.EngineLog.ProducedChunks(), Received: received, Requested: requested,
 		Calls: scenario.callers.Calls(), Bound: experiment.Bound{HasVersions: true, Versions: scenario.spec.Trainer.BoundVersions}, Outages: scenario.outages}
 	result.Report = bench.NewReport(scenario.seed, evidence)
 	result.Report.Seconds = result.Modelled.Seconds()
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -366,7 +366,7 @@
 	world.mu.Lock()
 	defer world.mu.Unlock()
 	evidence := bench.Evidence{
-		Begun: world.site.Truth.StartedRequests(), Produced: world.site.Truth.ProducedChunks(), Received: received, Requested: requested, Calls: calls,
+		Begun: world.site.EngineLog.StartedRequests(), Produced: world.site.EngineLog.ProducedChunks(), Received: received, Requested: requested, Calls: calls,
 		Bound: experiment.Bound{HasVersions: true, Versions: uint64(world.plan.Bound)}, Outages: world.outages,
 	}
 	outcome := Outcome{Verdict: bench.Judge(evidence), Breaches: world.breaches, Modelled: modelled, Commands: world.commands}
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -98,7 +98,7 @@
 mutate 'term on the steady clock' internal/weights/term.go 'return term.until - term.clock.Elapsed()' 'return term.until - steadily.Elapsed()
 }
 
-var steadily = clock.Steady()
+var steadily = clock.Monotonic()
 
 func init() {' ./internal/weights
 mutate 'staleness on the steady clock' internal/dissemination/subscriber.go 'if elapsed-subscriber.lastCheckElapsed > pauseThreshold {
