--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -18,7 +18,7 @@
 func TestSystem(t *testing.T) {
 	system, err := clock.System()
 	must.NoError(t, err)
-	before, monotonic := system.Elapsed(), clock.Steady()
+	before, monotonic := system.Elapsed(), clock.Monotonic()
 	time.Sleep(20 * time.Millisecond)
 	must.GreaterEq(t, monotonic.Elapsed()-time.Millisecond, system.Elapsed()-before)
 }
@@ -29,12 +29,12 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var drift atomic.Int64
 		var suspensions []time.Duration
-		monotonic, logged := clock.Steady(), &bytes.Buffer{}
-		watch := &clock.Watch{
+		monotonic, logged := clock.Monotonic(), &bytes.Buffer{}
+		detector := &clock.SuspensionDetector{
 			Clock:  clock.Func(func() time.Duration { return monotonic.Elapsed() + time.Duration(drift.Load()) }),
 			Logger: log.New(logged), OnResume: func(suspended time.Duration) { suspensions = append(suspensions, suspended) },
 		}
-		go watch.Run(ctx)
+		go detector.Run(ctx)
 		for range 20 { // 0.4 s in total
 			time.Sleep(500 * time.Millisecond)
 			drift.Add(int64(20 * time.Millisecond))
--- a/internal/clock/watch.go
+++ b/internal/clock/watch.go
@@ -18,32 +18,32 @@
 	minimumSuspension = 100 * time.Millisecond
 )
 
-// Watch detects suspensions of the machine by comparing a Clock with Go's monotonic clock.
-type Watch struct {
+// SuspensionDetector detects suspensions of the machine by comparing a Clock with Go's monotonic clock.
+type SuspensionDetector struct {
 	Clock   Clock
 	Logger  *log.Logger
 	Metrics *telemetry.Metrics
-	// Woken is called after each suspension with its length.
+	// OnResume is called after each suspension with its length.
 	OnResume func(suspended time.Duration)
 }
 
 // Run compares the clocks until the context ends.
-func (watch *Watch) Run(ctx context.Context) {
+func (detector *SuspensionDetector) Run(ctx context.Context) {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
-	monotonic := Steady()
-	offset := watch.Clock.Elapsed() - monotonic.Elapsed()
+	monotonic := Monotonic()
+	offset := detector.Clock.Elapsed() - monotonic.Elapsed()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		now := watch.Clock.Elapsed() - monotonic.Elapsed()
+		now := detector.Clock.Elapsed() - monotonic.Elapsed()
 		if suspended := now - offset; suspended >= minimumSuspension {
-			watch.Logger.Warn("machine was suspended", "suspended_ms", suspended.Milliseconds())
-			watch.Metrics.Suspended()
-			watch.OnResume(suspended)
+			detector.Logger.Warn("machine was suspended", "suspended_ms", suspended.Milliseconds())
+			detector.Metrics.Suspended()
+			detector.OnResume(suspended)
 		}
 		offset = now
 	}
--- a/internal/lab/platform/truth.go
+++ b/internal/lab/platform/truth.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Produced is one chunk as the engine generated it.
-type Produced struct {
+// ProducedChunk is one chunk as the engine generated it.
+type ProducedChunk struct {
 	Engine    string   `json:"engine"`
 	RequestID string   `json:"request"`
 	Attempt   uint64   `json:"attempt"`
@@ -18,47 +18,47 @@
 	Version   uint64   `json:"version"`
 }
 
-// Begun is one attempt of a request that an engine accepted.
-type Begun struct {
+// StartedRequest is one attempt of a request that an engine accepted.
+type StartedRequest struct {
 	Engine    string    `json:"engine"`
 	RequestID string    `json:"request"`
 	Attempt   uint64    `json:"attempt"`
 	At        time.Time `json:"at"`
 }
 
-// Truth is the log of what the engines accepted and generated. It survives their crashes, and checks compare it with what
+// EngineLog is the log of what the engines accepted and generated. It survives their crashes, and checks compare it with what
 // callers received. It is safe for concurrent use.
-type Truth struct {
+type EngineLog struct {
 	mu       sync.Mutex
-	begun    []Begun
-	produced []Produced
+	started  []StartedRequest
+	produced []ProducedChunk
 }
 
-// NewTruth returns an empty log.
-func NewTruth() *Truth { return &Truth{} }
+// NewEngineLog returns an empty log.
+func NewEngineLog() *EngineLog { return &EngineLog{} }
 
-func (truth *Truth) recordAttempt(begun Begun) {
-	truth.mu.Lock()
-	defer truth.mu.Unlock()
-	truth.begun = append(truth.begun, begun)
+func (log *EngineLog) recordStart(started StartedRequest) {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	log.started = append(log.started, started)
 }
 
-func (truth *Truth) recordChunk(produced Produced) {
-	truth.mu.Lock()
-	defer truth.mu.Unlock()
-	truth.produced = append(truth.produced, produced)
+func (log *EngineLog) recordChunk(produced ProducedChunk) {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	log.produced = append(log.produced, produced)
 }
 
-// Begun returns every accepted attempt, in order.
-func (truth *Truth) Begun() []Begun {
-	truth.mu.Lock()
-	defer truth.mu.Unlock()
-	return append([]Begun(nil), truth.begun...)
+// StartedRequests returns every accepted attempt, in order.
+func (log *EngineLog) StartedRequests() []StartedRequest {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	return append([]StartedRequest(nil), log.started...)
 }
 
-// Produced returns every generated chunk, in order.
-func (truth *Truth) Produced() []Produced {
-	truth.mu.Lock()
-	defer truth.mu.Unlock()
-	return append([]Produced(nil), truth.produced...)
+// ProducedChunks returns every generated chunk, in order.
+func (log *EngineLog) ProducedChunks() []ProducedChunk {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	return append([]ProducedChunk(nil), log.produced...)
 }
--- a/internal/lab/scenario/compare.go
+++ b/internal/lab/scenario/compare.go
@@ -10,9 +10,9 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Summary holds the results of a side over all seeds.
+// Summary holds the results of a variant over all seeds.
 type Summary struct {
-	Side Side
+	Variant Variant
 	// The slices hold one value per seed. Idle is the mean time in seconds that the trainer waited for a step, Step the mean
 	// time in seconds from submission of a step to its completion, and StepOverBound the ratio of Step to its lower bound.
 	Idle, Step, StepOverBound []float64
@@ -22,9 +22,9 @@
 	Dropped                 int
 }
 
-// Summarize summarizes the results of a side, one for each seed.
-func Summarize(side Side, results []Result) Summary {
-	summary := Summary{Side: side}
+// Summarize summarizes the results of a variant, one for each seed.
+func Summarize(variant Variant, results []Result) Summary {
+	summary := Summary{Variant: variant}
 	for _, result := range results {
 		summary.Idle = append(summary.Idle, meanSeconds(result.Idle))
 		summary.Step = append(summary.Step, meanSeconds(result.Step))
@@ -69,7 +69,7 @@
 	return fmt.Sprintf("%.2f ± %.2f", mean, half)
 }
 
-// WriteComparison prints a table with one row per side and returns the total number of breaches. The first summary is that
+// WriteComparison prints a table with one row per variant and returns the total number of breaches. The first summary is that
 // of the system, the others are baselines.
 func WriteComparison(output io.Writer, spec Spec, seeds int, bound float64, summaries []Summary) int {
 	fmt.Fprintf(output, "%s, %d seeds; mean and 95%% confidence interval over seeds; perfect packing needs %.2f s a step\n", spec.Name, seeds, bound)
@@ -78,7 +78,7 @@
 	bestBaseline := math.Inf(1)
 	for index, summary := range summaries {
 		greatest, _ := Interval(summary.StalenessMax)
-		fmt.Fprintf(output, "%-24s %-18s %-18s %-16s %-20s %-10.1f %d\n", summary.Side.Name, formatInterval(summary.Idle), formatInterval(summary.Step),
+		fmt.Fprintf(output, "%-24s %-18s %-18s %-16s %-20s %-10.1f %d\n", summary.Variant.Name, formatInterval(summary.Idle), formatInterval(summary.Step),
 			formatInterval(summary.StepOverBound), formatInterval(summary.Staleness), greatest, summary.Breaches)
 		breaches += summary.Breaches
 		if mean, _ := Interval(summary.Idle); index > 0 {
