--- a/internal/execution/runner.go
+++ b/internal/execution/runner.go
@@ -172,7 +172,7 @@
 	run.excluded = nil
 	if time.Now().After(run.routeDeadline) {
 		if run.mayHaveBegun {
-			return result.New(result.UnknownBroken, "no replica is left to resume on")
+			return result.New(result.UnknownBroken, "no replica is left to go on at")
 		}
 		return result.New(result.NotRunNoReplica, "no replica may run policy %q", run.request.Arm.Policy).WithRetryAfter(time.Second)
 	}
@@ -216,7 +216,7 @@
 	})
 }
 
-var errStalled = errors.New("stream stalled: no data within the stall timeout")
+var errStalled = errors.New("the stream was silent for too long")
 
 func (run *run) acceptChunk(chunk rollout.Chunk) error {
 	appended, err := run.transcript.Append(chunk)
@@ -244,7 +244,7 @@
 		go run.cancelAttempt(digest.Address, run.attempt)
 	}
 	if run.callerErr != nil {
-		return result.New(result.UnknownBroken, "caller disconnected: %v", run.callerErr)
+		return result.New(result.UnknownBroken, "the caller went away: %v", run.callerErr)
 	}
 	if ctx.Err() != nil {
 		return run.interrupted(ctx)
