--- a/internal/batchlog/log.go
+++ b/internal/batchlog/log.go
@@ -58,7 +58,7 @@
 
 // Accept makes a job durable with this node as its owner. If the job was accepted before, held is nil, and Owner returns its
 // owner. After an error that is metadata.ErrUncertain the job may have been accepted.
-func (log *Log) Accept(ctx context.Context, job *batchv1.Job) (held *Ownership, err error) {
+func (log *Log) Accept(ctx context.Context, job *batchv1.Job) (ownership *Ownership, err error) {
 	encoded, err := proto.Marshal(job)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode a batch job")
@@ -118,14 +118,14 @@
 	if err != nil {
 		return nil, err
 	}
-	var held *Ownership
+	var ownership *Ownership
 	err = log.retry(ctx, func(ctx context.Context) error {
 		owner, revision, err := log.Owner(ctx, id)
 		if err != nil {
 			return err
 		}
 		if owner.GetClaim() == claim { // an earlier attempt succeeded but its response was lost
-			held = &Ownership{JobID: id, revision: revision, claim: claim}
+			ownership = &Ownership{JobID: id, revision: revision, claim: claim}
 			return nil
 		}
 		if owner.GetNode() != from || (incarnation != AnyIncarnation && owner.GetLife() != incarnation) {
@@ -138,28 +138,28 @@
 		if owner.GetNode() != log.Node {
 			txn.Deletes = []string{ownedKey(owner.GetNode(), id)}
 		}
-		taken, err := log.Store.Commit(ctx, txn)
+		newRevision, err := log.Store.Commit(ctx, txn)
 		if err != nil {
 			return err
 		}
-		held = &Ownership{JobID: id, revision: taken, claim: claim}
+		ownership = &Ownership{JobID: id, revision: newRevision, claim: claim}
 		return nil
 	})
-	return held, err
+	return ownership, err
 }
 
 // InDoubt reports whether the log may have results that this node has not listed yet, because the outcome of an append is
 // unknown. It may be called by any goroutine.
-func (held *Ownership) InDoubt() bool { return held.inDoubt.Load() }
+func (ownership *Ownership) InDoubt() bool { return ownership.inDoubt.Load() }
 
 // Append appends results and replaces the saved texts of unfinished items. Either may be empty. It retries until it succeeds,
 // the context ends, or the job has another owner.
-func (log *Log) Append(ctx context.Context, held *Ownership, results []*batchv1.Result, unfinished []*batchv1.Partial) error {
+func (log *Log) Append(ctx context.Context, ownership *Ownership, results []*batchv1.Result, unfinished []*batchv1.Partial) error {
 	if len(results) == 0 && len(unfinished) == 0 {
 		return nil
 	}
-	txn := metadata.Txn{Conditions: []metadata.Condition{{Key: ownerKey(held.JobID), Revision: held.revision}}}
-	key := pageKey(held.JobID, held.pages)
+	txn := metadata.Txn{Conditions: []metadata.Condition{{Key: ownerKey(ownership.JobID), Revision: ownership.revision}}}
+	key := pageKey(ownership.JobID, ownership.pages)
 	var encoded []byte
 	if len(results) > 0 {
 		page, err := proto.Marshal(&batchv1.ResultPage{Results: results})
@@ -175,14 +175,14 @@
 		if err != nil {
 			return errors.Wrap(err, "encode unfinished texts")
 		}
-		txn.Puts = append(txn.Puts, metadata.Put{Key: unfinishedKey(held.JobID), Value: texts})
+		txn.Puts = append(txn.Puts, metadata.Put{Key: unfinishedKey(ownership.JobID), Value: texts})
 	}
 	err := log.retry(ctx, func(ctx context.Context) error {
 		_, err := log.Store.Commit(ctx, txn)
 		var conflict *metadata.ConflictError
 		if !errors.As(err, &conflict) {
 			if errors.Is(err, metadata.ErrUncertain) {
-				held.inDoubt.Store(true)
+				ownership.inDoubt.Store(true)
 			}
 			return err
 		}
@@ -192,13 +192,13 @@
 		return ErrNotOwner
 	})
 	if err == nil && len(results) > 0 {
-		held.pages++
+		ownership.pages++
 	}
 	return err
 }
 
-// Settle ends the doubt about appends. The caller has listed the results of the last append.
-func (held *Ownership) Settle() { held.inDoubt.Store(false) }
+// Settle clears InDoubt. It must be called only after the results of the last append have been listed.
+func (ownership *Ownership) Settle() { ownership.inDoubt.Store(false) }
 
 // End makes the end of a job durable, whichever node owns the job. It is idempotent. It returns ErrNotFound if there is no such
 // job.
@@ -218,12 +218,12 @@
 
 // EndOwned is End for the owner of a job, which needs no lookup. complete is true if this node owned the job until its end, so
 // that no other node can have listed further results.
-func (log *Log) EndOwned(ctx context.Context, held *Ownership) (complete bool, err error) {
-	_, err = log.Store.Commit(ctx, endTxn(held.JobID, log.Node, held.revision))
+func (log *Log) EndOwned(ctx context.Context, ownership *Ownership) (complete bool, err error) {
+	_, err = log.Store.Commit(ctx, endTxn(ownership.JobID, log.Node, ownership.revision))
 	if err == nil {
 		return true, nil
 	}
-	return false, log.End(ctx, held.JobID)
+	return false, log.End(ctx, ownership.JobID)
 }
 
 func endTxn(id, owner string, revision metadata.Revision) metadata.Txn {
@@ -247,17 +247,17 @@
 
 // Resume reads a job that this node has claimed. It must be called after the claim, since no former owner can append from then
 // on.
-func (log *Log) Resume(ctx context.Context, held *Ownership) (*Record, error) {
+func (log *Log) Resume(ctx context.Context, ownership *Ownership) (*Record, error) {
 	var record *Record
 	err := log.retry(ctx, func(ctx context.Context) error {
 		var err error
-		record, err = log.Load(ctx, held.JobID)
+		record, err = log.Load(ctx, ownership.JobID)
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	held.pages = record.pages
+	ownership.pages = record.pages
 	return record, nil
 }
 
@@ -279,12 +279,12 @@
 }
 
 // StillOwner reports whether this node still owns the job under the same claim.
-func (log *Log) StillOwner(ctx context.Context, held *Ownership) (bool, error) {
-	owner, _, err := log.Owner(ctx, held.JobID)
+func (log *Log) StillOwner(ctx context.Context, ownership *Ownership) (bool, error) {
+	owner, _, err := log.Owner(ctx, ownership.JobID)
 	if errors.Is(err, ErrNotOwner) {
 		return false, nil
 	}
-	return err == nil && owner.GetClaim() == held.claim, err
+	return err == nil && owner.GetClaim() == ownership.claim, err
 }
 
 // retry repeats an idempotent operation until it succeeds, fails permanently, or the context ends.
--- a/internal/batchrun/backup.go
+++ b/internal/batchrun/backup.go
@@ -169,10 +169,10 @@
 
 // sendBackup sends texts to the nearest nodes until the wanted number of them has stored the texts.
 func (runner *Runner) sendBackup(owned *job, partials []*batchv1.Partial, wanted int) {
-	copies := 0
+	stored := 0
 	for _, name := range runner.Peers.Nearest() {
 		client := runner.Peers.Client(name)
-		if client == nil || copies == wanted {
+		if client == nil || stored == wanted {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(owned.ctx, backupTimeout)
@@ -180,7 +180,7 @@
 		cancel()
 		runner.Logger.Info("texts backed up", "job", owned.id(), "to", name, "count", len(partials), "error", err)
 		if err == nil {
-			copies++
+			stored++
 		}
 	}
 }
--- a/internal/batchrun/delegation.go
+++ b/internal/batchrun/delegation.go
@@ -65,16 +65,16 @@
 }
 
 // reclaim ends the delegation and keeps this node from delegating the job again. It is called when the delegate cannot get the
-// job accepted and asks this node to.
+// job accepted and asks this node to accept it.
 func (delegation *delegation) reclaim() {
 	delegation.local.Store(true)
 	delegation.delegated.Store(false)
 }
 
 // delegateJob asks the preferred node of the model, or the alternate if the preferred one fails, to run a job whose acceptance
-// takes long, and reports whether this node may rely on that one. During an outage of the metadata store a caller tries several
-// nodes. Without delegation each of them would run all items, and the first one to reach the store again would own the job,
-// however little of it that node had run.
+// takes long, and reports whether the job is delegated. During an outage of the metadata store a caller tries several nodes. Without
+// delegation each of them would run all items, and the first one to reach the store again would own the job, however little of it
+// that node had run.
 func (runner *Runner) delegateJob(owned *job) bool {
 	delegation := &owned.delegation
 	if delegation.local.Load() {
--- a/internal/batchrun/end.go
+++ b/internal/batchrun/end.go
@@ -71,7 +71,7 @@
 func (runner *Runner) endDurably(owned *job) error {
 	ctx, cancel := context.WithTimeout(runner.ctx, acceptTimeout)
 	defer cancel()
-	complete, err := runner.Log.EndOwned(ctx, owned.held)
+	complete, err := runner.Log.EndOwned(ctx, owned.ownership)
 	if complete {
 		runner.cacheEnded(owned)
 	}
@@ -104,7 +104,7 @@
 		return false
 	}
 	owned.mu.Lock()
-	if owned.ending || owned.held == nil {
+	if owned.ending || owned.ownership == nil {
 		owned.mu.Unlock()
 		return false
 	}
--- a/internal/batchrun/evacuate.go
+++ b/internal/batchrun/evacuate.go
@@ -17,7 +17,7 @@
 	// call to another node.
 	servedProbeTimeout = 300 * time.Millisecond
 	servedCallTimeout  = 500 * time.Millisecond
-	// maxEvacuateTargets bounds the nodes that a job is offered to, each of which may take handOverLimit to answer.
+	// maxEvacuateTargets bounds the nodes that a job is offered to, each of which may take handOverTimeout to answer.
 	maxEvacuateTargets = 3
 )
 
--- a/internal/batchrun/flush.go
+++ b/internal/batchrun/flush.go
@@ -45,10 +45,10 @@
 	results := owned.nextPage()
 	texts := owned.takeUnsaved(results)
 	started := time.Now()
-	err := runner.Log.Append(owned.ctx, owned.held, results, texts)
+	err := runner.Log.Append(owned.ctx, owned.ownership, results, texts)
 	if err == nil {
 		owned.markListed(results)
-		owned.held.Settle()
+		owned.ownership.Settle()
 		if len(results) == 0 {
 			return true
 		}
--- a/internal/batchrun/job.go
+++ b/internal/batchrun/job.go
@@ -27,7 +27,7 @@
 	delegation delegation
 
 	mu        sync.Mutex
-	held      *batchlog.Ownership // nil until this node owns the job
+	ownership *batchlog.Ownership // nil until this node owns the job
 	elsewhere bool                // accepted, but another node owns it or it has ended
 	progress  *batch.Progress
 	tasks     map[string]*task
@@ -142,7 +142,7 @@
 func (owned *job) nextFlush(policy batch.FlushPolicy) (delay time.Duration, ok bool) {
 	owned.mu.Lock()
 	defer owned.mu.Unlock()
-	if owned.held == nil {
+	if owned.ownership == nil {
 		return 0, false
 	}
 	now := time.Now()
--- a/internal/batchrun/read.go
+++ b/internal/batchrun/read.go
@@ -17,9 +17,9 @@
 	peerCallMargin   = 600 * time.Millisecond
 	storeReadTimeout = 2 * time.Second
 	maxReadWait      = 5 * time.Second
-	// unsureAfter is the duration of a metadata store outage after which the owner of a job cannot rule out that more results are
+	// uncertainAfter is the duration of a metadata store outage after which the owner of a job cannot rule out that more results are
 	// listed.
-	unsureAfter = time.Second
+	uncertainAfter = time.Second
 )
 
 // Page is a range of a job's results.
@@ -60,15 +60,15 @@
 	return cutPage(len(record.Job.GetItems()), record.Results, from, pageLimit), nil
 }
 
-// readFromOwner returns this node's copies of the results, extended by what the owner of the job returns. Listed results never
-// change, so copies stay valid and are returned also if the owner is unreachable.
+// readFromOwner returns the results that this node has cached, extended by those that the owner of the job returns. Listed results
+// never change, so cached ones stay valid and are returned also if the owner is unreachable.
 func (runner *Runner) readFromOwner(ctx context.Context, id string, from int, wait time.Duration) (page Page, served bool, err error) {
-	known := runner.copies.page(id, from)
+	known := runner.resultCache.page(id, from)
 	if len(known.Results) > 0 {
 		wait = 0
 	}
 	next := from + len(known.Results)
-	allowance := runner.copies.allowance(id, from)
+	allowance := runner.resultCache.allowance(id, from)
 	served, err = runner.askOwnerNamed(ctx, id, wait+peerCallMargin, func(ctx context.Context, name string, owner batchv1.Batches) (bool, error) {
 		request := &batchv1.ReadRequest{JobId: id, From: int64(next), WaitMs: wait.Milliseconds()}
 		if !runner.Peers.SameZone(name) {
@@ -79,14 +79,14 @@
 			return false, err
 		}
 		page = known.extend(int(response.GetTotal()), response.GetResults())
-		runner.copies.put(id, page.Total, next, response.GetResults())
+		runner.resultCache.put(id, page.Total, next, response.GetResults())
 		return true, nil
 	})
 	if err != nil && len(known.Results) > 0 {
 		page, served, err = known, true, nil
 	}
 	if served {
-		runner.copies.recordRead(id, from, from+len(page.Results))
+		runner.resultCache.recordRead(id, from, from+len(page.Results))
 	}
 	return page, served, err
 }
@@ -100,8 +100,8 @@
 			limit = pageLimit
 		}
 		page := owned.read(ctx, from, wait, limit)
-		unsure := owned.isEnding() || owned.held.InDoubt() || runner.Log.Health.LostFor() >= unsureAfter
-		return page, len(page.Results) > 0 || from >= page.Total || !unsure
+		uncertain := owned.isEnding() || owned.ownership.InDoubt() || runner.Log.Health.LostFor() >= uncertainAfter
+		return page, len(page.Results) > 0 || from >= page.Total || !uncertain
 	}
 	if ended := runner.ended.get(id); ended != nil {
 		return cutPage(ended.total, ended.results, from, limit), true
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -99,18 +99,18 @@
 	scheduler *scheduler
 	scoring   chan struct{} // limits the scoring requests in flight
 
-	mu       sync.Mutex
-	jobs     map[string]*job
-	ended    *endedCache
-	owners   map[string]string // last known owner by job; a hint that may be stale
-	tenants  map[string]string // tenant by job; it never changes
-	kept     *keptItems
-	copies   *resultCache
-	claiming map[string]bool // jobs that this node is claiming
-	lastJob  time.Time       // when the last job was removed
-	jobAdded chan struct{}   // closed when the next job is added; nil if nobody waits for it
-	stopping bool
-	sweeps   *sweepSchedule
+	mu          sync.Mutex
+	jobs        map[string]*job
+	ended       *endedCache
+	owners      map[string]string // last known owner by job; a hint that may be stale
+	tenants     map[string]string // tenant by job; it never changes
+	kept        *keptItems
+	resultCache *resultCache
+	claiming    map[string]bool // jobs that this node is claiming
+	lastJob     time.Time       // when the last job was removed
+	jobAdded    chan struct{}   // closed when the next job is added; nil if nobody waits for it
+	stopping    bool
+	sweeps      *sweepSchedule
 }
 
 const (
@@ -123,7 +123,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	runner := &Runner{
 		Options: options, ctx: ctx, cancel: cancel, scoring: make(chan struct{}, maxScoringInFlight),
-		jobs: make(map[string]*job), ended: newEndedCache(), owners: make(map[string]string), tenants: make(map[string]string), kept: newKeptItems(), copies: newResultCache(), claiming: make(map[string]bool),
+		jobs: make(map[string]*job), ended: newEndedCache(), owners: make(map[string]string), tenants: make(map[string]string), kept: newKeptItems(), resultCache: newResultCache(), claiming: make(map[string]bool),
 		sweeps: newSweepSchedule(),
 	}
 	runner.scheduler = newScheduler(runner)
--- a/internal/batchrun/scheduler.go
+++ b/internal/batchrun/scheduler.go
@@ -239,14 +239,14 @@
 // mayTry reports whether a replica may get an item: it is not backing off and no probe is under way. It must be called with mu
 // held.
 func (scheduler *scheduler) mayTry(replica string, now time.Time) bool {
-	held := scheduler.refusals[replica]
-	return held == nil || (now.After(held.until) && !held.probing)
+	last := scheduler.refusals[replica]
+	return last == nil || (now.After(last.until) && !last.probing)
 }
 
 // beginProbe marks a replica as being probed if it refused work before. It must be called with mu held.
 func (scheduler *scheduler) beginProbe(replica string) {
-	if held := scheduler.refusals[replica]; held != nil {
-		held.probing = true
+	if last := scheduler.refusals[replica]; last != nil {
+		last.probing = true
 	}
 }
 
@@ -254,7 +254,7 @@
 func (scheduler *scheduler) cancelProbe(replica string) {
 	scheduler.mu.Lock()
 	defer scheduler.mu.Unlock()
-	if held := scheduler.refusals[replica]; held != nil {
-		held.probing = false
+	if last := scheduler.refusals[replica]; last != nil {
+		last.probing = false
 	}
 }
--- a/internal/batchrun/score.go
+++ b/internal/batchrun/score.go
@@ -67,7 +67,7 @@
 }
 
 // try calls one replica after the other. held is true if the request is on hold because replicas crashed while running it.
-func (call *scoringCall) try() (stamp string, scored, held bool) {
+func (call *scoringCall) try() (signature string, scored, held bool) {
 	runner, ctx := call.runner, call.done.job.ctx
 	for ctx.Err() == nil {
 		route, replica := runner.scorerReplica(call.scorer, call.tried)
--- a/internal/batchrun/share.go
+++ b/internal/batchrun/share.go
@@ -12,7 +12,7 @@
 	demandRounds = 8
 )
 
-// announceDemands announces which model versions the open jobs accept.
+// announceDemands announces the demand of each open job, that is, which model versions it accepts.
 func (runner *Runner) announceDemands() {
 	for _, owned := range runner.openJobs() {
 		runner.Peers.AnnounceDemand(owned.definition)
--- a/internal/batchrun/slack.go
+++ b/internal/batchrun/slack.go
@@ -15,7 +15,7 @@
 	resubmittedLead = time.Second
 )
 
-// lengthTable learns the ratio of events to the tokens that callers estimate. It is safe for concurrent use.
+// lengthTable tracks the ratio of events to the tokens that callers estimate. It is safe for concurrent use.
 type lengthTable struct {
 	mu             sync.Mutex
 	tokens, events float64
--- a/internal/batchrun/submit.go
+++ b/internal/batchrun/submit.go
@@ -188,9 +188,9 @@
 			runner.awaitGood(ctx, relayRetryDelay)
 			continue
 		}
-		held, settled, err := runner.tryAccept(ctx, owned)
+		ownership, settled, err := runner.tryAccept(ctx, owned)
 		if settled {
-			runner.finishAccept(owned, held, started, tries)
+			runner.finishAccept(owned, ownership, started, tries)
 			return
 		}
 		if errors.Is(err, errOtherTenant) {
@@ -250,16 +250,16 @@
 
 // tryAccept makes one attempt to accept a job. settled is true if the job is durable; held is then nil if another node owns the
 // job or it has ended.
-func (runner *Runner) tryAccept(ctx context.Context, owned *job) (held *batchlog.Ownership, settled bool, err error) {
+func (runner *Runner) tryAccept(ctx context.Context, owned *job) (ownership *batchlog.Ownership, settled bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, acceptCallTimeout)
 	defer cancel()
-	held, err = runner.Log.Accept(ctx, owned.definition)
+	ownership, err = runner.Log.Accept(ctx, owned.definition)
 	if err != nil {
 		runner.sweeps.recordUncertainWrite()
 		return nil, false, err
 	}
-	if held != nil {
-		return held, true, nil
+	if ownership != nil {
+		return ownership, true, nil
 	}
 	if err := runner.checkAccepted(ctx, owned.definition); err != nil {
 		return nil, false, err
@@ -274,25 +274,25 @@
 		runner.RememberOwner(owned.id(), owner.GetNode())
 		return nil, true, nil
 	}
-	held, err = runner.Log.Claim(ctx, owned.id(), runner.Node, batchlog.AnyIncarnation) // an earlier attempt succeeded but its response was lost
+	ownership, err = runner.Log.Claim(ctx, owned.id(), runner.Node, batchlog.AnyIncarnation) // an earlier attempt succeeded but its response was lost
 	if err != nil {
 		runner.sweeps.recordUncertainWrite()
 	}
-	return held, err == nil, err
+	return ownership, err == nil, err
 }
 
 // finishAccept completes the acceptance and runs the job here if this node owns it.
-func (runner *Runner) finishAccept(owned *job, held *batchlog.Ownership, started time.Time, tries int) {
+func (runner *Runner) finishAccept(owned *job, ownership *batchlog.Ownership, started time.Time, tries int) {
 	owned.mu.Lock()
-	owned.held = held
-	owned.elsewhere = held == nil
+	owned.ownership = ownership
+	owned.elsewhere = ownership == nil
 	owned.mu.Unlock()
 	close(owned.accepted)
 	runner.Metrics.Job("accepted")
 	runner.Logger.Info("job accepted", "job", owned.id(), "step", owned.definition.GetStep(), "model", owned.definition.GetModel(),
-		"tenant", owned.definition.GetTenant(), "minimum", owned.definition.GetMinimumVersion(), "items", len(owned.definition.GetItems()), "here", held != nil, "tries", tries,
+		"tenant", owned.definition.GetTenant(), "minimum", owned.definition.GetMinimumVersion(), "items", len(owned.definition.GetItems()), "here", ownership != nil, "tries", tries,
 		"took_ms", time.Since(started).Milliseconds())
-	if held == nil {
+	if ownership == nil {
 		runner.remove(owned)
 		return
 	}
--- a/internal/batchrun/suitable.go
+++ b/internal/batchrun/suitable.go
@@ -34,18 +34,18 @@
 	registered := suitability.runner.Catalog.Replicas().Find(replica)
 	suitability.mu.Lock()
 	defer suitability.mu.Unlock()
-	held := suitability.observed[replica]
-	if held == nil {
+	versions := suitability.observed[replica]
+	if versions == nil {
 		if len(suitability.observed) > maxObservedReplicas {
 			clear(suitability.observed)
 		}
-		held = make(map[string]int64)
-		suitability.observed[replica] = held
+		versions = make(map[string]int64)
+		suitability.observed[replica] = versions
 	}
-	if held[model] != version && (registered == nil || registered.Version(model) != version) {
+	if versions[model] != version && (registered == nil || registered.Version(model) != version) {
 		clear(suitability.lists)
 	}
-	held[model] = version
+	versions[model] = version
 }
 
 // version returns the newest known version of a model at a replica.
--- a/internal/batchrun/takeover.go
+++ b/internal/batchrun/takeover.go
@@ -57,7 +57,7 @@
 	defer runner.endClaim(id)
 	ctx, cancel := context.WithTimeout(runner.ctx, takeOverTimeout)
 	defer cancel()
-	held, err := runner.Log.Claim(ctx, id, from.node, from.incarnation)
+	ownership, err := runner.Log.Claim(ctx, id, from.node, from.incarnation)
 	if errors.Is(err, batchlog.ErrNotOwner) {
 		return nil // the job ended or has another owner
 	}
@@ -65,7 +65,7 @@
 		runner.sweeps.recordUncertainWrite()
 		return err
 	}
-	record, err := runner.Log.Resume(ctx, held)
+	record, err := runner.Log.Resume(ctx, ownership)
 	if err != nil {
 		runner.sweeps.recordUncertainWrite()
 		return err
@@ -75,7 +75,7 @@
 		runner.kept.put(partial.GetItemId(), newKeptText(id, record.Job.GetTenant(), partial, now))
 	}
 	runner.Metrics.Job("taken_over")
-	runner.resume(held, record)
+	runner.resume(ownership, record)
 	return nil
 }
 
@@ -101,11 +101,11 @@
 }
 
 // resume runs a job that this node has claimed.
-func (runner *Runner) resume(held *batchlog.Ownership, record *batchlog.Record) {
+func (runner *Runner) resume(ownership *batchlog.Ownership, record *batchlog.Record) {
 	objective := runner.objectiveOf(record.Job)
 	owned := newJob(runner.ctx, record.Job, objective)
 	owned.due = owned.due.Add(-min(objective, max(0, time.Since(time.UnixMilli(record.Job.GetSubmittedUnixMs())))))
-	owned.held = held
+	owned.ownership = ownership
 	owned.listed = record.Results
 	for _, result := range record.Results {
 		owned.progress.Finish(result.GetItemId())
@@ -147,7 +147,7 @@
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(ctx, storeReadTimeout)
-		still, err := runner.Log.StillOwner(callCtx, owned.held)
+		still, err := runner.Log.StillOwner(callCtx, owned.ownership)
 		cancel()
 		if err == nil && !still {
 			runner.Logger.Warn("ownership lost", "job", owned.id(), "reason", "another owner")
@@ -166,8 +166,9 @@
 	return list
 }
 
-// HandOver hands all jobs to other nodes for a planned stop and reports whether all were accepted. This node remains the owner
-// of the others in the log. Other nodes take those over when this node stops sending heartbeats, as long as it is registered.
+// HandOver hands all jobs to other nodes for a planned stop and reports whether all were accepted. In the log this node
+// remains the owner of the jobs that were not accepted. Other nodes take these over when this node stops sending heartbeats, as long
+// as it is registered.
 func (runner *Runner) HandOver(ctx context.Context) (all bool) {
 	runner.mu.Lock()
 	runner.stopping = true
