--- a/internal/claim/service.go
+++ b/internal/claim/service.go
@@ -81,12 +81,12 @@
 	if err != nil {
 		return &controlv1.ClaimResponse{Outcome: result.ToMessage(err)}, nil
 	}
-	answer := &controlv1.ClaimResponse{Outcome: result.ToMessage(decision.Refusal), Granted: decision.Granted}
+	response := &controlv1.ClaimResponse{Outcome: result.ToMessage(decision.Refusal), Granted: decision.Granted}
 	if decision.Answered != nil {
-		answer.Answer = decision.Answered.Answer
-		answer.Outcome = &controlv1.Outcome{Code: uint32(result.DoneAlready)}
+		response.Answer = decision.Answered.Answer
+		response.Outcome = &controlv1.Outcome{Code: uint32(result.DoneAlready)}
 	}
-	return answer, nil
+	return response, nil
 }
 
 // claim returns the registry's decision. Unless that is a refusal, it first stores the claim or confirms the epoch at a write quorum, so
--- a/internal/delivery/executor.go
+++ b/internal/delivery/executor.go
@@ -173,7 +173,7 @@
 	arm.FirstVersion = max(arm.FirstVersion, oldestAllowedVersion(document, work, margin))
 	outcome, err := executor.runner.Run(ctx, execution.Request{
 		RequestID: SlotRequestID(key.stepID, key.slot, work.GetGeneration()), Arm: arm, Prompt: work.GetPrompt(), MaxTokens: int(work.GetMaxTokens()),
-		Priority: int(work.GetPriority()), Repeatable: true, PrefixKey: work.GetPrompt(), MaxBatchFill: executor.batchShare(work),
+		Priority: int(work.GetPriority()), Repeatable: true, PrefixKey: work.GetPrompt(), MaxBatchFill: executor.maxBatchFill(work),
 	}, func(chunk rollout.Chunk) error {
 		if chunk.Version < oldestAllowedVersion(executor.document(), work, 0) {
 			return errTooStale
@@ -193,9 +193,9 @@
 	return &outcome.Sample, nil
 }
 
-// batchShare returns the share of a replica's batch that the rollout may fill. The share is smaller for a step that is
+// maxBatchFill returns the share of a replica's batch that the rollout may fill. The share is smaller for a step that is
 // generated ahead, to leave capacity for rollouts that a trainer is waiting for.
-func (executor *Executor) batchShare(work *controlv1.SlotWork) float64 {
+func (executor *Executor) maxBatchFill(work *controlv1.SlotWork) float64 {
 	if work.GetMargin() > 0 {
 		return executor.settings.AheadMaxBatchFill
 	}
--- a/internal/delivery/listing.go
+++ b/internal/delivery/listing.go
@@ -32,6 +32,6 @@
 	return Summary{
 		StepID: definition.ID, Experiment: definition.Experiment, State: owned.step.Progress.State, Slots: definition.Slots(),
 		Filled: owned.step.Filled(), Delivered: owned.step.Delivered(), Running: owned.attempts.Running(),
-		Dropped: owned.step.Progress.Dropped, Owner: served.service.nodeID, Copies: served.copies, Created: definition.Created,
+		Dropped: owned.step.Progress.Dropped, Owner: served.service.nodeID, Copies: served.replicaCount, Created: definition.Created,
 	}
 }
--- a/internal/delivery/service.go
+++ b/internal/delivery/service.go
@@ -60,11 +60,11 @@
 // servedPartition is one partition that the node owns. All changes of stored state go through commit, or through the log
 // when a step is removed.
 type servedPartition struct {
-	service *Service
-	name    partition.Name
-	log     *partition.Log
-	since   time.Time // when the node began to serve the partition
-	copies  int       // number of replicas
+	service      *Service
+	name         partition.Name
+	log          *partition.Log
+	since        time.Time // when the node began to serve the partition
+	replicaCount int       // number of replicas
 
 	changing lock.Lock // guards the fields below; held while a change is stored
 	steps    map[string]*ownedStep
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	found := &servedPartition{service: service, name: name, log: current, since: time.Now(), copies: len(assignment.Replicas),
+	found := &servedPartition{service: service, name: name, log: current, since: time.Now(), replicaCount: len(assignment.Replicas),
 		changing: lock.New(), steps: make(map[string]*ownedStep), changed: make(chan struct{}), attempt: current.Epoch() << attemptEpochShift}
 	for id, recovered := range steps {
 		found.steps[id] = &ownedStep{step: recovered, attempts: step.NewAttempts()}
@@ -188,7 +188,7 @@
 }
 
 // handleCall decodes a call, passes it to work with its partition, and encodes the response.
-func handleCall[Request, Answer any](ctx context.Context, service *Service, call *controlv1.StepCall, work func(*servedPartition, Request) (Answer, error)) (*controlv1.StepAnswer, error) {
+func handleCall[Request, Response any](ctx context.Context, service *Service, call *controlv1.StepCall, work func(*servedPartition, Request) (Response, error)) (*controlv1.StepAnswer, error) {
 	var request Request
 	if err := cbor.Unmarshal(call.GetBody(), &request); err != nil {
 		return &controlv1.StepAnswer{Outcome: result.ToMessage(result.New(result.InvalidBody, "%v", err))}, nil
--- a/internal/ownership/manager.go
+++ b/internal/ownership/manager.go
@@ -344,7 +344,7 @@
 		manager.logger.Warn("partition not recovered", "partition", name, "epoch", assignment.Epoch, "error", err)
 		return
 	}
-	if !sameCopies(assignment.Replicas, to) {
+	if !sameReplicas(assignment.Replicas, to) {
 		assignment.Replicas = to
 		if !manager.record(ctx, &assignment) {
 			return
@@ -365,7 +365,7 @@
 	}
 }
 
-func sameCopies(a, b []partition.Holder) bool {
+func sameReplicas(a, b []partition.Holder) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -380,17 +380,17 @@
 // PartitionCount returns the number of partitions that this node owns or holds a replica in memory of, according to the
 // newest table.
 func (manager *Manager) PartitionCount() int {
-	held := 0
+	count := 0
 	for _, assignment := range manager.follower.Table().Assignments {
 		if assignment.Owner.NodeID == manager.self.NodeID {
-			held++
+			count++
 			continue
 		}
 		for _, holder := range assignment.Replicas {
 			if holder.NodeID == manager.self.NodeID && assignment.Name.Kind == partition.KindClaims {
-				held++
+				count++
 			}
 		}
 	}
-	return held
+	return count
 }
--- a/internal/partition/log.go
+++ b/internal/partition/log.go
@@ -60,11 +60,11 @@
 func Recover(ctx context.Context, recovery Recovery, transport Transport) (*Log, map[string]Register, error) {
 	name, epoch, timeout := recovery.Name, recovery.Epoch, recovery.Timeout
 	from, to := recovery.From, recovery.To
-	copies, err := collectPromises(ctx, name, epoch, from, ReadQuorum(len(from)), transport, timeout)
+	registerSets, err := collectPromises(ctx, name, epoch, from, ReadQuorum(len(from)), transport, timeout)
 	if err != nil {
 		return nil, nil, err
 	}
-	registers := Merge(copies...)
+	registers := Merge(registerSets...)
 	log := &Log{name: name, epoch: epoch, replicas: to, transport: transport, timeout: timeout, writing: lock.New(), behind: make(map[string]Holder)}
 	log.sequence = recovery.AfterSequence
 	for _, register := range registers {
@@ -98,7 +98,7 @@
 			responses <- response{promise, err}
 		}()
 	}
-	var copies [][]Register
+	var registerSets [][]Register
 	var failures error
 	for range holders {
 		received := <-responses
@@ -108,16 +108,16 @@
 		case !received.promise.Granted:
 			return nil, errors.Wrapf(ErrDeposed, "promised epoch %d, asked %d", received.promise.Epoch, epoch)
 		default:
-			copies = append(copies, received.promise.Registers)
+			registerSets = append(registerSets, received.promise.Registers)
 		}
-		if len(copies) == len(holders) {
-			return copies, nil
+		if len(registerSets) == len(holders) {
+			return registerSets, nil
 		}
 	}
-	if len(copies) < quorum {
-		return nil, errors.Wrapf(errors.CombineErrors(ErrNoQuorum, failures), "%d promises of %d", len(copies), quorum)
+	if len(registerSets) < quorum {
+		return nil, errors.Wrapf(errors.CombineErrors(ErrNoQuorum, failures), "%d promises of %d", len(registerSets), quorum)
 	}
-	return copies, nil
+	return registerSets, nil
 }
 
 // rewrite stores all registers again under the log's epoch.
--- a/internal/partition/partition_test.go
+++ b/internal/partition/partition_test.go
@@ -257,7 +257,7 @@
 	must.Eq(t, []Holder{a, b, c}, RetainAbsentReplicas(steps, ChooseReplicas(steps, a, present, []Candidate{a}), present))
 	replaced := RetainAbsentReplicas(steps, ChooseReplicas(steps, a, present, []Candidate{a, c, holder("d", "2")}), present)
 	must.Len(t, 3, replaced)
-	must.False(t, holdsCopy(replaced, b), must.Sprint("the new store replaces the absent one"))
+	must.False(t, holdsReplica(replaced, b), must.Sprint("the new store replaces the absent one"))
 	must.Eq(t, []Holder{a}, RetainAbsentReplicas(claims, ChooseReplicas(claims, a, present, []Candidate{a}), present), must.Sprint("absent replicas in memory are not retained"))
 }
 
--- a/internal/partition/replica.go
+++ b/internal/partition/replica.go
@@ -37,7 +37,7 @@
 	Save(name Name, promised uint64, removePrefixes []string, registers []Register) error
 }
 
-// Replica is one copy of a partition. It is safe for concurrent use.
+// Replica is one replica of a partition's registers. It is safe for concurrent use.
 // Invariants: promised never decreases; every change is stored before the replica responds.
 type Replica struct {
 	name     Name
@@ -168,10 +168,10 @@
 	}
 }
 
-// Merge returns the newest register of each key in several copies.
-func Merge(copies ...[]Register) map[string]Register {
+// Merge returns the newest register of each key in several sets of registers.
+func Merge(sets ...[]Register) map[string]Register {
 	merged := make(map[string]Register)
-	for _, registers := range copies {
+	for _, registers := range sets {
 		for _, register := range registers {
 			if present, ok := merged[register.Key]; !ok || register.newer(present) {
 				merged[register.Key] = register
--- a/internal/partition/takeover.go
+++ b/internal/partition/takeover.go
@@ -36,7 +36,7 @@
 func Successor(assignment Assignment, candidates []Candidate) (Candidate, bool) {
 	ranked := rank(assignment.Name, candidates)
 	for _, candidate := range ranked {
-		if holdsCopy(assignment.Replicas, candidate) {
+		if holdsReplica(assignment.Replicas, candidate) {
 			return candidate, true
 		}
 	}
@@ -46,7 +46,7 @@
 	return ranked[0], true
 }
 
-func holdsCopy(replicas []Holder, candidate Candidate) bool {
+func holdsReplica(replicas []Holder, candidate Candidate) bool {
 	return slices.ContainsFunc(replicas, func(holder Holder) bool { return holder.ReplicaID == candidate.ReplicaID })
 }
 
@@ -60,7 +60,7 @@
 	chosen := []Holder{owner}
 	ranked := rank(name, candidates)
 	slices.SortStableFunc(ranked, func(a, b Candidate) int {
-		return cmp.Compare(rankFirst(holdsCopy(present, a)), rankFirst(holdsCopy(present, b)))
+		return cmp.Compare(rankFirst(holdsReplica(present, a)), rankFirst(holdsReplica(present, b)))
 	})
 	// Round 0: zones without a chosen replica. Round 1: any zone except the owner's. Round 2: any zone.
 	for round := range 3 {
@@ -68,7 +68,7 @@
 			if len(chosen) == ReplicationFactor {
 				return chosen
 			}
-			if holdsCopy(chosen, candidate) || candidate.NodeID == owner.NodeID || !zoneAllowed(round, chosen, candidate) {
+			if holdsReplica(chosen, candidate) || candidate.NodeID == owner.NodeID || !zoneAllowed(round, chosen, candidate) {
 				continue
 			}
 			chosen = append(chosen, candidate)
@@ -88,7 +88,7 @@
 		return chosen
 	}
 	for _, holder := range present {
-		if len(chosen) < ReplicationFactor && !holdsCopy(chosen, holder) {
+		if len(chosen) < ReplicationFactor && !holdsReplica(chosen, holder) {
 			chosen = append(chosen, holder)
 		}
 	}
