--- a/internal/configuration/follower.go
+++ b/internal/configuration/follower.go
@@ -18,8 +18,8 @@
 // DocumentKey is the key of the configuration document in the key-value service.
 const DocumentKey = "configuration/document"
 
-// Follower holds a node's copies of the configuration document, the partition table and the machine list. Each copy is replaced only by one
-// with a greater revision.
+// Follower holds the newest revisions of the configuration document, the partition table and the machine list that a node has received. Each is
+// replaced only by a greater revision.
 type Follower struct {
 	mu       sync.Mutex // guards writes
 	document atomic.Pointer[experiment.Document]
@@ -28,7 +28,7 @@
 	changed  chan struct{} // closed and replaced on each change; guarded by mu
 }
 
-// NewFollower returns a follower with empty copies at revision zero.
+// NewFollower returns a follower whose documents are empty and at revision zero.
 func NewFollower() *Follower {
 	follower := &Follower{changed: make(chan struct{})}
 	follower.document.Store(&experiment.Document{})
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// previewStatement applies a change to a copy of the configuration.
+// previewStatement applies a change to preview, which is a copy of the configuration, and describes the difference.
 func previewStatement(preview *experiment.Document, statement command.Statement) StatementResponse {
 	if statement.Change == nil {
 		return outcomeOf(statement, nil)
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -180,7 +180,7 @@
 	home.publishDigest(digest)
 }
 
-// publishDigest stores a digest. A change of its flags is announced immediately.
+// publishDigest stores a digest, and announces it to the other nodes immediately if its flags have changed.
 func (home *Home) publishDigest(digest loads.Digest) {
 	if home.loads.Offer(digest, time.Now()) == loads.ChangeFlags {
 		home.announce([]*loads.Digest{&digest})
@@ -188,14 +188,14 @@
 }
 
 func (home *Home) publish(target *replica, report engine.Report) {
-	held := make([]*controlv1.HeldVersion, 0, len(report.Policies))
+	versions := make([]*controlv1.HeldVersion, 0, len(report.Policies))
 	for _, version := range report.Policies {
-		held = append(held, &controlv1.HeldVersion{Policy: version.Policy, Active: version.Active, Staged: version.Staged})
+		versions = append(versions, &controlv1.HeldVersion{Policy: version.Policy, Active: version.Active, Staged: version.Staged})
 	}
-	slices.SortFunc(held, func(a, b *controlv1.HeldVersion) int { return strings.Compare(a.GetPolicy(), b.GetPolicy()) })
+	slices.SortFunc(versions, func(a, b *controlv1.HeldVersion) int { return strings.Compare(a.GetPolicy(), b.GetPolicy()) })
 	digest := loads.Digest{ID: target.machine.ID, Address: target.machine.Address, Zone: target.machine.Zone,
 		Sequence: sequence(), Running: report.Running, Queued: report.Queued, Capacity: report.Capacity,
-		Leaving: target.machine.Leaving || report.Leaving, Held: held}
+		Leaving: target.machine.Leaving || report.Leaving, Held: versions}
 	home.publishDigest(digest)
 }
 
@@ -206,14 +206,14 @@
 	if !home.acquireFence(ctx, target, report) {
 		return false
 	}
-	taken := false
+	accepted := false
 	for _, policy := range home.document().Policies {
 		next, due := nextOrder(policy, report)
 		if due && home.send(ctx, target, next) {
-			taken = true
+			accepted = true
 		}
 	}
-	return taken
+	return accepted
 }
 
 // acquireFence makes this node the holder of the replica's fence. A later term prevents a former home from giving orders.
--- a/internal/membership/prober.go
+++ b/internal/membership/prober.go
@@ -162,7 +162,7 @@
 	return true
 }
 
-// changes returns pending updates. A suspect always receives the update about itself, so that it can refute it.
+// changes returns pending updates. A suspect always receives the update that suspects it, so that it can refute the suspicion.
 func (prober *Prober) changes(target Member) []*controlv1.Member {
 	changes := prober.table.Changes()
 	if target.State == StateSuspect {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -120,7 +120,7 @@
 		return
 	}
 	if !ok && !member.Live() {
-		// Record the death of an unknown member too: an older update that declares it alive may still arrive.
+		// Record an unknown member that is dead or left too: an older update that declares it alive may still arrive.
 		table.entries[member.NodeID] = &entry{member: member, since: now, pending: true}
 		table.view = nil
 		return
