--- a/internal/batchrun/job.go
+++ b/internal/batchrun/job.go
@@ -27,7 +27,7 @@
 	delegation delegation
 
 	mu        sync.Mutex
-	ownership *batchlog.Ownership // nil until this node owns the job
+	ownership *batchlog.Ownership // nil until this node owns the job; then only the flush loop appends with it
 	elsewhere bool                // accepted, but another node owns it or it has ended
 	progress  *batch.Progress
 	tasks     map[string]*task
--- a/internal/ownership/manager.go
+++ b/internal/ownership/manager.go
@@ -59,7 +59,7 @@
 	// isolated reports whether this node reaches so few of the listed nodes that it must not take partitions over.
 	isolated func() bool
 
-	leasing lock.Lock // guards lease and renewed; held during calls to the metadata store
+	leasing lock.Lock // guards lease and renewed; held during calls to the key-value service
 	lease   keyvalue.LeaseID
 	renewed time.Time
 	states  map[partition.Name]*state
@@ -252,7 +252,7 @@
 	return belowTarget || assignment.Name.Kind == partition.KindClaims || time.Since(tracked.missingSince) >= manager.settings.ReplaceAfter
 }
 
-// takeOver raises the epoch in the metadata store, recovers the registers from the old replicas to the new ones, records
+// takeOver raises the epoch in the key-value service, recovers the registers from the old replicas to the new ones, records
 // the new replicas, and serves. After a crash at any point another node can repeat all of it.
 func (manager *Manager) takeOver(ctx context.Context, assignment partition.Assignment, self partition.Holder, candidates []partition.Candidate) {
 	if !manager.keepLease(ctx) {
--- a/internal/partition/table.go
+++ b/internal/partition/table.go
@@ -1,6 +1,6 @@
 // Package partition replicates the state of a small, fixed number of partitions. Each partition has one owner, which
 // writes registers to a set of replicas. Every write carries the owner's epoch, and a replica that has promised a greater
-// epoch refuses it. A new owner raises the epoch in the metadata store by compare-and-swap, then collects promises and
+// epoch refuses it. A new owner raises the epoch in the key-value service by compare-and-swap, then collects promises and
 // registers from a read quorum of the replicas, and only then serves. docs/design/0002-partitions.md compares the
 // alternatives.
 package partition
@@ -29,7 +29,7 @@
 	Index uint32 `json:"index" cbor:"2,keyasint"`
 }
 
-// String returns the form that metadata keys and logs use.
+// String returns the form that keys of the key-value service and logs use.
 func (name Name) String() string { return fmt.Sprintf("%s/%d", name.Kind, name.Index) }
 
 // Names returns the names of all partitions.
@@ -60,13 +60,13 @@
 	Replicas []Holder `json:"replicas" cbor:"4,keyasint"`
 	// HistoryLost is the last time an owner discarded the registers because too few replicas were left, or zero.
 	HistoryLost time.Time `json:"history_lost" cbor:"5,keyasint"`
-	// ServiceRevision is the revision of the assignment's key in the metadata store.
+	// ServiceRevision is the revision of the assignment's key in the key-value service.
 	ServiceRevision uint64 `json:"-" cbor:"6,keyasint"`
 }
 
 // Table is a snapshot of the assignments of all partitions and of the leases of their owners.
 type Table struct {
-	// Revision is the revision of the metadata store that the table was read at.
+	// Revision is the revision of the key-value service that the table was read at.
 	Revision    uint64       `cbor:"1,keyasint"`
 	Assignments []Assignment `cbor:"2,keyasint"`
 	// Leases are the identifiers of the nodes whose owner lease has not expired.
--- a/internal/partition/takeover.go
+++ b/internal/partition/takeover.go
@@ -15,7 +15,7 @@
 
 // NeedsTakeover reports whether a partition has no owner, or its owner has failed: either its node is live with another
 // replica identity, or the node is not live and its lease has expired. An owner keeps its partition while it is a live
-// member, even if its lease expired in an outage of the metadata store, and while its lease is valid, even if members
+// member, even if its lease expired in an outage of the key-value service, and while its lease is valid, even if members
 // cannot reach it.
 func NeedsTakeover(table Table, assignment Assignment, candidates []Candidate) bool {
 	if assignment.Epoch == 0 {
