--- a/internal/ownership/manager.go
+++ b/internal/ownership/manager.go
@@ -59,7 +59,7 @@
 	// isolated reports whether this node reaches so few of the listed nodes that it must not take partitions over.
 	isolated func() bool
 
-	leasing lock.Lock // guards lease and renewed; held during calls to the metadata store
+	leasing lock.Lock // guards lease and renewed; held during calls to the key-value service
 	lease   keyvalue.LeaseID
 	renewed time.Time
 	states  map[partition.Name]*state
@@ -252,7 +252,7 @@
 	return belowTarget || assignment.Name.Kind == partition.KindClaims || time.Since(tracked.missingSince) >= manager.settings.ReplaceAfter
 }
 
-// takeOver raises the epoch in the metadata store, recovers the registers from the old replicas to the new ones, records
+// takeOver raises the epoch in the key-value service, recovers the registers from the old replicas to the new ones, records
 // the new replicas, and serves. After a crash at any point another node can repeat all of it.
 func (manager *Manager) takeOver(ctx context.Context, assignment partition.Assignment, self partition.Holder, candidates []partition.Candidate) {
 	if !manager.keepLease(ctx) {
@@ -344,7 +344,7 @@
 		manager.logger.Warn("partition not recovered", "partition", name, "epoch", assignment.Epoch, "error", err)
 		return
 	}
-	if !sameCopies(assignment.Replicas, to) {
+	if !sameReplicas(assignment.Replicas, to) {
 		assignment.Replicas = to
 		if !manager.record(ctx, &assignment) {
 			return
@@ -365,7 +365,7 @@
 	}
 }
 
-func sameCopies(a, b []partition.Holder) bool {
+func sameReplicas(a, b []partition.Holder) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -380,17 +380,17 @@
 // PartitionCount returns the number of partitions that this node owns or holds a replica in memory of, according to the
 // newest table.
 func (manager *Manager) PartitionCount() int {
-	held := 0
+	count := 0
 	for _, assignment := range manager.follower.Table().Assignments {
 		if assignment.Owner.NodeID == manager.self.NodeID {
-			held++
+			count++
 			continue
 		}
 		for _, holder := range assignment.Replicas {
 			if holder.NodeID == manager.self.NodeID && assignment.Name.Kind == partition.KindClaims {
-				held++
+				count++
 			}
 		}
 	}
-	return held
+	return count
 }
