--- a/internal/execution/runner.go
+++ b/internal/execution/runner.go
@@ -13,7 +13,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/admission"
 	"github.com/thistlewalk/thistlewalk/internal/engine"
 	"github.com/thistlewalk/thistlewalk/internal/experiment"
-	"github.com/thistlewalk/thistlewalk/internal/loads"
+	"github.com/thistlewalk/thistlewalk/internal/replicaload"
 	"github.com/thistlewalk/thistlewalk/internal/result"
 	"github.com/thistlewalk/thistlewalk/internal/rollout"
 	"github.com/thistlewalk/thistlewalk/internal/routing"
@@ -61,7 +61,7 @@
 	settings Settings
 	zone     string
 	client   engine.Client
-	loads    *loads.Table
+	loads    *replicaload.Table
 	router   *routing.Router
 	budget   *admission.RetryBudget
 	document func() *experiment.Document
@@ -70,7 +70,7 @@
 }
 
 // NewRunner returns a runner. document returns the newest configuration.
-func NewRunner(settings Settings, zone string, client engine.Client, table *loads.Table, router *routing.Router,
+func NewRunner(settings Settings, zone string, client engine.Client, table *replicaload.Table, router *routing.Router,
 	budget *admission.RetryBudget, document func() *experiment.Document) *Runner {
 	return &Runner{settings: settings, zone: zone, client: client, loads: table, router: router, budget: budget, document: document}
 }
@@ -157,7 +157,7 @@
 	run.replicaIDs = append(run.replicaIDs, replicaID)
 }
 
-func (run *run) route() *loads.Replica {
+func (run *run) route() *replicaload.Replica {
 	runner := run.runner
 	policy, _ := runner.document().Policy(run.request.Arm.Policy)
 	requirements := routing.Requirements{
@@ -193,7 +193,7 @@
 }
 
 // stream sends the request and follows its stream. A silent stream is aborted.
-func (run *run) stream(ctx context.Context, digest *loads.Digest) error {
+func (run *run) stream(ctx context.Context, digest *replicaload.Digest) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	stall := time.AfterFunc(run.runner.settings.StallTime, func() { cancel(errStalled) })
@@ -235,7 +235,7 @@
 }
 
 // handleFailure decides how to continue after a failed attempt. It returns nil to try again.
-func (run *run) handleFailure(ctx context.Context, replica *loads.Replica, cause error) error {
+func (run *run) handleFailure(ctx context.Context, replica *replicaload.Replica, cause error) error {
 	digest := replica.Digest()
 	notAccepted := errors.Is(cause, engine.ErrNotAccepted)
 	if !notAccepted {
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -122,7 +122,7 @@
 func (node *Node) registerMetrics(metrics *gateway.Metrics) {
 	metrics.Gauge("thistlewalk_configuration_revision", "Revision of the configuration in force.", func() float64 { return float64(node.follower.Document().Revision) })
 	metrics.Gauge("thistlewalk_members_live", "Nodes that are believed alive.", func() float64 { return float64(len(node.members.View().Live)) })
-	metrics.Gauge("thistlewalk_homed_replicas", "Replicas whose home is this node.", func() float64 { return float64(node.homes.Replicas()) })
+	metrics.Gauge("thistlewalk_homed_replicas", "Replicas whose home is this node.", func() float64 { return float64(node.controller.Replicas()) })
 	metrics.Gauge("thistlewalk_partitions_held", "Partitions owned, and claims copies held.", func() float64 { return float64(node.manager.PartitionCount()) })
 	metrics.Gauge("thistlewalk_slots_running", "Slots of training steps in work on this node.", func() float64 { return float64(node.executor.Running()) })
 	metrics.Gauge("thistlewalk_requests_running", "Requests of callers that run.", func() float64 { running, _ := node.limiter.Occupancy(); return float64(running) })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -20,9 +20,7 @@
 	"github.com/thistlewalk/thistlewalk/internal/engine"
 	"github.com/thistlewalk/thistlewalk/internal/execution"
 	"github.com/thistlewalk/thistlewalk/internal/gateway"
-	"github.com/thistlewalk/thistlewalk/internal/home"
 	"github.com/thistlewalk/thistlewalk/internal/keyvalue"
-	"github.com/thistlewalk/thistlewalk/internal/loads"
 	"github.com/thistlewalk/thistlewalk/internal/logging"
 	"github.com/thistlewalk/thistlewalk/internal/machines"
 	"github.com/thistlewalk/thistlewalk/internal/membership"
@@ -30,6 +28,8 @@
 	"github.com/thistlewalk/thistlewalk/internal/ownership"
 	"github.com/thistlewalk/thistlewalk/internal/partition"
 	"github.com/thistlewalk/thistlewalk/internal/peers"
+	"github.com/thistlewalk/thistlewalk/internal/replicacontrol"
+	"github.com/thistlewalk/thistlewalk/internal/replicaload"
 	"github.com/thistlewalk/thistlewalk/internal/samplestore"
 	"github.com/thistlewalk/thistlewalk/internal/scoring"
 	"github.com/thistlewalk/thistlewalk/internal/security"
@@ -73,8 +73,8 @@
 	directory     *peers.Directory
 	members       *membership.Table
 	prober        *membership.Prober
-	loads         *loads.Table
-	homes         *home.Home
+	loads         *replicaload.Table
+	controller    *replicacontrol.Controller
 	store         *samplestore.Store // nil without a data folder
 	localReplicas *ownership.LocalReplicas
 	manager       *ownership.Manager
@@ -116,7 +116,7 @@
 	node := &Node{
 		settings: options.Settings, networks: options.Networks, processIncarnation: options.ProcessIncarnation,
 		logger:   options.Logger.With("node", options.Settings.Node.ID),
-		follower: configuration.NewFollower(), loads: loads.NewTable(),
+		follower: configuration.NewFollower(), loads: replicaload.NewTable(),
 	}
 	if err := node.configureSecurity(); err != nil {
 		return nil, err
@@ -235,7 +235,7 @@
 	config := node.settings
 	streamClient := engine.NewHTTP(node.client(node.networks.Data, dataConnections))
 	orderClient := engine.NewHTTP(node.client(node.networks.Data, controlConnections))
-	node.homes = home.New(home.Settings{
+	node.controller = replicacontrol.New(replicacontrol.Settings{
 		SettleTime:  config.Ownership.SettleTime,
 		CallTimeout: config.Replicas.CallTimeout, FailedAfter: config.Replicas.FailedAfter,
 		OrderRetry: config.Replicas.OrderRetry, OrderAttempts: config.Replicas.OrderAttempts,
@@ -398,7 +398,7 @@
 func (node *Node) startActors() {
 	config := node.settings
 	node.system.Every("prober", actors.Fixed(config.Membership.ProbeInterval), node.prober.Tick)
-	homes := node.system.Every("home", actors.Fixed(config.Replicas.PollInterval), node.homes.Tick)
+	controller := node.system.Every("home", actors.Fixed(config.Replicas.PollInterval), node.controller.Tick)
 	node.system.Every("exchange", actors.Fixed(config.Replicas.PollInterval), node.synchronizer.exchange)
 	node.system.Every("machines", actors.Fixed(machinesInterval), node.synchronizer.pollMachines)
 	node.system.Every("service", actors.Fixed(relayPollInterval), node.synchronizer.pollKeyValue)
@@ -408,7 +408,7 @@
 	node.system.Every("claims", actors.Fixed(time.Minute), node.claims.Tick)
 	node.system.Every("automatic", actors.Fixed(automaticInterval), node.swapAutomatic)
 	node.synchronizer.run(func() {
-		homes.Wake()
+		controller.Wake()
 		manager.Wake()
 	})
 }
--- a/internal/node/query.go
+++ b/internal/node/query.go
@@ -121,7 +121,7 @@
 
 func (node *Node) replicasTable() query.Table {
 	table := query.Table{Subject: "replicas", Columns: []string{"replica", "zone", "state", "running", "queued", "capacity", "age_seconds", "home"}}
-	homes := node.homes.Assignments()
+	homes := node.controller.Assignments()
 	document := node.follower.Document()
 	for _, replica := range node.loads.List() {
 		digest := replica.Digest()
--- a/internal/node/synchronizer.go
+++ b/internal/node/synchronizer.go
@@ -13,11 +13,11 @@
 	"github.com/thistlewalk/thistlewalk/internal/configuration"
 	"github.com/thistlewalk/thistlewalk/internal/experiment"
 	"github.com/thistlewalk/thistlewalk/internal/keyvalue"
-	"github.com/thistlewalk/thistlewalk/internal/loads"
 	"github.com/thistlewalk/thistlewalk/internal/machines"
 	"github.com/thistlewalk/thistlewalk/internal/membership"
 	"github.com/thistlewalk/thistlewalk/internal/partition"
 	"github.com/thistlewalk/thistlewalk/internal/placement"
+	"github.com/thistlewalk/thistlewalk/internal/replicaload"
 )
 
 // synchronizer exchanges the configuration, the partition table, the machine list and load digests with other nodes, and
@@ -170,11 +170,11 @@
 }
 
 // pushLoads sends digests whose flags changed to a few random peers, without waiting for the next exchange.
-func (synchronizer *synchronizer) pushLoads(changed []*loads.Digest) {
+func (synchronizer *synchronizer) pushLoads(changed []*replicaload.Digest) {
 	if len(changed) == 0 {
 		return
 	}
-	message := loads.Pushed(changed)
+	message := replicaload.Pushed(changed)
 	peers := synchronizer.exchangePeers()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	for _, peer := range peers[:min(len(peers), pushPeers)] {
--- a/internal/home/home.go
+++ b/internal/replicacontrol/home.go
@@ -1,6 +1,6 @@
-// Package home controls replicas. Each replica has one home node, which polls it, publishes its load, and orders it to load the
-// versions that the configuration requires.
-package home
+// Package replicacontrol controls replicas. Each replica is assigned to one node, its home, which polls it, publishes its load,
+// and orders it to load the versions that the configuration requires.
+package replicacontrol
 
 import (
 	"context"
@@ -15,13 +15,13 @@
 	controlv1 "github.com/thistlewalk/thistlewalk/api/control/v1"
 	"github.com/thistlewalk/thistlewalk/internal/engine"
 	"github.com/thistlewalk/thistlewalk/internal/experiment"
-	"github.com/thistlewalk/thistlewalk/internal/loads"
 	"github.com/thistlewalk/thistlewalk/internal/machines"
 	"github.com/thistlewalk/thistlewalk/internal/membership"
 	"github.com/thistlewalk/thistlewalk/internal/placement"
+	"github.com/thistlewalk/thistlewalk/internal/replicaload"
 )
 
-// Settings are the settings of a home.
+// Settings are the settings of a Controller.
 type Settings struct {
 	// SettleTime is how long after its start a node waits before it polls replicas. Before it has learned the other members, it
 	// would consider itself the home of every replica.
@@ -36,17 +36,17 @@
 	OrderAttempts int
 }
 
-// Home controls the replicas whose home is this node.
-type Home struct {
+// Controller controls the replicas whose home is this node.
+type Controller struct {
 	settings Settings
 	nodeID   string
 	zone     string
 	client   engine.Client
-	loads    *loads.Table
+	loads    *replicaload.Table
 	members  *membership.Table
 	list     func() *machines.List
 	document func() *experiment.Document
-	announce func([]*loads.Digest)
+	announce func([]*replicaload.Digest)
 	isolated func() bool
 	logger   *log.Logger
 	started  time.Time
@@ -72,36 +72,36 @@
 	reported bool
 }
 
-// New returns a home without replicas. announce sends digests whose flags have changed to the other nodes. isolated reports
+// New returns a controller without replicas. announce sends digests whose flags have changed to the other nodes. isolated reports
 // whether the node reaches too few others to know which replicas it is the home of.
-func New(settings Settings, nodeID, zone string, client engine.Client, table *loads.Table, members *membership.Table,
-	list func() *machines.List, document func() *experiment.Document, announce func([]*loads.Digest), isolated func() bool, logger *log.Logger) *Home {
-	return &Home{settings: settings, nodeID: nodeID, zone: zone, client: client, loads: table, members: members,
+func New(settings Settings, nodeID, zone string, client engine.Client, table *replicaload.Table, members *membership.Table,
+	list func() *machines.List, document func() *experiment.Document, announce func([]*replicaload.Digest), isolated func() bool, logger *log.Logger) *Controller {
+	return &Controller{settings: settings, nodeID: nodeID, zone: zone, client: client, loads: table, members: members,
 		list: list, document: document, announce: announce, isolated: isolated, logger: logger, started: time.Now(), replicas: make(map[string]*replica)}
 }
 
 // Tick polls all replicas concurrently and waits until they have answered.
-func (home *Home) Tick(ctx context.Context) {
-	if time.Since(home.started) < home.settings.SettleTime || home.isolated() {
+func (controller *Controller) Tick(ctx context.Context) {
+	if time.Since(controller.started) < controller.settings.SettleTime || controller.isolated() {
 		return
 	}
 	var pending sync.WaitGroup
-	for _, found := range home.assigned() {
-		pending.Go(func() { home.poll(ctx, found) })
+	for _, found := range controller.assigned() {
+		pending.Go(func() { controller.poll(ctx, found) })
 	}
 	pending.Wait()
 }
 
 // Assignments returns the home node of each replica on the machine list, given the current members.
-func (home *Home) Assignments() map[string]string {
+func (controller *Controller) Assignments() map[string]string {
 	nodes := make(map[string][]string) // identifiers of live nodes by zone
 	var everywhere []string
-	for _, member := range home.members.View().Live {
+	for _, member := range controller.members.View().Live {
 		nodes[member.Zone] = append(nodes[member.Zone], member.NodeID)
 		everywhere = append(everywhere, member.NodeID)
 	}
 	assignments := make(map[string]string)
-	for _, machine := range home.list().Machines {
+	for _, machine := range controller.list().Machines {
 		if machine.Role != machines.RoleEngine {
 			continue
 		}
@@ -115,101 +115,101 @@
 }
 
 // assigned returns the replicas whose home is this node. It reassigns them only if the members or the machine list have changed.
-func (home *Home) assigned() []*replica {
-	view, list := home.members.View(), home.list()
-	home.mu.Lock()
-	defer home.mu.Unlock()
-	if home.view != view || home.machineList != list {
-		home.reassign()
-		home.view, home.machineList = view, list
+func (controller *Controller) assigned() []*replica {
+	view, list := controller.members.View(), controller.list()
+	controller.mu.Lock()
+	defer controller.mu.Unlock()
+	if controller.view != view || controller.machineList != list {
+		controller.reassign()
+		controller.view, controller.machineList = view, list
 	}
-	assigned := make([]*replica, 0, len(home.replicas))
-	for _, found := range home.replicas {
+	assigned := make([]*replica, 0, len(controller.replicas))
+	for _, found := range controller.replicas {
 		assigned = append(assigned, found)
 	}
 	return assigned
 }
 
 // reassign must be called with mu held.
-func (home *Home) reassign() {
-	assignments := home.Assignments()
+func (controller *Controller) reassign() {
+	assignments := controller.Assignments()
 	kept := make(map[string]*replica)
-	for _, machine := range home.list().Machines {
-		if assignments[machine.ID] != home.nodeID {
+	for _, machine := range controller.list().Machines {
+		if assignments[machine.ID] != controller.nodeID {
 			continue
 		}
-		found, ok := home.replicas[machine.ID]
+		found, ok := controller.replicas[machine.ID]
 		if !ok {
 			found = &replica{orders: make(map[string]*orderState)}
 		}
 		found.machine = machine
 		kept[machine.ID] = found
 	}
-	home.replicas = kept
+	controller.replicas = kept
 }
 
 // poll polls a replica, publishes its load and sends the orders that are due.
-func (home *Home) poll(ctx context.Context, target *replica) {
-	report, err := home.client.Report(ctx, target.machine.Address, home.settings.CallTimeout)
+func (controller *Controller) poll(ctx context.Context, target *replica) {
+	report, err := controller.client.Report(ctx, target.machine.Address, controller.settings.CallTimeout)
 	if ctx.Err() != nil {
 		return
 	}
 	if err != nil {
 		target.failures++
-		home.publishFailure(target)
+		controller.publishFailure(target)
 		return
 	}
 	target.failures = 0
-	home.publish(target, report)
+	controller.publish(target, report)
 	if target.machine.Leaving || report.Leaving {
 		return
 	}
-	if home.order(ctx, target, report) {
-		if report, err = home.client.Report(ctx, target.machine.Address, home.settings.CallTimeout); err == nil {
-			home.publish(target, report)
+	if controller.order(ctx, target, report) {
+		if report, err = controller.client.Report(ctx, target.machine.Address, controller.settings.CallTimeout); err == nil {
+			controller.publish(target, report)
 		}
 	}
 }
 
-func (home *Home) publishFailure(target *replica) {
-	if target.failures < home.settings.FailedAfter {
+func (controller *Controller) publishFailure(target *replica) {
+	if target.failures < controller.settings.FailedAfter {
 		return
 	}
-	digest := loads.Digest{ID: target.machine.ID, Address: target.machine.Address, Zone: target.machine.Zone,
+	digest := replicaload.Digest{ID: target.machine.ID, Address: target.machine.Address, Zone: target.machine.Zone,
 		Sequence: sequence(), Leaving: target.machine.Leaving, Failed: true}
-	home.publishDigest(digest)
+	controller.publishDigest(digest)
 }
 
 // publishDigest stores a digest. A change of its flags is announced immediately.
-func (home *Home) publishDigest(digest loads.Digest) {
-	if home.loads.Offer(digest, time.Now()) == loads.ChangeFlags {
-		home.announce([]*loads.Digest{&digest})
+func (controller *Controller) publishDigest(digest replicaload.Digest) {
+	if controller.loads.Offer(digest, time.Now()) == replicaload.ChangeFlags {
+		controller.announce([]*replicaload.Digest{&digest})
 	}
 }
 
-func (home *Home) publish(target *replica, report engine.Report) {
+func (controller *Controller) publish(target *replica, report engine.Report) {
 	held := make([]*controlv1.HeldVersion, 0, len(report.Policies))
 	for _, version := range report.Policies {
 		held = append(held, &controlv1.HeldVersion{Policy: version.Policy, Active: version.Active, Staged: version.Staged})
 	}
 	slices.SortFunc(held, func(a, b *controlv1.HeldVersion) int { return strings.Compare(a.GetPolicy(), b.GetPolicy()) })
-	digest := loads.Digest{ID: target.machine.ID, Address: target.machine.Address, Zone: target.machine.Zone,
+	digest := replicaload.Digest{ID: target.machine.ID, Address: target.machine.Address, Zone: target.machine.Zone,
 		Sequence: sequence(), Running: report.Running, Queued: report.Queued, Capacity: report.Capacity,
 		Leaving: target.machine.Leaving || report.Leaving, Held: held}
-	home.publishDigest(digest)
+	controller.publishDigest(digest)
 }
 
 func sequence() uint64 { return uint64(time.Now().UnixMilli()) }
 
 // order sends the orders that are due, and reports whether the replica accepted any.
-func (home *Home) order(ctx context.Context, target *replica, report engine.Report) bool {
-	if !home.acquireFence(ctx, target, report) {
+func (controller *Controller) order(ctx context.Context, target *replica, report engine.Report) bool {
+	if !controller.acquireFence(ctx, target, report) {
 		return false
 	}
 	taken := false
-	for _, policy := range home.document().Policies {
+	for _, policy := range controller.document().Policies {
 		next, due := nextOrder(policy, report)
-		if due && home.send(ctx, target, next) {
+		if due && controller.send(ctx, target, next) {
 			taken = true
 		}
 	}
@@ -217,15 +217,15 @@
 }
 
 // acquireFence makes this node the holder of the replica's fence. A later term prevents a former home from giving orders.
-func (home *Home) acquireFence(ctx context.Context, target *replica, report engine.Report) bool {
-	if report.Fence.Holder == home.nodeID {
+func (controller *Controller) acquireFence(ctx context.Context, target *replica, report engine.Report) bool {
+	if report.Fence.Holder == controller.nodeID {
 		target.fence = report.Fence
 		return true
 	}
-	fence := engine.Fence{Term: report.Fence.Term + 1, Holder: home.nodeID, Revision: report.Fence.Revision}
-	err := home.client.Order(ctx, target.machine.Address, engine.Order{Fence: fence, Action: engine.ActionHold}, home.settings.CallTimeout)
+	fence := engine.Fence{Term: report.Fence.Term + 1, Holder: controller.nodeID, Revision: report.Fence.Revision}
+	err := controller.client.Order(ctx, target.machine.Address, engine.Order{Fence: fence, Action: engine.ActionHold}, controller.settings.CallTimeout)
 	if err != nil {
-		home.logger.Info("fence not taken", "replica", target.machine.ID, "term", fence.Term, "error", err)
+		controller.logger.Info("fence not taken", "replica", target.machine.ID, "term", fence.Term, "error", err)
 		return false
 	}
 	target.fence = fence
@@ -260,27 +260,27 @@
 }
 
 // send sends an order unless an equal one was sent within the retry delay.
-func (home *Home) send(ctx context.Context, target *replica, order engine.Order) bool {
+func (controller *Controller) send(ctx context.Context, target *replica, order engine.Order) bool {
 	state, ok := target.orders[order.Policy]
 	if !ok || state.order.Action != order.Action || state.order.Version != order.Version {
 		state = &orderState{}
 		target.orders[order.Policy] = state
 	}
-	if time.Since(state.sent) < home.retryDelay(state) {
+	if time.Since(state.sent) < controller.retryDelay(state) {
 		return false
 	}
-	order.Fence.Term, order.Fence.Holder = target.fence.Term, home.nodeID
-	order.Fence.Revision = max(home.document().Revision, target.fence.Revision)
+	order.Fence.Term, order.Fence.Holder = target.fence.Term, controller.nodeID
+	order.Fence.Revision = max(controller.document().Revision, target.fence.Revision)
 	state.order, state.sent = order, time.Now()
 	state.attempts++
-	err := home.client.Order(ctx, target.machine.Address, order, home.settings.CallTimeout)
-	if state.attempts > home.settings.OrderAttempts && !state.reported {
+	err := controller.client.Order(ctx, target.machine.Address, order, controller.settings.CallTimeout)
+	if state.attempts > controller.settings.OrderAttempts && !state.reported {
 		state.reported = true
-		home.logger.Error("replica does not follow its orders", "replica", target.machine.ID, "policy", order.Policy,
+		controller.logger.Error("replica does not follow its orders", "replica", target.machine.ID, "policy", order.Policy,
 			"version", order.Version, "action", order.Action, "attempts", state.attempts, "error", err)
 	}
 	if err != nil {
-		home.logger.Info("order failed", "replica", target.machine.ID, "policy", order.Policy, "version", order.Version,
+		controller.logger.Info("order failed", "replica", target.machine.ID, "policy", order.Policy, "version", order.Version,
 			"action", order.Action, "fenced", errors.Is(err, engine.ErrFenced), "error", err)
 		return false
 	}
@@ -290,19 +290,19 @@
 // slowRetryFactor multiplies the retry delay after OrderAttempts attempts.
 const slowRetryFactor = 5
 
-func (home *Home) retryDelay(state *orderState) time.Duration {
-	if state.attempts > home.settings.OrderAttempts {
-		return home.settings.OrderRetry * slowRetryFactor
+func (controller *Controller) retryDelay(state *orderState) time.Duration {
+	if state.attempts > controller.settings.OrderAttempts {
+		return controller.settings.OrderRetry * slowRetryFactor
 	}
 	if state.attempts == 0 {
 		return 0
 	}
-	return home.settings.OrderRetry
+	return controller.settings.OrderRetry
 }
 
 // Replicas returns the number of replicas whose home is this node.
-func (home *Home) Replicas() int {
-	home.mu.Lock()
-	defer home.mu.Unlock()
-	return len(home.replicas)
+func (controller *Controller) Replicas() int {
+	controller.mu.Lock()
+	defer controller.mu.Unlock()
+	return len(controller.replicas)
 }
--- a/internal/home/home_test.go
+++ b/internal/replicacontrol/home_test.go
@@ -1,4 +1,4 @@
-package home
+package replicacontrol
 
 import (
 	"net/http/httptest"
--- a/internal/loads/exchange.go
+++ b/internal/replicaload/exchange.go
@@ -1,4 +1,4 @@
-package loads
+package replicaload
 
 import (
 	"encoding/binary"
--- a/internal/loads/table.go
+++ b/internal/replicaload/table.go
@@ -1,6 +1,6 @@
-// Package loads stores the load digests of replicas, which lag behind, and corrects them by the requests that this node
+// Package replicaload stores the load digests of replicas, which lag behind, and corrects them by the requests that this node
 // has in flight. The table is sharded to reduce lock contention.
-package loads
+package replicaload
 
 import (
 	"slices"
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"github.com/thistlewalk/thistlewalk/internal/experiment"
-	"github.com/thistlewalk/thistlewalk/internal/loads"
 	"github.com/thistlewalk/thistlewalk/internal/placement"
+	"github.com/thistlewalk/thistlewalk/internal/replicaload"
 )
 
 // Requirements describes the rollout to route.
@@ -31,8 +31,8 @@
 
 // Candidate is the state of a replica at the time of the decision.
 type Candidate struct {
-	Replica *loads.Replica
-	Digest  *loads.Digest
+	Replica *replicaload.Replica
+	Digest  *replicaload.Digest
 	// Version is the active version of the requested policy.
 	Version uint64
 	// Load is the estimated number of requests as a share of capacity.
@@ -43,7 +43,7 @@
 
 // Filter decides whether a replica may run the rollout.
 type Filter interface {
-	Keep(requirements *Requirements, replica *loads.Replica, digest *loads.Digest) bool
+	Keep(requirements *Requirements, replica *replicaload.Replica, digest *replicaload.Digest) bool
 }
 
 // Scorer scores a candidate from 0, the worst, to 1, the best.
@@ -55,8 +55,8 @@
 type Choices struct {
 	router        *Router
 	requirements  *Requirements
-	replicas      []*loads.Replica
-	prefixReplica *loads.Replica // the replica that the prompt's prefix hashes to; nil without a prefix
+	replicas      []*replicaload.Replica
+	prefixReplica *replicaload.Replica // the replica that the prompt's prefix hashes to; nil without a prefix
 }
 
 // Len returns the number of replicas, including those that the filters exclude.
@@ -110,7 +110,7 @@
 }
 
 // Route returns the replica for a rollout; nil if the filters accept none.
-func (router *Router) Route(requirements *Requirements, replicas []*loads.Replica) *loads.Replica {
+func (router *Router) Route(requirements *Requirements, replicas []*replicaload.Replica) *replicaload.Replica {
 	choices := Choices{router: router, requirements: requirements, replicas: replicas}
 	if requirements.PrefixKey != "" {
 		choices.prefixReplica = selectPrefixReplica(requirements.PrefixKey, replicas)
@@ -123,9 +123,9 @@
 }
 
 // selectPrefixReplica returns the replica that ranks first for a prefix by rendezvous hashing.
-func selectPrefixReplica(prefixKey string, replicas []*loads.Replica) *loads.Replica {
+func selectPrefixReplica(prefixKey string, replicas []*replicaload.Replica) *replicaload.Replica {
 	key := placement.Hash(prefixKey)
-	var best *loads.Replica
+	var best *replicaload.Replica
 	bestWeight := uint64(0)
 	for _, replica := range replicas {
 		if weight := placement.Weight(key, replica.Hash()); best == nil || weight > bestWeight {
@@ -144,7 +144,7 @@
 }
 
 // Keep implements Filter.
-func (filter Serviceable) Keep(requirements *Requirements, replica *loads.Replica, digest *loads.Digest) bool {
+func (filter Serviceable) Keep(requirements *Requirements, replica *replicaload.Replica, digest *replicaload.Digest) bool {
 	if digest.Leaving || digest.Failed {
 		return false
 	}
@@ -164,7 +164,7 @@
 type HoldsVersion struct{}
 
 // Keep implements Filter.
-func (HoldsVersion) Keep(requirements *Requirements, _ *loads.Replica, digest *loads.Digest) bool {
+func (HoldsVersion) Keep(requirements *Requirements, _ *replicaload.Replica, digest *replicaload.Digest) bool {
 	held := digest.HeldVersion(requirements.Arm.Policy)
 	return held != nil && held.GetActive() != 0 && requirements.Arm.Allows(held.GetActive())
 }
@@ -173,7 +173,7 @@
 type HasCapacity struct{}
 
 // Keep implements Filter.
-func (HasCapacity) Keep(requirements *Requirements, replica *loads.Replica, digest *loads.Digest) bool {
+func (HasCapacity) Keep(requirements *Requirements, replica *replicaload.Replica, digest *replicaload.Digest) bool {
 	return requirements.MaxBatchFill == 0 || float64(replica.Estimate()) < requirements.MaxBatchFill*float64(digest.Capacity)
 }
 
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -10,16 +10,16 @@
 
 	controlv1 "github.com/thistlewalk/thistlewalk/api/control/v1"
 	"github.com/thistlewalk/thistlewalk/internal/experiment"
-	"github.com/thistlewalk/thistlewalk/internal/loads"
+	"github.com/thistlewalk/thistlewalk/internal/replicaload"
 )
 
 var now = time.Unix(1000, 0)
 
 // fleet returns replicas that run version 2 of policy p, each adjusted by the given function.
-func fleet(count int, adjust func(index int, digest *loads.Digest)) []*loads.Replica {
-	table := loads.NewTable()
+func fleet(count int, adjust func(index int, digest *replicaload.Digest)) []*replicaload.Replica {
+	table := replicaload.NewTable()
 	for index := range count {
-		digest := loads.Digest{ID: fmt.Sprintf("engine-%03d", index), Zone: fmt.Sprintf("zone-%d", index%7), Sequence: 1, Capacity: 32,
+		digest := replicaload.Digest{ID: fmt.Sprintf("engine-%03d", index), Zone: fmt.Sprintf("zone-%d", index%7), Sequence: 1, Capacity: 32,
 			Held: []*controlv1.HeldVersion{{Policy: "p", Active: 2}}}
 		if adjust != nil {
 			adjust(index, &digest)
@@ -42,7 +42,7 @@
 }
 
 func TestFiltersKeepWorkOffReplicas(t *testing.T) {
-	replicas := fleet(8, func(index int, digest *loads.Digest) {
+	replicas := fleet(8, func(index int, digest *replicaload.Digest) {
 		switch index {
 		case 0:
 			digest.Leaving = true
@@ -66,7 +66,7 @@
 }
 
 func TestScorers(t *testing.T) {
-	digest := &loads.Digest{ID: "a", Zone: "zone-0"}
+	digest := &replicaload.Digest{ID: "a", Zone: "zone-0"}
 	cases := []struct {
 		name          string
 		scorer        Scorer
@@ -74,7 +74,7 @@
 	}{
 		{"less load", LoadScorer{}, Candidate{Load: 0.1}, Candidate{Load: 0.9}},
 		{"newer version", VersionScorer{}, Candidate{Version: 2}, Candidate{Version: 1}},
-		{"own zone", ZoneScorer{}, Candidate{Digest: digest}, Candidate{Digest: &loads.Digest{Zone: "zone-1"}}},
+		{"own zone", ZoneScorer{}, Candidate{Digest: digest}, Candidate{Digest: &replicaload.Digest{Zone: "zone-1"}}},
 		{"warm cache", AffinityScorer{}, Candidate{Digest: digest, Affinity: true}, Candidate{Digest: digest}},
 		{"a full replica's cache does not count", AffinityScorer{}, Candidate{Digest: digest, Affinity: true}, Candidate{Digest: digest, Affinity: true, Load: 1}},
 	}
@@ -91,7 +91,7 @@
 	most := func(picker Picker) int {
 		taken := make(map[string]int)
 		for range 51 {
-			replicas := fleet(107, func(index int, digest *loads.Digest) { digest.Running = index % 5 })
+			replicas := fleet(107, func(index int, digest *replicaload.Digest) { digest.Running = index % 5 })
 			for range 4 {
 				chosen := router(picker).Route(wanted(), replicas)
 				chosen.Begin()
